--- a/src/pollenmast/relay/__init__.py
+++ b/src/pollenmast/relay/__init__.py
@@ -1,4 +1,4 @@
-"""The relay program: carries packets between callers and upstreams."""
+"""The relay program: forwards packets between callers and upstreams."""
 
 from pollenmast.relay._program import run
 
--- a/src/pollenmast/relay/_carrier.py
+++ b/src/pollenmast/relay/_carrier.py
@@ -1,4 +1,4 @@
-"""What routing and custody ask of the relay that carries the packets."""
+"""The interface of the relay core that routing and custody depend on."""
 
 import abc
 
@@ -13,15 +13,15 @@
 
 @attrs.frozen
 class Arrival:
-    """A caller's datagram that belongs to no flow known here.
+    """A caller's datagram that matches no flow in the flow table.
 
     Attributes:
         listener: The service's port.
-        caller: The caller's IP number and port.
-        packet: Its first packet's readable part.
+        caller: The caller's IP address and port.
+        packet: The unencrypted header fields of its first packet.
         data: The datagram.
-        hops: How often it was passed on.
-        via: Number of the VM that passed it on, 0 for the fabric.
+        hops: How many relays have forwarded it.
+        via: Number of the VM that forwarded it, 0 for the fabric.
     """
 
     listener: Listener
@@ -33,17 +33,17 @@
 
     @property
     def key(self) -> int:
-        """The flow's hash."""
+        """The flow's hash, by which its owner is found."""
         return flow_hash(self.listener.service.port, *self.caller)
 
     @property
     def opens(self) -> bool:
-        """Whether it may open a flow."""
+        """Whether it may open a flow, as a QUIC Initial does."""
         return self.packet.type is PacketType.INITIAL
 
 
 class Carrier(abc.ABC):
-    """Carries flows, opens new ones and takes over those of other relays."""
+    """Forwards flows, opens new ones and takes over those of other relays."""
 
     @property
     @abc.abstractmethod
@@ -56,7 +56,7 @@
 
     @abc.abstractmethod
     def on_datagram(self, arrival: Arrival, now: float) -> None:
-        """Takes a datagram that another relay passed on."""
+        """Handles a datagram that another relay forwarded."""
 
     @abc.abstractmethod
     def read(
@@ -67,23 +67,35 @@
         hops: int,
         via: int,
     ) -> Arrival | None:
-        """Reads a datagram; counts and drops what is no packet."""
+        """Parses a caller's datagram.
+
+        Args:
+            listener: The service's port.
+            caller: The caller's IP address and port.
+            data: The datagram.
+            hops: How many relays have forwarded it.
+            via: Number of the VM that forwarded it, 0 for the fabric.
+
+        Returns:
+            The datagram, or None if it is not a valid packet and was dropped
+            and counted.
+        """
 
     @abc.abstractmethod
     def carry(self, flow: Flow, data: bytes, now: float) -> None:
-        """Passes a caller's datagram to its upstream."""
+        """Forwards a caller's datagram to the flow's upstream."""
 
     @abc.abstractmethod
     def open(self, arrival: Arrival, now: float) -> None:
-        """Decides about a new flow."""
+        """Places, holds or refuses a new flow."""
 
     @abc.abstractmethod
     def guess(self, arrival: Arrival, now: float) -> None:
-        """Carries an unknown flow in progress to its default endpoint."""
+        """Forwards an unknown flow in progress to its default endpoint."""
 
     @abc.abstractmethod
     def without_owner(self, arrival: Arrival, now: float) -> None:
-        """Deals with a datagram while no VM owns flows."""
+        """Handles a datagram while no VM owns flows."""
 
     @abc.abstractmethod
     def adopt(
@@ -94,8 +106,11 @@
         reason: RepathReason,
         now: float,
     ) -> Flow | None:
-        """Takes over a flow, or returns None when it cannot be carried."""
+        """Takes over a flow; returns None if it cannot be forwarded here."""
 
     @abc.abstractmethod
     def let_go(self, flow: Flow, now: float) -> None:
-        """Leaves a flow to another relay; late answers still pass here."""
+        """Leaves a flow to another relay.
+
+        Late answers on the old path are still forwarded to the caller.
+        """
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -1,4 +1,8 @@
-"""The relay without its sockets: datagrams and time in, datagrams out."""
+"""The relay's logic without I/O.
+
+Datagrams and the current time are passed in; datagrams go out through a
+`Wire`. This lets tests run whole fleets of relays in memory.
+"""
 
 import random
 
@@ -31,11 +35,14 @@
 from pollenmast.settings import Settings
 
 COME_BACK_MS = 500
-"""Told to a caller that a leaving relay refuses: others know of it by then."""
+"""Retry delay, in ms, sent to callers that a draining relay refuses.
+
+By then the other VMs know that this relay is leaving.
+"""
 
 
 class RelayCore(Carrier):
-    """All that a relay knows and does, but for sockets and the clock."""
+    """The state and decisions of one relay; sockets and clock are outside."""
 
     def __init__(
         self,
@@ -98,27 +105,27 @@
 
     @property
     def table(self) -> FlowTable:
-        """The flow table."""
+        """The flows that this relay forwards."""
         return self._table
 
     @property
     def fleet(self) -> Fleet:
-        """The other VMs."""
+        """The VMs of the fleet and which of them own flows."""
         return self._fleet
 
     @property
     def custody(self) -> Custody:
-        """The flow records between relays."""
+        """The flow records exchanged with other relays."""
         return self._custody
 
     @property
     def directory(self) -> Directory:
-        """The connection ids kept here."""
+        """The connection ids stored on this VM."""
         return self._directory
 
     @property
     def openings(self) -> Openings:
-        """The flows that open."""
+        """The flows whose handshake has not been answered yet."""
         return self._openings
 
     def ready(self, now: float) -> bool:
@@ -127,19 +134,19 @@
         return known and self._readiness.fresh(now)
 
     def drained(self) -> bool:
-        """Returns whether nothing of any flow depends on this relay."""
+        """Returns whether the drain is complete: no flow needs this relay."""
         return (
             self._draining
             and self._table.flows == 0
             and self._custody.outbox.idle
         )
 
-    # What callers send.
+    # Datagrams from callers.
 
     def on_caller(
         self, listener: Listener, data: bytes, caller: tuple[str, int], now
     ) -> None:
-        """Takes what the packet path does not pass on."""
+        """Handles a caller's datagram that is not on the fast path."""
         flow = listener.flows.get(caller)
         if flow is not None:
             self.carry(flow, data, now)
@@ -149,7 +156,7 @@
             self.on_datagram(arrival, now)
 
     def on_datagram(self, arrival: Arrival, now: float) -> None:
-        """Takes a datagram from the fabric or from another relay."""
+        """Handles a datagram from the fabric or from another relay."""
         flow = arrival.listener.flows.get(arrival.caller)
         if flow is not None:
             self.carry(flow, arrival.data, now)
@@ -171,7 +178,19 @@
         hops: int,
         via: int,
     ) -> Arrival | None:
-        """Reads a datagram; counts and drops what is no packet."""
+        """Parses a caller's datagram.
+
+        Args:
+            listener: The service's port.
+            caller: The caller's IP address and port.
+            data: The datagram.
+            hops: How many relays have forwarded it.
+            via: Number of the VM that forwarded it, 0 for the fabric.
+
+        Returns:
+            The datagram, or None if it is not a valid packet and was dropped
+            and counted.
+        """
         packet = read_packet(data)
         if packet.is_err():
             self.counters.add(c.DROPS, packet.unwrap_err())
@@ -183,7 +202,7 @@
         return Arrival(listener, caller, packet.unwrap(), data, hops, via)
 
     def carry(self, flow: Flow, data: bytes, now: float) -> None:
-        """Passes a caller's datagram to its upstream."""
+        """Forwards a caller's datagram to the flow's upstream."""
         if not data:
             self.counters.add(c.DROPS, c.DropReason.EMPTY)
             return
@@ -203,7 +222,7 @@
     def _without_early_data(
         self, idempotent: bool, data: bytes
     ) -> tuple[bytes, bool]:
-        """Returns what may be passed on, and whether 0-RTT is in it."""
+        """Returns what may be forwarded, and whether it contains 0-RTT."""
         stripped, found = without_early_data(data)
         if not found:
             return data, False
@@ -212,10 +231,10 @@
         self.counters.add(c.DROPS, c.DropReason.EARLY_DATA, found)
         return (stripped if any(stripped) else b""), False
 
-    # What upstreams send.
+    # Datagrams from upstreams and from other relays.
 
     def on_first_answer(self, flow: Flow, data: bytes, now: float) -> None:
-        """Notes that the upstream answers by this path."""
+        """Handles the first datagram from the upstream on this path."""
         if flow.state is FlowState.OPENING:
             self._openings.answered(flow, now)
             self._directory.learn(flow, data)
@@ -226,7 +245,7 @@
             self._custody.tell_owner(flow)
 
     def on_peer(self, data: bytes, now: float) -> None:
-        """Takes an envelope of another relay."""
+        """Handles a sealed envelope from another relay."""
         opened = self._opener.open(data, now)
         if opened.is_err():
             self.counters.add(c.ENVELOPE_FAULTS, opened.unwrap_err())
@@ -238,10 +257,10 @@
             return
         handler(envelope, now)
 
-    # What routing and custody ask for.
+    # The interface used by routing, custody and directory.
 
     def open(self, arrival: Arrival, now: float) -> None:
-        """Decides about a new flow."""
+        """Places, holds or refuses a new flow."""
         if not self.ready(now):
             self.counters.add(c.DROPS, c.DropReason.NOT_READY)
             return
@@ -253,7 +272,7 @@
         self._openings.begin(arrival, data, early, now)
 
     def without_owner(self, arrival: Arrival, now: float) -> None:
-        """Refuses a new flow of a leaving relay that knows no other."""
+        """Refuses a new flow if this relay drains and knows no other VM."""
         del now
         if arrival.opens and self._draining:
             self._openings.refuse_draining(arrival, COME_BACK_MS)
@@ -261,7 +280,7 @@
         self.counters.add(c.DROPS, c.DropReason.NO_OWNER)
 
     def guess(self, arrival: Arrival, now: float) -> None:
-        """Carries an unknown flow in progress to its default endpoint."""
+        """Forwards an unknown flow in progress to its default endpoint."""
         number = arrival.listener.service.number
         name = self._dispatcher.default_endpoint(number, arrival.key)
         if name is None or not self._table.may_guess(arrival.listener):
@@ -288,7 +307,7 @@
         reason: c.RepathReason,
         now: float,
     ) -> Flow | None:
-        """Takes over a flow, or returns None when it cannot be carried."""
+        """Takes over a flow; returns None if it cannot be forwarded here."""
         flow = self._adopt(listener, caller, endpoint, FlowState.ADOPTED, now)
         if flow is not None:
             self.counters.add(c.REPATHS, reason)
@@ -319,17 +338,20 @@
         return flow
 
     def let_go(self, flow: Flow, now: float) -> None:
-        """Leaves a flow to another relay; late answers still pass here."""
+        """Leaves a flow to another relay.
+
+        Late answers on the old path are still forwarded to the caller.
+        """
         target = flow.target
         self._directory.publish(flow)
         self._dispatcher.on_flow_ended(target.service, target.name, now)
         self._table.let_go(flow)
         flow.heard = self.tick_now
 
-    # What the agent and the clock bring.
+    # Input from the agent and the clock.
 
     def on_view(self, view: messages.FleetView, now: float) -> None:
-        """Takes the agent's view."""
+        """Applies the agent's view of the fleet."""
         if view.manifest is not None:
             self._take_manifest(view.manifest, now)
         self._table.tend(now)
@@ -338,8 +360,9 @@
         for report in view.reports:
             self._dispatcher.on_report(report, now)
         if self._readiness.on_view(view, self._manifest, now):
-            # Others may have opened flows meanwhile; opened anew here, they
-            # would meet endpoints that have no such handshake, and hang.
+            # While this relay's view was stale, other VMs may have opened
+            # flows that it owns. Opened a second time here, these flows could
+            # reach an endpoint without their handshake state and hang.
             self._fleet.note_absence(now)
 
     def _take_manifest(self, data: bytes, now: float) -> None:
@@ -358,14 +381,14 @@
         self._table.set_manifest(manifest, now)
 
     def drain(self) -> None:
-        """Begins a planned stop: no new flows, every flow handed over."""
+        """Starts a drain: opens no new flows and hands over all others."""
         if not self._draining:
             self._draining = True
             self._upkeep.drain()
             self._directory.drain()
 
     def tick(self, now: float) -> None:
-        """Does what time brings about; called every 20 ms."""
+        """Runs all timed work; called every 20 ms."""
         self._readiness.on_tick(now)
         self.tick_now = int(now * TICKS_PER_S)
         self._openings.tick(now)
@@ -374,7 +397,7 @@
         self._directory.tick(self.tick_now)
 
     def report(self, now: float) -> messages.RelayReport:
-        """Returns what the agent wants to know, twice a second."""
+        """Returns the report that is sent to the agent twice a second."""
         manifest = self._manifest
         return messages.RelayReport(
             version=manifest.version if manifest else 0,
@@ -395,6 +418,6 @@
     def explain(
         self, query: messages.ExplainQuery, now: float
     ) -> messages.ExplainAnswer:
-        """Returns why something was decided."""
+        """Returns recent decisions about a caller, service or endpoint."""
         lines = self._history.explain(query.subject, now)
         return messages.ExplainAnswer(query.identifier, lines)
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -1,4 +1,4 @@
-"""Flow records between relays: who keeps them, who takes a flow over."""
+"""Exchange of flow records between relays: replication and hand-over."""
 
 from pollenmast import counters as c
 from pollenmast.decisions._fleet import Fleet
@@ -20,12 +20,14 @@
 from pollenmast.relay._replicas import Replicas
 
 MOST_FORMERS = 300_000
-"""Flows taken over whose former relay still waits to hear that it may go; a
-little more than a relay's whole table."""
+"""Limit on taken-over flows whose previous relay still waits to be released.
+
+A little more than the whole flow table of one relay.
+"""
 
 
 class Custody:
-    """The records that this relay keeps, sends and takes over."""
+    """The flow records that this relay stores, sends and takes over."""
 
     def __init__(
         self,
@@ -46,16 +48,21 @@
 
     @property
     def replicas(self) -> Replicas:
-        """The records kept for other relays."""
+        """The records stored for other relays."""
         return self._replicas
 
     @property
     def outbox(self) -> Outbox:
-        """The records on their way to other relays."""
+        """The records being sent to other relays."""
         return self._outbox
 
     def replicate(self, flow: Flow, backup: int) -> None:
-        """Has a VM keep the flow's record from now on, instead of another."""
+        """Stores the flow's record on another VM, and only there.
+
+        Args:
+            flow: The flow.
+            backup: Number of the VM to store the record, 0 for none.
+        """
         if flow.backup and self._fleet.carries(flow.backup):
             self._outbox.add(flow.backup, record_of(flow, RecordFlag.FORGET))
         flow.backup = backup
@@ -63,29 +70,30 @@
             self._outbox.add(backup, record_of(flow, RecordFlag.KEEP))
 
     def tell_owner(self, flow: Flow) -> None:
-        """Tells the owner of a flow that opened here while the owner changed.
+        """Sends the record of a flow owned by another VM to that VM.
 
-        The walk that tells owners after a change passes over flows that are
-        still opening. Untold, an owner that asks the wrong two VMs would take
+        The flow may have opened here while its owner changed. The scan that
+        informs owners after a change skips flows that are still opening. An
+        owner without the record that queries the wrong two VMs would forward
         the session's packets to its default endpoint.
         """
         if not self._fleet.owns(flow.key):
             self.replicate(flow, self._fleet.backup(flow.key))
 
     def tell_keeper(self, flow: Flow, asker: int) -> None:
-        """Has an owner that asked keep the record, so that it asks once."""
+        """Stores the record on a VM that asked for it, so that it asks once."""
         if flow.backup != asker and asker:
             self.replicate(flow, asker)
 
     def ended(self, flow: Flow) -> None:
-        """Has the flow's record forgotten."""
+        """Deletes the record of an ended flow from its backup VM."""
         self._formers.pop(flow, None)
         if flow.backup:
             self._outbox.add(flow.backup, record_of(flow, RecordFlag.FORGET))
             flow.backup = 0
 
     def hand_over(self, flow: Flow, owner: int) -> None:
-        """Asks the new owner to carry the flow, once until it answers."""
+        """Asks the new owner to take over the flow, unless already asked."""
         record = record_of(flow, RecordFlag.TAKE)
         if self._handed.get(record.key) == owner:
             return
@@ -93,7 +101,14 @@
             self._handed[record.key] = owner
 
     def tick(self, now: float, urgent: bool) -> None:
-        """Sends what waits; what cannot be delivered is offered anew later."""
+        """Sends queued records.
+
+        The next pass over the flow table offers undeliverable records again.
+
+        Args:
+            now: The runtime's clock, in seconds.
+            urgent: Whether to ignore the byte budget, as a draining VM must.
+        """
         undelivered: list[FlowRecord] = []
         for vm in self._outbox.vms():
             if not self._fleet.carries(vm):
@@ -106,13 +121,13 @@
                 flow.backup = 0
 
     def answered_anew(self, flow: Flow) -> None:
-        """Lets the former relay of a flow go: its upstream answers here."""
+        """Releases the flow's previous relay: the upstream now answers here."""
         former = self._formers.pop(flow, None)
         if former is not None:
             self._outbox.add(former, record_of(flow, RecordFlag.CARRIED))
 
     def on_records(self, opened: Opened, now: float) -> None:
-        """Takes a batch of records and acknowledges it."""
+        """Applies a batch of records and acknowledges it."""
         number, body = split_batch(opened.body)
         records = unpack_records(body)
         if records.is_err():
@@ -141,10 +156,13 @@
             self._replicas.keep(record, sender)
 
     def _known(self, flow: Flow | None, now: float) -> Flow | None:
-        """Drops a flow that was only guessed here: the record knows better.
+        """Ends a guessed flow, as a record of its real endpoint has come.
+
+        If the guess took precedence over the holder that reports the flow,
+        the session would stay at an endpoint that does not know it.
 
-        Were the guess held against the holder that reports the flow, the
-        session would stay with an endpoint that does not know it.
+        Returns:
+            The flow, or None if there is none or it was only guessed.
         """
         if flow is not None and flow.state is FlowState.GUESSED:
             self._carrier.table.end(flow, now)
@@ -175,12 +193,12 @@
     def _on_second_holder(
         self, flow: Flow, record: FlowRecord, sender: int, now: float
     ) -> None:
-        """Another relay says that it carries a flow carried here.
+        """Resolves a flow that this relay and another one both forward.
 
-        This comes about when the fleet was split and both sides took the
-        flow on. Left so, the two would pull the session's path to and fro;
-        the caller would see stalls. The flow's owner keeps it, the other one
-        goes on passing late answers until its path falls silent.
+        This happens when the fleet was partitioned and both sides took the
+        flow over. If both kept it, the session's path would alternate between
+        them and the caller would see stalls. The flow's owner keeps it; the
+        other relay still forwards late answers until its path is silent.
         """
         if record.flags == RecordFlag.TAKE:
             self._note_former(flow, sender)
@@ -200,7 +218,7 @@
             self._carrier.let_go(flow, now)
 
     def on_taken(self, opened: Opened, now: float) -> None:
-        """Notes that a VM has taken a batch; flows handed over are let go."""
+        """Handles a batch's acknowledgement; releases handed-over flows."""
         for record in self._outbox.acknowledged(opened.body):
             if record.flags != RecordFlag.TAKE:
                 continue
@@ -221,7 +239,7 @@
 
 
 def record_of(flow: Flow, flag: int) -> FlowRecord:
-    """Returns the record of a flow carried here."""
+    """Returns the record of a flow that this relay forwards."""
     ip, port = flow.caller
     service_port = flow.listener.service.port
     return FlowRecord(service_port, ip, port, flow.target.number, flag)
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -1,21 +1,21 @@
-"""Which endpoint chose a connection id: leads callers back that have moved.
-
-A caller's router may forget it and give it another address in the middle of a
-session. The flow's key is then another, its owner is another VM, and nothing
-that is computed from the new address names the old endpoint; the caller's
-session would hang until it times out. What stays is the connection id that
-the endpoint chose, which every packet of the caller carries.
-
-So two VMs, found by hashing that id, keep its endpoint. Whoever meets a packet
-of an unknown flow asks them, and opens a second flow to the same endpoint. The
-first one is left alone: a forged packet with a recorded connection id can so
-take nothing from the caller, for QUIC itself validates the new path (RFC 9000
-section 9.3).
-
-It does not help where the caller has taken a new connection id (a deliberate
-migration: the id was told under encryption), where an endpoint uses ids of
-fewer than eight bytes, in a session younger than the age of replication, or
-where both keepers died. Then the default endpoint is tried.
+"""Distributed map from QUIC connection ids to endpoints.
+
+A NAT may rebind a caller to another address in mid-session. This changes the
+flow's key and its owner, and the old endpoint can no longer be computed from
+the address; the caller's session would hang until it times out. The connection
+id that the endpoint chose stays the same and is in every packet of the caller.
+
+Therefore two VMs, found by hashing the connection id, store its endpoint. A
+relay that receives a packet of an unknown flow queries them and opens a second
+flow to the same endpoint. The first flow is left unchanged, so a forged packet
+with a recorded connection id takes nothing from the caller: QUIC itself
+validates the new path (RFC 9000 section 9.3).
+
+The directory does not help if the caller has switched to another connection id
+(a deliberate migration, whose id was sent under encryption), if the endpoint
+uses ids of fewer than eight bytes, if the session is younger than the
+replication age, or if both VMs that stored the id have died. Then the default
+endpoint is tried.
 """
 
 import struct
@@ -42,24 +42,33 @@
 from pollenmast.relay._post import Post
 
 CID_BYTES = 8
-"""Bytes of a connection id that are read: the length that common libraries
-choose; of longer ones the first eight tell them apart as well."""
+"""Number of connection id bytes that are read.
+
+Common libraries choose ids of this length; the first eight bytes of longer
+ones distinguish them as well.
+"""
 
 MOST_ENTRIES = 200_000
-"""Ids kept; the oldest fall out. Twice a VM's sessions at the size of two
-years' time, at two keepers each; 35 MB when full (trial)."""
+"""Limit on stored connection ids; the oldest are evicted.
+
+Twice the sessions of a VM at the load expected in two years, with each id
+stored on two VMs. A full map takes 35 MB, as measured in a trial.
+"""
 
 LOOK_TICKS = TICKS_PER_S // 2
-"""Between two looks at young flows, in ticks."""
+"""Interval between scans of flows not yet published, in ticks."""
 
 FORGET_TICKS = 60 * TICKS_PER_S
-"""A flow whose caller was not heard past the age by then has ended."""
+"""Age, in ticks, at which an unpublished flow counts as ended.
+
+Its caller has not been heard past the replication age by then.
+"""
 
 _CID = struct.Struct("!Q")
 
 
 class Directory:
-    """The connection ids kept here, and the search for others."""
+    """The connection ids stored on this VM, and the lookup of others."""
 
     def __init__(
         self,
@@ -84,7 +93,7 @@
         return len(self._entries)
 
     def learn(self, flow: Flow, data: bytes) -> None:
-        """Reads the connection id that an endpoint's first answer names."""
+        """Reads the connection id in an endpoint's first answer."""
         if flow.listener.service.kind is not ServiceKind.SESSION:
             return
         packet = read_packet(data)
@@ -95,17 +104,17 @@
             self._learnt[flow] = _CID.unpack_from(cid)[0]
 
     def publish(self, flow: Flow) -> None:
-        """Has the keepers keep the flow's connection id, once."""
+        """Stores the flow's connection id on its two VMs, once."""
         cid = self._learnt.pop(flow, None)
         if cid is not None:
             port = flow.listener.service.port
             self._keep(ConnectionId(port, cid, flow.target.number))
 
     def drain(self) -> None:
-        """Has every entry given to its new keepers, for a planned stop.
+        """Schedules the hand-over of every entry, for a planned stop.
 
-        That waits until the ring leaves this VM out: before, the new keepers
-        would be computed as the old ones, this VM among them.
+        The hand-over waits until the ring excludes this VM. Computed earlier,
+        the new locations would be the old ones and still include this VM.
         """
         self._draining = True
 
@@ -115,7 +124,7 @@
             self._keep(ConnectionId(port, cid, endpoint))
 
     def tick(self, tick: int) -> None:
-        """Publishes the ids of flows that have lasted, and sends what waits."""
+        """Publishes ids of flows past the replication age; sends the queue."""
         if tick - self._looked_at < LOOK_TICKS:
             return
         self._looked_at = tick
@@ -139,11 +148,15 @@
         self._leaving = {}
 
     def search(self, arrival: Arrival, now: float) -> bool:
-        """Looks for the endpoint of a packet's connection id.
+        """Looks up the endpoint of a packet's connection id.
+
+        Args:
+            arrival: The datagram of an unknown flow.
+            now: The runtime's clock, in seconds.
 
         Returns:
-            Whether the datagram is dealt with: passed on, or sent along with
-            the question to another VM.
+            Whether the datagram is handled: forwarded to its endpoint, or
+            sent to another VM as part of the query.
         """
         cid = _cid_of(arrival)
         if cid is None:
@@ -170,7 +183,7 @@
         return True
 
     def on_entries(self, opened: Opened, now: float) -> None:
-        """Keeps what another relay has learnt."""
+        """Stores connection ids that another relay has published."""
         del now
         entries = unpack_connection_ids(opened.body)
         if entries.is_err():
@@ -180,7 +193,7 @@
             self._store(entry)
 
     def answer(self, forwarded: Forwarded) -> None:
-        """Answers a question for a connection id, or asks on."""
+        """Answers a query for a connection id, or forwards it."""
         cid = _read_cid(forwarded.data)
         endpoint = self._entries.get((forwarded.service_port, cid))
         following = forwarded.next_asked
@@ -244,7 +257,7 @@
 
 
 def _read_cid(data: bytes) -> int | None:
-    """Returns the connection id of a short header, behind its first byte."""
+    """Returns the connection id in a short header, after its first byte."""
     if len(data) < 1 + CID_BYTES:
         return None
     return _CID.unpack_from(data, 1)[0]
--- a/src/pollenmast/relay/_endpoint_loads.py
+++ b/src/pollenmast/relay/_endpoint_loads.py
@@ -1,4 +1,4 @@
-"""Tells the agent how each endpoint fares, at a bounded rate."""
+"""Reports the load of each endpoint to the agent, at a bounded rate."""
 
 import attrs
 
@@ -8,14 +8,16 @@
 from pollenmast.relay._table import FlowTable
 
 ENDPOINTS_PER_S = 200.0
-"""Endpoints that reports name in a second, on average; 2 to 3 microseconds
-of an agent's processor each (`python -m bench run capacity`). At 11,000
-endpoints, naming all twice a second takes the agent 5 to 6% of a core, by the
-slope of that bench."""
+"""Average number of endpoints reported per second.
+
+Each costs the agent 2 to 3 microseconds of CPU time, as measured by
+`python -m bench run capacity`. Extrapolated from that bench, reporting 11,000
+endpoints twice a second would take the agent 5 to 6% of a core.
+"""
 
 
 class EndpointLoads:
-    """The endpoints' part of the reports to the agent."""
+    """The endpoint loads in the reports to the agent."""
 
     def __init__(self, table: FlowTable, dispatcher: Dispatcher):
         self._table = table
@@ -23,7 +25,7 @@
         self._due = 0.0
 
     def due(self, now: float) -> tuple[EndpointLoad, ...] | None:
-        """Returns every endpoint, or None while it is too early again."""
+        """Returns the load of every endpoint, or None if none is due yet."""
         if now < self._due:
             return None
         loads = self._every(now)
--- a/src/pollenmast/relay/_flows.py
+++ b/src/pollenmast/relay/_flows.py
@@ -1,7 +1,8 @@
-"""What a relay remembers of flows, endpoints and services.
+"""The per-flow, per-endpoint and per-service state of a relay.
 
-These objects stand on the packet path and exist by the hundred thousand, so
-they hold plain attributes in slots, and times as shared whole ticks.
+These objects are used on the packet path, and there are hundreds of thousands
+of them. They therefore have plain attributes in slots and store times as whole
+ticks, which share integer objects.
 """
 
 import abc
@@ -12,42 +13,45 @@
 from pollenmast.upstreams._paths import Path, PathChooser, PathPool
 
 TICKS_PER_S = 10
-"""Resolution of a flow's times; one integer object serves all flows of a tick,
-where a float each would take 24 bytes of every flow."""
+"""Resolution of a flow's times, in ticks per second.
+
+All flows of a tick share one integer object; a float per time would take 24
+bytes in every flow.
+"""
 
 
 class FlowState(enum.IntEnum):
-    """How far a flow has come."""
+    """The life-cycle state of a flow."""
 
     OPENING = 0
-    """Its first packets went out; nothing came back yet."""
+    """Its first packets were sent; the upstream has not answered yet."""
 
     CARRIED = 1
     """The upstream has answered."""
 
     ADOPTED = 2
-    """Taken over; the upstream has not yet answered by the new path."""
+    """Taken over; the upstream has not answered on the new path yet."""
 
     MOVED = 3
-    """Another relay carries it; only late answers pass here."""
+    """Another relay forwards it; this one forwards only late answers."""
 
     GUESSED = 4
-    """Unknown to all; tried at the endpoint that its key computes to."""
+    """Known to no VM; tried at the default endpoint of its key."""
 
 
 class Target:
-    """One endpoint as the packet path sees it.
+    """An endpoint, as the packet path uses it.
 
     Attributes:
         service: The service's number.
         name: The endpoint's name.
         number: `peers.endpoint_id` of service and name.
-        idempotent: Whether its requests may run twice.
-        address: Where its packets go.
-        serving: Whether the manifest lets it take new flows.
-        flows: Flows that this relay carries to it.
-        answered: Tick of its last answer to any flow.
-        paths: Chooses a path for each flow to it.
+        idempotent: Whether its requests may safely run twice.
+        address: The IP address and port that its packets are sent to.
+        serving: Whether the manifest allows new flows to it.
+        flows: Number of flows that this relay forwards to it.
+        answered: Tick of its latest answer to any flow.
+        paths: Chooses the path of each flow to it.
     """
 
     __slots__ = (
@@ -82,11 +86,11 @@
 
 
 class Listener(abc.ABC):
-    """One service's port towards callers.
+    """A service's port towards callers.
 
     Attributes:
-        service: The service as the manifest in force has it.
-        flows: The flow of each caller's address.
+        service: The service as defined in the current manifest.
+        flows: The flows by the caller's IP address and port.
     """
 
     __slots__ = ("flows", "service")
@@ -97,27 +101,29 @@
 
     @abc.abstractmethod
     def send(self, data: bytes, caller: tuple[str, int]) -> None:
-        """Answers a caller from the service's address."""
+        """Sends a datagram to a caller from the service's address."""
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Gives the port back."""
+        """Closes the port."""
 
 
 class Flow:
-    """One flow that this relay carries.
+    """A flow that this relay forwards.
 
     Attributes:
-        caller: The caller's IP number and port.
+        caller: The caller's IP address and port.
         listener: The service's port that the caller uses.
         target: The endpoint.
-        path: The local port towards it.
-        state: How far the flow has come.
-        opened: Tick of its first packet here.
-        heard: Tick of the caller's last packet, or when the flow moved away.
-        answered: Tick of the upstream's last packet or of the last new path.
-        unanswered: Caller's packets since the upstream's last.
-        backup: Number of the VM that keeps its record, 0 for none.
+        path: The local port towards the endpoint.
+        state: The flow's life-cycle state.
+        opened: Tick of its first packet at this relay.
+        heard: Tick of the caller's latest packet, or of the hand-over to
+            another relay.
+        answered: Tick of the upstream's latest packet, or of the latest
+            change of path.
+        unanswered: Number of the caller's packets since the upstream's latest.
+        backup: Number of the VM that stores its record, 0 for none.
         off_default: Whether its endpoint cannot be computed from its key.
     """
 
@@ -157,5 +163,5 @@
 
     @property
     def key(self) -> int:
-        """Its hash, by which every VM finds its owner."""
+        """The flow's hash, by which every VM finds its owner."""
         return flow_hash(self.listener.service.port, *self.caller)
--- a/src/pollenmast/relay/_history.py
+++ b/src/pollenmast/relay/_history.py
@@ -1,12 +1,15 @@
-"""The newest decisions, kept so that an operator can ask why."""
+"""The latest decisions, kept so that an operator can query the reasons."""
 
 import collections
 
 import attrs
 
 KEPT = 4096
-"""Decisions kept; at 41 new flows a second that is more than a minute and a
-half, and 1 MB (trial)."""
+"""Number of decisions kept.
+
+At 41 new flows per second they cover more than a minute and a half and take
+1 MB, as measured in a trial.
+"""
 
 MOST_LINES = 50
 
@@ -17,10 +20,10 @@
 
     Attributes:
         at: The runtime's clock, in seconds.
-        caller: The caller's IP number and port.
+        caller: The caller's IP address and port.
         service: The service's name.
         endpoint: The endpoint's name, empty where none was chosen.
-        text: What was decided and why.
+        text: The decision and its reason.
     """
 
     at: float
@@ -31,7 +34,7 @@
 
 
 class History:
-    """A bounded list of decisions."""
+    """A bounded log of decisions."""
 
     def __init__(self):
         self._decisions: collections.deque[Decision] = collections.deque(
@@ -39,14 +42,14 @@
         )
 
     def note(self, decision: Decision) -> None:
-        """Keeps a decision; the oldest one falls out."""
+        """Adds a decision; the oldest is evicted when the log is full."""
         self._decisions.append(decision)
 
     def explain(self, subject: str, now: float) -> tuple[str, ...]:
-        """Returns the newest lines about a caller, an endpoint or anything.
+        """Returns the latest decisions about a subject, newest first.
 
         Args:
-            subject: IP:PORT, IP, SERVICE/ENDPOINT, SERVICE, or empty.
+            subject: IP:PORT, IP, SERVICE/ENDPOINT, SERVICE, or empty for all.
             now: The runtime's clock, in seconds.
         """
         found = [
--- a/src/pollenmast/relay/_openings.py
+++ b/src/pollenmast/relay/_openings.py
@@ -1,8 +1,8 @@
-"""Flows that open: placed, held, tried again or refused.
+"""Flows that are opening: placed, held, retried or refused.
 
-From a caller's first Initial until the upstream's first answer nothing has
-been passed that could carry a request (0-RTT aside), so only in this time may
-a flow be refused or tried at another endpoint.
+Between a caller's first Initial and the upstream's first answer, nothing has
+been forwarded that could carry a request, except for 0-RTT. Only in this time
+may a flow be refused or retried at another endpoint.
 """
 
 import attrs
@@ -29,43 +29,55 @@
 from pollenmast.relay._table import FlowTable
 
 MOST_OPENINGS = 20_000
-"""Flows that may be opening at a time: at 41 new flows a second and 5 s to
-answer about 200 are usual, so a flood of half-opened flows meets this bound
-long before it hurts; with four datagrams of 1,300 bytes each it stays near 100
-MB at the worst."""
+"""Limit on flows that are opening at a time.
+
+At 41 new flows per second and up to 5 s for the answer, about 200 are usual,
+so only a flood of half-open flows reaches the limit, and long before it does
+harm. With four datagrams of 1,300 bytes each, memory stays near 100 MB in the
+worst case.
+"""
 
 MOST_DATAGRAMS = 4
-"""First datagrams kept for a hold or a retry: an Initial may be split in two
-when it carries a large ClientHello, and each may be sent again once."""
+"""Number of first datagrams buffered for a hold or a retry.
+
+An Initial with a large ClientHello may be split in two, and each part may be
+sent again once.
+"""
 
 RETRY_AFTER_S = 0.3
-"""Time without an answer before another endpoint is tried. A handshake answer
-takes a few ms here; callers' libraries send again after 0.3 to 1 s."""
+"""Time without an answer before another endpoint is tried, in seconds.
+
+A handshake answer takes a few ms here; callers' libraries retransmit after 0.3
+to 1 s.
+"""
 
 GIVE_UP_AFTER_S = 5.0
-"""Time after which an opening that got no answer is forgotten."""
+"""Time without an answer after which an opening is abandoned, in seconds."""
 
 CALLER_QUIET_S = 1.2
-"""A held caller that has sent nothing for so long has gone: RFC 9002 section
-6.2 lets it send its Initial again after 1 s at the latest."""
+"""Silence after which a held caller counts as gone, in seconds.
+
+By RFC 9002 section 6.2 it sends its Initial again after 1 s at the latest.
+"""
 
 
 @attrs.define
 class Opening:
-    """One flow between its first packet and the upstream's first answer.
+    """A flow between its first packet and the upstream's first answer.
 
     Attributes:
-        request: What the dispatcher was asked.
+        request: The request to the dispatcher.
         listener: The service's port.
-        caller: The caller's IP number and port.
-        packet: The first Initial's readable part; a refusal answers it.
-        datagrams: What the caller sent so far, as passed on.
-        began: When the first datagram came, in seconds.
-        heard: When the newest datagram came.
-        sent: When the datagrams went to the endpoint now tried.
+        caller: The caller's IP address and port.
+        packet: The unencrypted header fields of the first Initial, needed to
+            build a refusal.
+        datagrams: The caller's datagrams so far, as forwarded.
+        began: When the first datagram arrived, in seconds.
+        heard: When the latest datagram arrived, in seconds.
+        sent: When the datagrams were sent to the current endpoint, in seconds.
         flow: The flow, once it is placed.
         tried: Names of the endpoints tried.
-        early_data: Whether 0-RTT was passed, which may carry a request.
+        early_data: Whether 0-RTT was forwarded, which may carry a request.
     """
 
     request: FlowRequest
@@ -82,7 +94,7 @@
 
 
 class Openings:
-    """All flows that open at this relay."""
+    """All flows that are opening at this relay."""
 
     def __init__(
         self,
@@ -104,19 +116,19 @@
 
     @property
     def held(self) -> int:
-        """Flows whose first packets are held."""
+        """Number of flows whose first packets are held."""
         return sum(each.flow is None for each in self._by_ticket.values())
 
     def find(
         self, listener: Listener, caller: tuple[str, int]
     ) -> Opening | None:
-        """Returns the opening of this caller, if there is one."""
+        """Returns the caller's opening flow, or None."""
         return self._by_caller.get((listener.service.port, caller))
 
     def add_datagram(
         self, opening: Opening, data: bytes, early_data: bool, now: float
     ) -> None:
-        """Keeps a further datagram of an opening."""
+        """Buffers a further datagram of an opening flow."""
         opening.heard = now
         opening.early_data = opening.early_data or early_data
         if len(opening.datagrams) < MOST_DATAGRAMS:
@@ -125,12 +137,12 @@
     def begin(
         self, arrival: Arrival, data: bytes, early_data: bool, now: float
     ) -> None:
-        """Decides about a new flow and carries the decision out.
+        """Asks the dispatcher to place a new flow and applies the outcome.
 
         Args:
             arrival: The caller's first datagram.
-            data: What of it may be passed on.
-            early_data: Whether that holds 0-RTT.
+            data: The part of it that may be forwarded.
+            early_data: Whether that part contains 0-RTT.
             now: The runtime's clock, in seconds.
         """
         if len(self._by_ticket) >= MOST_OPENINGS:
@@ -159,13 +171,13 @@
         self._settle(opening, outcome, now)
 
     def refuse_draining(self, arrival: Arrival, retry_after_ms: int) -> None:
-        """Refuses a new flow: this relay leaves and knows no other."""
+        """Refuses a new flow, as this relay drains and knows no other VM."""
         self._counters.add(c.REFUSALS, c.RefusalReason.DRAINING)
         data = refusal(arrival.packet, retry_after_ms)
         arrival.listener.send(data, arrival.caller)
 
     def answered(self, flow: Flow, now: float) -> None:
-        """Notes the upstream's first answer: the flow no longer opens."""
+        """Handles the upstream's first answer, which ends the opening."""
         opening = self._by_caller.get((flow.listener.service.port, flow.caller))
         if opening is not None and opening.flow is flow:
             self._forget(opening)
@@ -173,7 +185,7 @@
         self._dispatcher.on_answered(target.service, target.name, now)
 
     def tick(self, now: float) -> None:
-        """Releases held flows and retries those that got no answer."""
+        """Places held flows and retries unanswered ones."""
         for released in self._dispatcher.release(now):
             opening = self._by_ticket.get(released.ticket)
             if opening is not None:
--- a/src/pollenmast/relay/_outbox.py
+++ b/src/pollenmast/relay/_outbox.py
@@ -1,9 +1,9 @@
-"""Flow records on their way to other relays: batched, acknowledged, budgeted.
+"""Reliable, rate-limited delivery of flow records to other relays.
 
-A lost record would show only much later, when its holder dies and the flow's
-packets go to an endpoint that does not know them. So each batch is sent again
-until it is acknowledged, and a record that cannot be delivered is offered
-anew when the members change.
+The loss of a record would show only much later, when its holder dies and the
+flow's packets reach an endpoint that does not know them. Each batch is
+therefore sent again until it is acknowledged, and an undeliverable record is
+offered again when the members change.
 """
 
 import struct
@@ -17,19 +17,31 @@
 from pollenmast.peers._records import MOST_RECORDS, FlowRecord, pack_records
 
 RESEND_AFTER_S = 0.3
-"""Time without an acknowledgement; a round trip between zones is 2 ms, so
-this also covers a receiver that is busy for some heartbeats."""
+"""Time without an acknowledgement before a batch is sent again, in seconds.
+
+A round trip between zones takes 2 ms, so this also covers a receiver that is
+busy for some heartbeats.
+"""
 
 MOST_SENDS = 6
-"""Sends of one batch, about 2 s in all: by then a dead receiver is known."""
+"""Limit on transmissions of one batch.
+
+They take about 2 s in all; by then a dead receiver has been detected.
+"""
 
 MOST_QUEUED = 100_000
-"""Records queued for one VM; beyond it the oldest wait for the next change of
-members. It bounds memory when a neighbour does not answer."""
+"""Limit on records queued for one VM.
+
+Further records wait for the next change of members. This bounds memory when a
+VM does not answer.
+"""
 
 FLUSH_S = 0.5
-"""Time that records are gathered into one batch. A record is 15 bytes, the
-envelope and its acknowledgement 124; a lone one costs nine times its size."""
+"""Time for which records are collected into one batch, in seconds.
+
+A record takes 15 bytes, its envelope and acknowledgement 124; sent alone, a
+record costs nine times its size.
+"""
 
 ACKNOWLEDGEMENT_BYTES = 62
 
@@ -40,7 +52,7 @@
 
 @attrs.define
 class _Batch:
-    """One batch that awaits its acknowledgement."""
+    """A batch that awaits its acknowledgement."""
 
     vm: int
     records: list[FlowRecord]
@@ -50,7 +62,7 @@
 
 
 class Outbox:
-    """Batches of records for each VM."""
+    """Queues and batches of records for each VM."""
 
     def __init__(self, send, bytes_per_s: float, counters: Counters):
         self._send = send
@@ -63,11 +75,11 @@
 
     @property
     def idle(self) -> bool:
-        """Whether every record was delivered or given up."""
+        """Whether every record was delivered or abandoned."""
         return not self._batches and not any(self._queues.values())
 
     def add(self, vm: int, record: FlowRecord) -> bool:
-        """Queues a record for a VM; returns whether it fitted."""
+        """Queues a record for a VM; returns False if the queue is full."""
         queue = self._queues.setdefault(vm, [])
         if len(queue) >= MOST_QUEUED:
             return False
@@ -75,7 +87,7 @@
         return True
 
     def acknowledged(self, body: bytes) -> list[FlowRecord]:
-        """Returns the records of the batch that a VM acknowledges."""
+        """Removes an acknowledged batch and returns its records."""
         if len(body) < _BATCH.size:
             return []
         (number,) = _BATCH.unpack_from(body)
@@ -83,11 +95,14 @@
         return batch.records if batch else []
 
     def flush(self, now: float, urgent: bool) -> list[FlowRecord]:
-        """Sends what the budget allows; returns the records given up.
+        """Sends queued and unacknowledged records.
 
         Args:
             now: The runtime's clock, in seconds.
-            urgent: Whether to pass over the budget, as a leaving VM must.
+            urgent: Whether to ignore the byte budget, as a draining VM must.
+
+        Returns:
+            The records abandoned after the last transmission.
         """
         given_up = self._resend(now)
         if not urgent and now - self._flushed_at < FLUSH_S:
@@ -102,7 +117,7 @@
         return given_up
 
     def drop_vm(self, vm: int) -> list[FlowRecord]:
-        """Returns and drops all that waits for a VM that is gone."""
+        """Removes and returns all records for a VM that has left."""
         dropped = self._queues.pop(vm, [])
         for number, batch in list(self._batches.items()):
             if batch.vm == vm:
@@ -111,7 +126,7 @@
         return dropped
 
     def vms(self) -> set[int]:
-        """Returns every VM that something waits for."""
+        """Returns the VMs that records are queued or unacknowledged for."""
         waiting = {batch.vm for batch in self._batches.values()}
         return waiting | set(self._queues)
 
@@ -146,5 +161,5 @@
 
 
 def split_batch(body: bytes) -> tuple[bytes, bytes]:
-    """Returns a batch's number, as bytes to acknowledge, and its records."""
+    """Splits a batch into its number, as encoded bytes, and its records."""
     return body[: _BATCH.size], body[_BATCH.size :]
--- a/src/pollenmast/relay/_post.py
+++ b/src/pollenmast/relay/_post.py
@@ -1,4 +1,4 @@
-"""Sends sealed envelopes to other relays by their VM's number."""
+"""Sends sealed envelopes to other relays, addressed by VM number."""
 
 from pollenmast import counters as c
 from pollenmast.decisions._fleet import Fleet
@@ -8,7 +8,7 @@
 
 
 class Post:
-    """What routing and custody send by."""
+    """Sends messages to other relays."""
 
     def __init__(
         self, fleet: Fleet, wire: Wire, sealer: Sealer, counters: c.Counters
@@ -19,7 +19,7 @@
         self._counters = counters
 
     def send(self, number: int, kind: Kind, body: bytes) -> None:
-        """Sends a body to a VM, unless the VM is dead."""
+        """Sends a message to a VM's relay; dropped if the VM is unknown."""
         vm = self._fleet.vm(number)
         if vm is None:
             self._counters.add(c.DROPS, c.DropReason.NO_OWNER)
--- a/src/pollenmast/relay/_program.py
+++ b/src/pollenmast/relay/_program.py
@@ -1,4 +1,4 @@
-"""The relay program: joins sockets, link, signals and the clock."""
+"""The relay program: runs the core on sockets, link, signals and clock."""
 
 import gc
 import random
@@ -25,30 +25,41 @@
 from pollenmast.settings import Settings
 
 TICK_S = 0.02
-"""Between two looks at holds, retries and records: a twentieth of the usual
-hold, so that a hold ends when it should."""
+"""Interval between ticks of the core, in seconds.
+
+A twentieth of the usual hold, so that holds end on time.
+"""
 
 REPORT_S = 0.5
-"""Between two reports to the agent, as often as agents probe endpoints."""
+"""Interval between reports to the agent, in seconds.
+
+The same as the interval at which agents probe endpoints.
+"""
 
 SETTLE_S = 1.0
-"""How long a drained relay still answers before it ends: the fabric's list of
-VMs lags, and what it still sends here is passed on in the meantime."""
+"""Time for which a drained relay still runs before it exits, in seconds.
+
+The fabric's list of VMs lags; packets that it still sends here are forwarded
+in the meantime.
+"""
 
 EXIT_OK = 0
 EXIT_FAILED = 1
-"""Exit code when the ports cannot be had."""
+"""Exit code if the relay cannot bind its ports."""
 
 EXIT_CUT = 3
-"""Exit code after a second signal."""
+"""Exit code if a second signal cuts the shutdown short."""
 
 _GC_THRESHOLDS = (50_000, 50, 1000)
-"""Flows are many and have no cycles; the collector's usual thresholds would
-walk all of them several times a second, and packets would wait."""
+"""Thresholds of the garbage collector.
+
+Flows are numerous and form no cycles. With the default thresholds the
+collector would traverse all of them several times a second and delay packets.
+"""
 
 
 class _Program:
-    """One running relay."""
+    """A running relay."""
 
     def __init__(self, settings: Settings, log: EventLog):
         self._settings = settings
@@ -70,7 +81,7 @@
         self._exit = EXIT_OK
 
     async def run(self) -> int:
-        """Runs until it is stopped; returns the exit code."""
+        """Runs the relay until it is stopped; returns the exit code."""
         signals = (signal.SIGTERM, signal.SIGINT)
         with anyio.open_signal_receiver(*signals) as received:
             self._log.write(STARTED, address=self._settings.vm.address)
@@ -126,8 +137,8 @@
     ) -> None:
         await anext(received)
         self._stop(self._grace_s)
-        # Only a second signal cuts: the first may come after the agent's
-        # order, when both programs are told to stop at once.
+        # Only a second signal ends the drain early: the first one may follow
+        # the agent's drain order, if both programs are told to stop at once.
         await anext(received)
         self._exit = EXIT_CUT
         scope.cancel()
@@ -153,8 +164,8 @@
         settings: The VM's checked settings.
 
     Returns:
-        The exit code: 0 after a graceful shutdown, 3 if it was cut short by
-        a second signal.
+        The exit code: 0 after a graceful shutdown, 1 if the relay could not
+        start, 3 if a second signal cut the shutdown short.
     """
     gc.set_threshold(*_GC_THRESHOLDS)
     _, most_files = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -167,8 +178,8 @@
     try:
         program = _Program(settings, log)
     except (OSError, pynng.NNGException) as error:
-        # Another program has the relay's ports, or the address is not this
-        # VM's; nothing was started, and the log's last line says so.
+        # Another program uses the relay's ports, or the address does not
+        # belong to this VM. Nothing was started; the last log line says so.
         log.write(START_FAILED, error=str(error))
         return EXIT_FAILED
     return await program.run()
--- a/src/pollenmast/relay/_readiness.py
+++ b/src/pollenmast/relay/_readiness.py
@@ -1,30 +1,39 @@
-"""When a relay may open flows.
+"""Decides when a relay may open flows.
 
-A relay with old beliefs would open flows at endpoints that have left, or that
-another VM owns by now. Operators would see an upstream that leaves get new
-work, and sessions that stall. Known flows are passed on whatever it believes.
+A relay with a stale view of the fleet would open flows at endpoints that have
+left, or flows that another VM owns by now. Operators would see new work sent to
+a leaving upstream, and sessions that stall. Known flows are forwarded however
+stale the view is.
 """
 
 from pollenmast.manifest import Manifest
 from pollenmast.peers._messages import FleetView
 
 LEASE_S = 3.0
-"""How old the newest view may be for this relay to open flows, in seconds.
-An agent sends one each second; a relay without news for three of them may be
-cut off from its agent, or may itself have been frozen."""
+"""Maximum age of the latest view at which flows may be opened, in seconds.
+
+An agent sends one view per second. A relay that has missed three may be cut
+off from its agent, or may itself have been frozen.
+"""
 
 FIRST_REPORTS_S = 3.0
-"""Longest wait of a starting relay for a report of every endpoint, in seconds:
-six probe intervals. A VM that has just joined knows the manifest at once but
-not which endpoints drain by their own report; it would open flows there."""
+"""Maximum wait of a starting relay for reports of all endpoints, in seconds.
+
+Six probe intervals. A VM that has just joined has the manifest at once but
+does not know which endpoints report that they are draining, and would open
+flows there.
+"""
 
 FROZEN_S = 1.0
-"""A gap between two ticks from which the process counts as frozen: 50 ticks of
-20 ms, more than a garbage collection or a busy host takes."""
+"""Gap between two ticks beyond which the process was frozen, in seconds.
+
+50 ticks of 20 ms, which is longer than a garbage collection or a busy host
+delays a tick.
+"""
 
 
 class Readiness:
-    """How fresh this relay's beliefs are."""
+    """Tracks how fresh this relay's view of the fleet is."""
 
     def __init__(self, now: float):
         self._last_tick = now
@@ -36,23 +45,24 @@
 
     @property
     def wake(self) -> int:
-        """How often this relay has started or woken from a freeze."""
+        """Number of starts and wake-ups from a freeze, which views repeat."""
         return self._wake
 
     def fresh(self, now: float) -> bool:
-        """Returns whether flows may be opened on what is believed."""
-        # A process that wakes reads its sockets before its clock ticks.
+        """Returns whether the view is fresh enough to open flows."""
+        # After a freeze, the process may read its sockets before its next tick.
         awake = now - self._last_tick <= FROZEN_S
         in_lease = now - self._last_view <= LEASE_S
         waited = self._informed_by is not None and now >= self._informed_by
         return awake and in_lease and (self._informed or waited)
 
     def on_tick(self, now: float) -> None:
-        """Notes that the process runs; a long gap means that it did not.
+        """Records a tick; a long gap since the last one means a freeze.
 
-        A frozen process wakes with old beliefs: others may own its flows by
-        now. Only a view made after it woke counts, and one may still lie in
-        the link from before; hence the number that a view must repeat.
+        A process that was frozen has a stale view: other VMs may own its
+        flows by now. Only a view made after it woke counts, but an older one
+        may still be buffered in the link. Each view must therefore repeat the
+        wake number.
         """
         if now - self._last_tick > FROZEN_S:
             self._wake += 1
@@ -62,10 +72,15 @@
     def on_view(
         self, view: FleetView, manifest: Manifest | None, now: float
     ) -> bool:
-        """Takes the agent's view, with the manifest in force after it.
+        """Applies the agent's view.
+
+        Args:
+            view: The agent's view of the fleet.
+            manifest: The manifest in force after the view was applied.
+            now: The runtime's clock, in seconds.
 
         Returns:
-            Whether this relay's beliefs have been old until now.
+            Whether this relay's view was stale until now.
         """
         was_fresh = self.fresh(now)
         if not self._informed:
@@ -79,12 +94,12 @@
         return self.fresh(now) and not was_fresh
 
     def _note_reports(self, view: FleetView) -> None:
-        """A view may name only what has changed since the one before."""
+        """Accumulates reports, as a view may hold only those that changed."""
         for report in view.reports:
             self._reported.add((report.service, report.endpoint))
 
     def _knows_all(self, manifest: Manifest) -> bool:
-        """Whether there was a report of every endpoint of the manifest."""
+        """Returns whether every endpoint of the manifest has been reported."""
         return all(
             (service.number, endpoint.name) in self._reported
             for service in manifest.services
--- a/src/pollenmast/relay/_replicas.py
+++ b/src/pollenmast/relay/_replicas.py
@@ -1,20 +1,23 @@
-"""Flow records that this relay keeps for other relays."""
+"""Flow records that this relay stores for other relays."""
 
 import attrs
 
 from pollenmast.peers._records import FlowRecord
 
 MOST_REPLICAS = 500_000
-"""Twice the flows of one relay, so that a neighbour's whole table fits beside
-the usual share; about 100 MB at the worst."""
+"""Limit on stored records.
+
+Twice the flows of one relay, so that the whole table of another relay fits in
+addition to the usual share. Takes about 100 MB in the worst case.
+"""
 
 
 @attrs.frozen(slots=True)
 class Replica:
-    """Where a flow goes and who carries it.
+    """The endpoint of a flow and the VM that forwards it.
 
     Attributes:
-        holder: Number of the VM that carries the flow.
+        holder: Number of the VM that forwards the flow.
         endpoint: `peers.endpoint_id` of its endpoint.
     """
 
@@ -23,7 +26,7 @@
 
 
 class Replicas:
-    """The records by service and caller."""
+    """The stored records by service port and caller."""
 
     def __init__(self):
         self._replicas: dict[tuple[int, str, int], Replica] = {}
@@ -32,7 +35,7 @@
         return len(self._replicas)
 
     def keep(self, record: FlowRecord, holder: int) -> bool:
-        """Keeps a record for its holder; returns whether it fitted."""
+        """Stores a record for its holder; returns False if there is no room."""
         key = (record.service_port, record.ip, record.port)
         if len(self) >= MOST_REPLICAS and key not in self._replicas:
             return False
@@ -40,7 +43,7 @@
         return True
 
     def forget(self, record: FlowRecord, holder: int) -> None:
-        """Forgets a record, unless another VM carries the flow by now."""
+        """Deletes a record, unless another VM has become the holder."""
         key = (record.service_port, record.ip, record.port)
         replica = self._replicas.get(key)
         if replica is not None and replica.holder == holder:
@@ -49,15 +52,15 @@
     def find(
         self, service_port: int, caller: tuple[str, int]
     ) -> Replica | None:
-        """Returns the record of a caller's flow."""
+        """Returns the record of a caller's flow, or None."""
         return self._replicas.get((service_port, *caller))
 
     def drop(self, service_port: int, caller: tuple[str, int]) -> None:
-        """Drops the record of a flow that this relay now carries itself."""
+        """Deletes the record of a flow that this relay now forwards itself."""
         self._replicas.pop((service_port, *caller), None)
 
     def drop_holders(self, holders: set[int]) -> int:
-        """Drops the records of VMs long gone; returns how many."""
+        """Deletes the records of VMs that left long ago; returns how many."""
         gone = [
             key
             for key, replica in self._replicas.items()
@@ -68,5 +71,5 @@
         return len(gone)
 
     def holders(self) -> set[int]:
-        """Returns every VM that a record is kept for."""
+        """Returns the numbers of all VMs that records are stored for."""
         return {replica.holder for replica in self._replicas.values()}
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -1,10 +1,11 @@
-"""Finds the relay that carries a caller's packet.
-
-A caller's packet may reach any VM. Who does not know its flow passes it to the
-flow's owner; an owner that does not know it either (it has just come, or has
-just taken over from a dead VM) looks into its replicas, asks the two VMs that
-may know, and only then computes the default endpoint. Each step is bounded, so
-that two VMs with different beliefs cannot pass a packet back and forth.
+"""Routes a caller's packet to the relay that forwards its flow.
+
+A caller's packet may reach any VM. A relay that does not know the flow sends
+the packet to the flow's owner. An owner that does not know it either, because
+it has just joined or has just replaced a dead VM, looks in its replicas,
+queries the two VMs that may know the flow, and only then computes the default
+endpoint. Each step is bounded, so that two VMs with different views of the
+fleet cannot send a packet back and forth.
 """
 
 import attrs
@@ -31,27 +32,34 @@
 from pollenmast.relay._replicas import Replica
 
 MOST_HOPS = 3
-"""Relays that one datagram may pass: fabric to any, to the owner, to the
-holder, and one more while beliefs differ."""
+"""Limit on forwarding hops of one datagram between relays.
+
+From the fabric it reaches any relay, then the owner, then the holder, and one
+more relay while views of the fleet differ.
+"""
 
 ASK_AFTER_CHANGE_S = 5.0
-"""Time after a change of owners in which a new owner asks even about Initials.
-The second flight of a handshake is an Initial too; opened anew here it would
-go to an endpoint that has no such handshake, and the caller would wait until
-its handshake times out. Handshakes last some round trips, heartbeats spread a
-change within about 2 s."""
+"""Time after a change of owners in which Initials are queried too, in seconds.
+
+The second flight of a handshake is an Initial as well. If the new owner opened
+a second flow for it, it would reach an endpoint without that handshake, and
+the caller would wait until its handshake times out. Handshakes last some round
+trips, and heartbeats spread a change within about 2 s.
+"""
 
 QUESTIONS_PER_S = 5000.0
-"""Questions a second to other VMs. A flood of packets of sessions that never
-were would otherwise become three times its size between the VMs. When one of
-9 VMs with 200,000 flows dies, each other one has 25,000 to ask about, which
-then takes 5 s. Sealing, opening and reading one such datagram takes 7 to 12
-microseconds (`python -m bench run capacity`), and a question is passed on up
-to four times."""
+"""Limit on queries to other VMs per second.
+
+Without it, a flood of packets of sessions that never existed would be
+amplified threefold between the VMs. When one of 9 VMs with 200,000 flows dies,
+each other VM has 25,000 flows to query, which takes 5 s at this rate. Sealing,
+opening and parsing one such datagram takes 7 to 12 microseconds, as measured by
+`python -m bench run capacity`, and a query is forwarded up to four times.
+"""
 
 
 class Routing:
-    """Passes datagrams between relays."""
+    """Routes datagrams of unknown flows between relays."""
 
     def __init__(
         self,
@@ -71,7 +79,7 @@
         self._counters = counters
 
     def route(self, arrival: Arrival, now: float) -> None:
-        """Finds the relay that carries a datagram's flow, or carries it."""
+        """Sends a datagram to its flow's relay, or handles it here."""
         replica = self._custody.replicas.find(
             arrival.listener.service.port, arrival.caller
         )
@@ -88,18 +96,19 @@
             self._forward(owner.number, arrival, c.ForwardReason.OWNER)
 
     def _cannot_open(self, owner: Member, arrival: Arrival, now: float) -> bool:
-        """Whether this VM owns a new flow and may not open it."""
+        """Returns whether this VM owns a new flow but may not open it."""
         own = owner.number == self._fleet.me.number
         return own and arrival.opens and not self._carrier.ready(now)
 
     def _pass_over(self, arrival: Arrival, now: float) -> None:
-        """Leaves a new flow to the VM that would own it without this one.
-
-        This VM's beliefs are old: its agent is gone, or it has just started
-        or woken. Dropped here, the flow's first packet would be sent again
-        after a second, as often as the fabric picks this VM or another one
-        still believes in it. The next VM opens it, as it was passed on by
-        the one that it takes for the owner.
+        """Forwards a new flow to the VM that would own it without this one.
+
+        This VM's view of the fleet is stale: its agent is gone, or the relay
+        has just started or woken. If it dropped the flow's first packet, the
+        caller would send it again after a second, each time that the fabric
+        picks this VM or another VM still takes it for the owner. The successor
+        opens the flow because the datagram comes from the VM that it takes for
+        the owner.
         """
         following = self._fleet.successor(arrival.key)
         if following is None:
@@ -109,7 +118,7 @@
             self._forward(following.number, arrival, reason)
 
     def _follow(self, replica: Replica, arrival: Arrival, now: float) -> bool:
-        """Passes a datagram to its holder, or takes a dead holder's flow."""
+        """Forwards a datagram to its holder, or adopts a dead holder's flow."""
         if self._fleet.carries(replica.holder):
             if replica.holder == arrival.via:
                 return False
@@ -139,7 +148,8 @@
         if arrival.opens and not recent:
             self._carrier.open(arrival, now)
             return
-        # Who passed the packet on does not know its flow, or has no relay.
+        # The VM that forwarded the packet is not queried: it does not know the
+        # flow, or has no relay.
         asked = self._fleet.asked(arrival.key, but=arrival.via)
         if asked and not self._questions.take(now):
             self._counters.add(c.DROPS, c.DropReason.UNKNOWN_FLOW)
@@ -157,7 +167,7 @@
         self._post.send(asked[0], Kind.ASK, pack_forwarded(forwarded))
 
     def _decide_unknown(self, arrival: Arrival, now: float) -> None:
-        """No VM knows the flow: it is new, or its only holder has died."""
+        """Handles a flow known to no VM, being new or lost with its holder."""
         if arrival.opens:
             self._carrier.open(arrival, now)
         elif not self._directory.search(arrival, now):
@@ -174,16 +184,16 @@
         self._post.send(vm, Kind.FORWARD, body)
 
     def on_forward(self, opened: Opened, now: float) -> None:
-        """Takes a datagram that another relay passed on."""
-        # To an agent that stands in for its relay nothing may be passed back:
-        # this VM may not have heard yet that the relay is gone.
+        """Handles a datagram that another relay forwarded."""
+        # If an agent forwarded it in place of its relay, nothing may be sent
+        # back to that VM. This VM may not know yet that the relay is gone.
         via = self._fleet.vm_behind(opened.sender)
         arrival = self._read(self._unpack(opened), via)
         if arrival is not None:
             self._carrier.on_datagram(arrival, now)
 
     def on_ask(self, opened: Opened, now: float) -> None:
-        """Carries a datagram whose flow is known here, or asks on."""
+        """Forwards a queried datagram to its flow, or queries the next VM."""
         forwarded = self._unpack(opened)
         if forwarded is None:
             return
@@ -203,7 +213,7 @@
     def _answer_from_replica(
         self, replica: Replica, forwarded: Forwarded
     ) -> None:
-        # A holder that asks has lost the flow: its relay was restarted.
+        # A holder that queries has lost the flow: its relay was restarted.
         lost = replica.holder == forwarded.asker
         if self._fleet.carries(replica.holder) and not lost:
             passed = attrs.evolve(forwarded, asker=0, next_asked=0, hops=2)
@@ -230,14 +240,14 @@
         self._post.send(forwarded.asker, Kind.UNKNOWN, body)
 
     def on_find(self, opened: Opened, now: float) -> None:
-        """Answers whose connection id a datagram carries."""
+        """Answers a query for the connection id in a datagram."""
         del now
         forwarded = self._unpack(opened)
         if forwarded is not None:
             self._directory.answer(forwarded)
 
     def on_found(self, opened: Opened, now: float) -> None:
-        """Carries a datagram whose flow another VM could name."""
+        """Forwards a datagram whose endpoint another VM has found."""
         unpacked = unpack_found(opened.body)
         if unpacked.is_err():
             self._counters.add(c.ENVELOPE_FAULTS, unpacked.unwrap_err())
@@ -261,7 +271,7 @@
             self._carrier.carry(flow, arrival.data, now)
 
     def on_not_found(self, opened: Opened, now: float) -> None:
-        """Tries the default endpoint for a datagram that nobody knows."""
+        """Handles a datagram whose connection id no VM has stored."""
         arrival = self._read(self._unpack(opened), opened.sender)
         if arrival is None:
             return
@@ -272,10 +282,10 @@
             self._carrier.carry(flow, arrival.data, now)
 
     def _may_be_anothers(self, forwarded: Forwarded) -> bool:
-        """Whether a session's packet may belong to its port's last service.
+        """Returns whether a packet may be for the port's previous service.
 
-        The asker may have come after the port was given away, and would take
-        the packet to the default endpoint of the new service.
+        The VM that asks may have joined after the port was reassigned, and
+        would forward the packet to the default endpoint of the new service.
         """
         table = self._carrier.table
         listener = table.at_port(forwarded.service_port)
@@ -285,7 +295,7 @@
         )
 
     def on_unknown(self, opened: Opened, now: float) -> None:
-        """Takes back a datagram whose flow none of the asked knows."""
+        """Handles the return of a datagram whose flow no queried VM knows."""
         forwarded = self._unpack(opened)
         arrival = self._read(forwarded, opened.sender)
         if arrival is None:
--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -1,8 +1,9 @@
-"""The relay's UDP sockets, and the loops that pass packets between them.
+"""The relay's UDP sockets, and the loops that forward packets between them.
 
-Sockets are read without waiting, in bounded batches, after the runtime says
-that one of them is readable. The bench `packet_path` shows what that adds to
-the bare system calls; docs/DESIGN.md, why no socket objects of the runtime.
+Once the runtime reports that a socket is readable, sockets are read without
+blocking and in bounded batches. The bench `packet_path` measures the overhead
+over the bare system calls. docs/DESIGN.md explains why the runtime's own socket
+objects are not used.
 """
 
 import select
@@ -21,16 +22,21 @@
 from pollenmast.upstreams._paths import Path
 
 MOST_DATAGRAM_BYTES = 9216
-"""The largest datagram passed on: a jumbo frame. QUIC packets beyond the
-path's MTU do not occur, and a buffer of 64 KiB a read costs time."""
+"""Size of the largest datagram forwarded, in bytes: a jumbo frame.
+
+QUIC packets beyond the path's MTU do not occur, and a buffer of 64 KiB per
+read costs time.
+"""
 
 BATCH = 64
-"""Datagrams read from one socket in a row, so that one busy socket does not
-starve the others: at 2 to 5 microseconds each, at most a third of a
-millisecond."""
+"""Limit on datagrams read from one socket in a row.
+
+It prevents a busy socket from starving the others. At 2 to 5 microseconds each,
+a batch takes at most a third of a millisecond.
+"""
 
 ROUNDS = 8
-"""Rounds over all readable sockets before other tasks get their turn."""
+"""Limit on rounds over all readable sockets before other tasks may run."""
 
 MOST_EVENTS = 512
 
@@ -81,7 +87,7 @@
         self._register(self._peers, None)
 
     def open_listener(self, service: Service) -> Listener | None:
-        """Opens a service's port towards callers, None if it cannot."""
+        """Opens a service's port towards callers; returns None on failure."""
         try:
             sock = service_socket(self._address, service.port)
         except OSError as error:
@@ -100,19 +106,19 @@
         """Opens a local port towards upstreams.
 
         Raises:
-            OSError: The system gives no more sockets. `MOST_PATHS` and the
-                limit that the program raises at its start keep this away.
+            OSError: The system has no more sockets. `MOST_PATHS`, and the
+                file limit that the program raises at start, prevent this.
         """
         path = _SocketPath(udp_socket(self._address, 0))
         self._register(path.sock, path)
         return path
 
     def send_peer(self, data: bytes, address: tuple[str, int]) -> None:
-        """Sends an envelope to another relay."""
+        """Sends a sealed envelope to another relay."""
         _send(self._peers, data, address)
 
     async def pump(self, core: RelayCore) -> None:
-        """Passes packets for ever."""
+        """Forwards packets until it is cancelled."""
         while True:
             await anyio.wait_readable(self._epoll.fileno())
             for _ in range(ROUNDS):
@@ -121,7 +127,7 @@
             await anyio.sleep(0)
 
     def pump_once(self, core: RelayCore) -> bool:
-        """Reads each readable socket once; returns whether any was."""
+        """Reads a batch from each readable socket; returns whether any was."""
         events = self._epoll.poll(0, MOST_EVENTS)
         now = anyio.current_time() if events else 0.0
         for fd, _ in events:
@@ -135,7 +141,7 @@
         return bool(events)
 
     def close(self) -> None:
-        """Closes what the flow table does not close."""
+        """Closes the sockets that the flow table does not own."""
         self._peers.close()
         self._epoll.close()
 
@@ -145,7 +151,7 @@
 
 
 def _send(sock: socket.socket, data: bytes, address: tuple[str, int]) -> None:
-    """Sends a datagram; one that cannot be sent is lost, as on any network."""
+    """Sends a datagram; one that cannot be sent is dropped silently."""
     try:
         sock.sendto(data, address)
     except OSError:
@@ -155,10 +161,10 @@
 def drain_listener(
     listener: _SocketListener, core: RelayCore, now: float
 ) -> None:
-    """Passes a batch of callers' datagrams to their upstreams.
+    """Forwards a batch of callers' datagrams to their upstreams.
 
-    The common case is written out here: a known flow and a short header. All
-    else goes through `RelayCore.on_caller`.
+    The common case, a known flow and a short header, is inlined here. All
+    other datagrams go through `RelayCore.on_caller`.
     """
     recvfrom = listener.recvfrom
     flows = listener.flows
@@ -181,7 +187,7 @@
 
 
 def drain_path(path: _SocketPath, core: RelayCore, now: float) -> None:
-    """Passes a batch of upstreams' datagrams to their callers."""
+    """Forwards a batch of upstreams' datagrams to their callers."""
     recvfrom = path.recvfrom
     flows = path.flows
     tick = core.tick_now
--- a/src/pollenmast/relay/_table.py
+++ b/src/pollenmast/relay/_table.py
@@ -8,19 +8,21 @@
 from pollenmast.upstreams._paths import Path, PathPool
 
 REUSED_REST_S = 30.0
-"""Time for which a port that was given to another service opens no flows. A
-caller's library gives up a handshake by then, so no Initial for the service
-before is sent any more."""
+"""Time for which a reassigned port opens no flows, in seconds.
+
+Callers' libraries abandon a handshake by then, so that no more Initials for the
+previous service are sent.
+"""
 
 _LONG_AGO = float("-inf")
 
 
 class Wire(abc.ABC):
-    """The sockets of a relay, behind what its decisions need of them."""
+    """The socket operations that the relay core needs."""
 
     @abc.abstractmethod
     def open_listener(self, service: Service) -> Listener | None:
-        """Opens a service's port towards callers, None if it cannot."""
+        """Opens a service's port towards callers; returns None on failure."""
 
     @abc.abstractmethod
     def open_path(self) -> Path:
@@ -28,11 +30,11 @@
 
     @abc.abstractmethod
     def send_peer(self, data: bytes, address: tuple[str, int]) -> None:
-        """Sends an envelope to another relay."""
+        """Sends a sealed envelope to another relay."""
 
 
 class FlowTable:
-    """Every flow that this relay carries, and what it needs to carry them."""
+    """The flows that this relay forwards, with their ports and endpoints."""
 
     def __init__(self, wire: Wire, most_flows: int):
         self._wire = wire
@@ -48,22 +50,22 @@
 
     @property
     def flows(self) -> int:
-        """Flows in the table."""
+        """Number of flows in the table."""
         return self._flows
 
     @property
     def full(self) -> bool:
-        """Whether no further flow fits."""
+        """Whether the table has no room for another flow."""
         return self._flows >= self._most_flows
 
     @property
     def listeners(self) -> list[Listener]:
-        """Every open port towards callers."""
+        """All open ports towards callers."""
         return list(self._listeners.values())
 
     @property
     def targets(self) -> list[Target]:
-        """Every endpoint that a flow may go to or still goes to."""
+        """All endpoints, including those that only older flows use."""
         return list(self._targets.values())
 
     @property
@@ -72,7 +74,7 @@
         return self._pool
 
     def set_manifest(self, manifest: Manifest, now: float) -> None:
-        """Takes a manifest."""
+        """Applies a manifest."""
         self._unopened = {}
         for service in manifest.services:
             self._set_service(service, now)
@@ -82,11 +84,10 @@
         self._set_targets(manifest)
 
     def tend(self, now: float) -> None:
-        """Opens what did not open before, and closes what nobody needs.
+        """Retries ports that failed to open, and closes unused ones.
 
-        A port may be taken for a while by a program that ends; were it not
-        tried again, this VM would lose a service's packets until the next
-        manifest.
+        Another program may use a port for a while. Without a retry, this VM
+        would lose the service's packets until the next manifest.
         """
         for service in list(self._unopened.values()):
             self._set_service(service, now)
@@ -106,8 +107,9 @@
             self._unopened.pop(service.port, None)
             self._listeners[service.port] = listener
             if service.port_since:
-                # This VM joined after the change: it has not seen the port's
-                # service before, and must not guess for that one's sessions.
+                # This VM joined after the port was reassigned and has not seen
+                # its previous service. It must not forward that service's
+                # sessions to a default endpoint.
                 self._reused.setdefault(service.port, _LONG_AGO)
         if listener.service.number != service.number:
             self._reused[service.port] = now
@@ -135,32 +137,32 @@
                 target.serving = endpoint.state is EndpointState.SERVING
 
     def listener(self, service: int) -> Listener | None:
-        """Returns the port of the service with this number."""
+        """Returns the port of the service with this number, or None."""
         return self._services.get(service)
 
     def at_port(self, port: int) -> Listener | None:
-        """Returns the service whose callers send to this port."""
+        """Returns the open port with this port number, or None."""
         return self._listeners.get(port)
 
     def target(self, endpoint: int) -> Target | None:
-        """Returns the endpoint with this number."""
+        """Returns the endpoint with this number, or None."""
         return self._targets.get(endpoint)
 
     def may_guess(self, listener: Listener) -> bool:
-        """Returns whether an unknown flow may go to its default endpoint.
+        """Returns whether unknown flows may go to their default endpoint.
 
-        A port that served another service before may still get that service's
-        packets. Guessing would send a packet meant for the registry to
-        barcodes; the caller would see its session reset by a stranger.
+        A port that was reassigned may still receive packets of its previous
+        service. A guess would send a packet meant for the registry to barcodes,
+        and the caller would see its session reset by an unrelated endpoint.
         """
         return listener.service.port not in self._reused
 
     def rests(self, listener: Listener, now: float) -> bool:
-        """Returns whether a port has just been given to another service.
+        """Returns whether a port was recently reassigned to another service.
 
-        The network may still repeat the Initial of a session with the service
-        before. It would open a flow at the new one, and the session's packets
-        would follow it there.
+        The network may still repeat the Initial of a session with the previous
+        service. It would open a flow at the new service, and the session's
+        packets would follow it there.
         """
         since = self._reused.get(listener.service.port)
         return since is not None and now - since < REUSED_REST_S
@@ -174,7 +176,7 @@
         tick: int,
         now: float,
     ) -> Flow | None:
-        """Opens a flow to an endpoint, or None when nothing is left for it."""
+        """Opens a flow; returns None if the table is full or paths run out."""
         if self.full:
             return None
         flow = Flow(caller, listener, target, tick, state)
@@ -194,12 +196,21 @@
         now: float,
         lost: bool = False,
     ) -> bool:
-        """Gives a flow a new path, to the same endpoint or another.
+        """Moves a flow to a new path, to the same endpoint or another.
+
+        The new path is taken before the old one is returned, so that the flow
+        cannot get the path that it is to leave.
 
-        `lost` says that the old one seems lost, and must rest for longer.
+        Args:
+            flow: The flow.
+            target: The endpoint of the new path.
+            tick: The tick from which the upstream's silence is counted.
+            now: The runtime's clock, in seconds.
+            lost: Whether the old path seems broken and must stay unused for
+                longer.
 
-        The new path is taken before the old one is given back, so that the
-        flow cannot be handed the path that it is to leave.
+        Returns:
+            Whether a new path was free.
         """
         old_path, old_target = flow.path, flow.target
         path = target.paths.take(flow, now)
@@ -214,25 +225,25 @@
         return True
 
     def let_go(self, flow: Flow) -> None:
-        """Stops taking a flow's packets from callers; answers still pass."""
+        """Detaches a flow from its caller; late answers are still forwarded."""
         if flow.listener.flows.get(flow.caller) is flow:
             del flow.listener.flows[flow.caller]
         flow.state = FlowState.MOVED
         self._moved[flow.listener.service.port, *flow.caller] = flow
 
     def end_moved(self, record: FlowRecord, now: float) -> None:
-        """Forgets a flow that another relay now carries in both directions."""
+        """Removes a flow that another relay now forwards both ways."""
         flow = self._moved.get(record.key)
         if flow is not None:
             self.end(flow, now)
 
     @property
     def moved(self) -> int:
-        """Flows let go whose late answers still pass here."""
+        """Number of detached flows whose late answers are still forwarded."""
         return len(self._moved)
 
     def end(self, flow: Flow, now: float) -> None:
-        """Forgets a flow."""
+        """Removes a flow and returns its path to the pool."""
         if flow.listener.flows.get(flow.caller) is flow:
             del flow.listener.flows[flow.caller]
         key = (flow.listener.service.port, *flow.caller)
@@ -243,13 +254,13 @@
         self._flows -= 1
 
     def every_flow(self) -> list[Flow]:
-        """Returns a snapshot of all flows, moved ones included."""
+        """Returns a snapshot of all flows, including moved ones."""
         return [
             flow for path in self._pool.paths for flow in path.flows.values()
         ]
 
     def close(self) -> None:
-        """Closes every port."""
+        """Closes all ports, towards callers and upstreams."""
         for listener in self._listeners.values():
             listener.close()
         self._pool.close()
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -1,7 +1,7 @@
-"""Walks the flow table in slices: ends, repairs and replicates flows.
+"""Scans the flow table in slices: ends, repairs and replicates flows.
 
-One pass over 200,000 flows at once would hold up packets for a tenth of a
-second, and callers would see it as jitter. A slice a tick does not.
+A full pass over 200,000 flows at once would delay packets by a tenth of a
+second, which callers would see as jitter. One slice per tick does not.
 """
 
 from pollenmast import counters as c
@@ -22,27 +22,38 @@
 from pollenmast.settings import RelaySettings
 
 SLICE = 2_000
-"""Flows looked at in a tick of 20 ms: 200,000 flows in 2 s, at some percent of
-a core (`python -m bench run capacity`)."""
+"""Number of flows scanned per tick of 20 ms.
+
+A pass over 200,000 flows takes 2 s and some percent of a core, as measured by
+`python -m bench run capacity`.
+"""
 
 PASS_S = 0.5
-"""Least time from one pass to the next. What a pass looks for takes seconds to
-come about; a small table need not be walked at every tick."""
+"""Minimum time between the starts of two passes, in seconds.
+
+The conditions that a pass looks for take seconds to arise, so that a small
+table need not be scanned at every tick.
+"""
 
 CHECKED_SLICE = 200
-"""The same while each flow's owner or default is computed anew, after a change
-of members or of the manifest, which takes many times as long a flow."""
+"""Number of flows scanned per tick while owners or defaults are recomputed.
+
+This happens after a change of members or of the manifest, and takes many times
+as long per flow.
+"""
 
 GUESS_S = 5.0
-"""Time in which the default endpoint must answer for a flow that was guessed;
-otherwise a flood of forged packets would fill the table."""
+"""Time in which the endpoint of a guessed flow must answer, in seconds.
+
+Without this limit, a flood of forged packets would fill the table.
+"""
 
 ENDPOINT_ALIVE_S = 2.0
-"""How fresh an endpoint's answer to another flow must be to count."""
+"""Maximum age of an answer that shows an endpoint is alive, in seconds."""
 
 
 class Upkeep:
-    """Everything about flows that time brings about."""
+    """Time-driven maintenance of the flows in the table."""
 
     def __init__(
         self,
@@ -70,17 +81,17 @@
         self._draining = False
 
     def on_manifest(self) -> None:
-        """From the next pass on, looks which flows left their default."""
+        """Makes the next pass recompute which flows are off their default."""
         self._new_defaults = True
 
     def drain(self) -> None:
-        """From the next pass on, hands every flow to its owner."""
+        """Restarts the scan; each pass now hands flows over to their owners."""
         self._draining = True
         self._pending = []
         self._next_pass = 0.0
 
     def tick(self, now: float, tick: int) -> None:
-        """Looks at the next slice of flows."""
+        """Scans the next slice of flows."""
         if not self._pending:
             if now < self._next_pass:
                 return
@@ -91,7 +102,7 @@
         del self._pending[-size:]
         idle_since = tick - int(self._settings.idle_s * TICKS_PER_S)
         for flow in flows:
-            # The flow that needs nothing: nearly every one, nearly always.
+            # Fast path: nearly all flows need nothing, nearly all the time.
             if (
                 flow.state is FlowState.CARRIED
                 and not flow.unanswered
@@ -128,19 +139,19 @@
             self._keep(flow, now, tick)
 
     def _unproved(self, flow: Flow, tick: int) -> bool:
-        """Whether a guessed flow got no answer in time."""
+        """Returns whether a guessed flow got no answer in time."""
         waited = tick - flow.opened
         return flow.state is FlowState.GUESSED and waited > (
             GUESS_S * TICKS_PER_S
         )
 
     def _given_up(self, flow: Flow, tick: int) -> bool:
-        """Whether a leaving relay no longer waits for a flow handed over.
+        """Returns whether a draining relay may end a handed-over flow.
 
-        A session that its caller has closed is never answered by its new
-        path, and its upstream may go on sending by the old one for a while.
-        Waiting for its silence would hold up every planned stop; a caller
-        that lives has sent its keep-alive to the new relay by now.
+        A session that its caller has closed is never answered on its new path,
+        and its upstream may still send on the old one for a while. Waiting
+        until it is silent would delay every planned stop. A caller that is
+        still alive has sent its keep-alive to the new relay by now.
         """
         waited = tick - flow.heard
         return (
@@ -175,8 +186,8 @@
             self._custody.hand_over(flow, owner.number)
 
     def _check_default(self, flow: Flow) -> None:
-        # Who does not know the flow sees only its port, which may by now
-        # belong to another service.
+        # A VM that does not know the flow sees only its port, which may belong
+        # to another service by now.
         service = flow.listener.service.number
         default = self._dispatcher.default_endpoint(service, flow.key)
         computed = self._table.may_guess(flow.listener)
@@ -186,8 +197,8 @@
         )
 
     def _replicate(self, flow: Flow) -> None:
-        # Its age when its caller was last heard: a flow that has ended shows
-        # only by its silence, and needs no record.
+        # The age counts up to the caller's latest packet. Only silence shows
+        # that a flow has ended, and an ended flow needs no record.
         age_s = (flow.heard - flow.opened) / TICKS_PER_S
         due = is_due(age_s, flow.off_default, self._settings.replicate_after_s)
         if not due and not self._check_backups:
@@ -200,7 +211,7 @@
             self._custody.replicate(flow, backup)
 
     def _answers_others(self, flow: Flow, tick: int) -> bool:
-        """Whether the endpoint has answered others since it answered this."""
+        """Returns whether the endpoint answered other flows after this one."""
         last = flow.target.answered
         fresh = tick - last < ENDPOINT_ALIVE_S * TICKS_PER_S
         return fresh and last > flow.answered
@@ -214,8 +225,8 @@
         )
         if not silent or not self._repaths.take(now):
             return
-        # Dated ahead, so that the flow is found silent again only after the
-        # time of the next try.
+        # The tick lies in the future, so that the flow counts as silent again
+        # only after the retry interval.
         until = tick + int((NEXT_TRY_S - SILENT_S) * TICKS_PER_S)
         if self._table.move(flow, flow.target, until, now, lost=True):
             self._counters.add(c.REPATHS, c.RepathReason.SILENT)
