--- a/tests/relay_core_test.py
+++ b/tests/relay_core_test.py
@@ -1,4 +1,4 @@
-"""Tests of relay._core: what callers and upstreams meet through relays."""
+"""Tests of relay._core: traffic between callers and upstreams."""
 
 import json
 from random import Random
@@ -25,10 +25,10 @@
 
 
 class CarryTest(TestCase):
-    """A flow's packets find its endpoint from any VM."""
+    """A flow's packets reach its endpoint through any VM."""
 
     def test_any_vm(self):
-        """Packets sprayed over all VMs run at one endpoint, in order."""
+        """Packets spread over all VMs reach one endpoint, in order."""
         net = Net(vms=3)
         for tag in _CALLERS:
             net.open(tag)
@@ -39,7 +39,7 @@
         self.assertEqual([], net.strangers)
 
     def test_one_holder(self):
-        """Each flow stands in the table of exactly one VM."""
+        """Each flow is in the flow table of exactly one VM."""
         net = Net(vms=5)
         for tag in _CALLERS:
             net.open(tag)
@@ -78,10 +78,9 @@
         ]
     )
     def test_malformed(self, _, data, reason):
-        """Someone sends what is no packet of a flow.
+        """A malformed packet is dropped and counted by reason.
 
-        It reaches no upstream and costs no memory; the counter of its reason
-        shows it.
+        It must reach no upstream and use no memory.
         """
         net = Net(vms=1)
         net.send("x", data)
@@ -89,10 +88,11 @@
         self.assertEqual(0, net.relays[1].table.flows)
 
     def test_early_data_not_passed(self):
-        """A caller resumes and sends a submission as 0-RTT.
+        """0-RTT is not forwarded to a service that is not idempotent.
 
-        It could be replayed, and a number would be burnt twice. The Initial
-        goes on at full length, the submission waits for the handshake.
+        A submission sent as 0-RTT could be replayed, and a number would be
+        used up twice. The Initial is forwarded at full length; the submission
+        has to wait for the handshake.
         """
         net = Net(vms=1)
         net.send("c1", initial("c1", early=early_data("c1")))
@@ -100,7 +100,7 @@
         self.assertIn("c1", net.sessions)
 
     def test_early_data_idempotent(self):
-        """For an idempotent service 0-RTT is passed on."""
+        """0-RTT is forwarded to an idempotent service."""
         net = Net(vms=1)
         data = initial("c1", early=early_data("c1"))
         net.send("c1", data, service=BARCODES)
@@ -108,14 +108,15 @@
 
 
 class OpenTest(TestCase):
-    """New flows are placed, tried again or refused at once."""
+    """New flows are placed, retried or refused without delay."""
 
     def test_retry(self):
-        """An endpoint is dead though its report is still good.
+        """A dead endpoint with a good report does not delay callers.
 
-        Callers would wait for their handshake timeout. After the retry time
-        the Initial goes to another endpoint, which has not seen it; beyond
-        the retry budget the caller is refused, and nobody is left waiting.
+        Without a retry, callers would wait for their handshake timeout. After
+        the retry time the Initial goes to another endpoint, which has not seen
+        it. Once the retry budget is spent, the caller is refused, so that no
+        caller is left without an answer.
         """
         net = Net(vms=1)
         net.silent_upstreams.add(("127.0.2.10", 5001))
@@ -129,10 +130,10 @@
         self.assertGreater(net.dropped(c.RETRIES, c.RetryReason.UNANSWERED), 0)
 
     def test_refused_never_ran(self):
-        """All endpoints are dead, so every new flow is refused in the end.
+        """With all endpoints dead, every new flow is refused in the end.
 
-        The refusal is an Initial to the caller, smaller than its own, and no
-        upstream holds a session of a refused caller.
+        The refusal is an Initial, smaller than the caller's, and no upstream
+        has a session of a refused caller.
         """
         net = Net(vms=1)
         net.silent_upstreams.update(
@@ -146,10 +147,10 @@
         self.assertEqual({}, net.sessions)
 
     def test_not_ready(self):
-        """A relay loses its agent and so its knowledge of the fleet.
+        """A relay that has lost its agent opens no flows.
 
-        Opened on old knowledge, a flow could go to an endpoint long gone.
-        Known flows go on; new ones are left to the other VMs.
+        Its view of the fleet is stale, so a new flow could go to an endpoint
+        that has left. Known flows continue; new ones are left to other VMs.
         """
         net = Net(vms=1)
         net.open("c1")
@@ -161,11 +162,11 @@
         self.assertEqual(1, net.dropped(c.DROPS, c.DropReason.NOT_READY))
 
     def test_joining_knows_reports(self):
-        """A VM that has just joined has the manifest but no reports yet.
+        """A VM that has just joined waits for reports of all endpoints.
 
-        An upstream that drains by its own report would get new sessions from
-        it. It opens nothing until every endpoint is reported, or for at most
-        three seconds.
+        It has the manifest at once. Without the reports it would send new
+        sessions to upstreams that report that they are draining. It opens no
+        flows until every endpoint is reported, or for at most three seconds.
         """
         net = Net(vms=1)
         core = net.relays[1]
@@ -177,7 +178,7 @@
         self.assertTrue(joining.ready(net.now))
 
     def test_joining_waits_no_longer(self):
-        """An endpoint whose report never comes does not keep a VM idle."""
+        """A VM does not wait longer for a report that never comes."""
         net = Net(vms=1)
         view = attrs.evolve(net.view(net.relays[1]), reports=())
         joining = RelayCore(settings(3), FakeWire(net, 3), Random(3), net.now)
@@ -191,7 +192,7 @@
         self.assertTrue(joining.ready(net.now))
 
     def test_draining_endpoint(self):
-        """An endpoint that drains gets no new flow and keeps its open ones."""
+        """A draining endpoint gets no new flows and keeps its open ones."""
         net = Net(vms=3)
         for tag in _CALLERS:
             net.open(tag)
@@ -216,13 +217,14 @@
 
 
 class ReusedPortTest(TestCase):
-    """A port that is given to another service leads nobody astray."""
+    """A port reassigned to another service misroutes no session."""
 
     def test_repeated_initial(self):
-        """A session's VM dies, its port is given away, its Initial comes again.
+        """A repeated Initial opens no flow on a reassigned port.
 
-        The network may repeat a datagram. Taken for a new flow of the service
-        that has the port now, it would draw the session's packets there.
+        A session's VM dies, its port is reassigned, and the network repeats
+        its Initial. If that opened a flow to the port's new service, the
+        session's packets would follow it there.
         """
         net = Net(vms=2)
         net.open("c1")
@@ -244,13 +246,13 @@
 
 
 class SilenceTest(TestCase):
-    """A flow whose path is lost gets another."""
+    """A flow whose path is broken gets another one."""
 
     def test_new_path(self):
-        """A firewall forgets one flow; the endpoint answers all others.
+        """A flow that a firewall has forgotten moves to a new local port.
 
-        The caller's session would hang for good. After some unanswered
-        packets it goes on by a new local port.
+        The endpoint still answers all other flows. Without the move, made
+        after some unanswered packets, the caller's session would hang forever.
         """
         net = Net(vms=1)
         for tag in ("c1", "c2"):
@@ -271,9 +273,9 @@
         self.assertEqual(1, net.dropped(c.REPATHS, c.RepathReason.SILENT))
 
     def test_dead_endpoint_not_repathed(self):
-        """An endpoint that answers nobody is not helped by new paths.
+        """Flows to an endpoint that answers nobody get no new path.
 
-        Thousands of moves would only add to its failure.
+        A new path cannot help it, and thousands of moves would add load.
         """
         net = Net(vms=1)
         net.open("c1")
@@ -285,13 +287,13 @@
 
 
 class FloodTest(TestCase):
-    """Floods take bounded memory and leave flows in progress alone."""
+    """Floods use bounded memory and do not affect flows in progress."""
 
     def test_unknown_flows(self):
-        """A flood of forged packets of sessions that never were.
+        """Forged packets of unknown flows do not fill the flow table.
 
-        The table would fill and real callers be refused. Guessed flows that
-        no upstream answers are forgotten within seconds.
+        If they did, real callers would be refused. Guessed flows that no
+        upstream answers are removed within seconds.
         """
         net = Net(vms=1)
         net.open("c1")
--- a/tests/relay_crowd.py
+++ b/tests/relay_crowd.py
@@ -1,4 +1,4 @@
-"""Many callers with open sessions, as several tests of the relay use them."""
+"""Helpers for relay tests with many callers and open sessions."""
 
 from standins.memory import Net
 
@@ -7,7 +7,7 @@
 
 
 def opened(vms: int = 3, **settings) -> Net:
-    """Returns some VMs through which every caller has opened and spoken."""
+    """Returns a fleet where every caller has opened a session and sent data."""
     net = Net(vms=vms, **settings)
     for tag in CALLERS:
         net.open(tag)
@@ -16,17 +16,17 @@
 
 
 def say_all(net: Net, text: str) -> None:
-    """Has every caller say something."""
+    """Sends a text from every caller."""
     for tag in CALLERS:
         net.say(tag, text)
 
 
 def unlike(net: Net, *expected: str) -> dict[str, list[str]]:
-    """Returns the callers whose session ran anything else, and what."""
+    """Returns the callers whose session ran other texts, and those texts."""
     ran = {tag: net.sessions[tag].ran for tag in CALLERS}
     return {tag: texts for tag, texts in ran.items() if texts != [*expected]}
 
 
 def not_last(net: Net, expected: str) -> list[str]:
-    """Returns the callers whose session ran something else last."""
+    """Returns the callers whose session ran another text last."""
     return [t for t in CALLERS if net.sessions[t].ran[-1] != expected]
--- a/tests/relay_custody_test.py
+++ b/tests/relay_custody_test.py
@@ -1,4 +1,4 @@
-"""Tests of relay._custody: flows outlive their relay."""
+"""Tests of relay._custody: flows survive the loss of their relay."""
 
 from parameterized import parameterized
 from testtools import TestCase
@@ -24,10 +24,10 @@
 
 
 class PlannedStopTest(TestCase):
-    """A VM that leaves breaks no flow and cuts no answer."""
+    """A planned stop of a VM breaks no flow and loses no answer."""
 
     def test_handover(self):
-        """Every flow goes on by another VM, and the leaving one drains."""
+        """Every flow continues on another VM, and the leaving one drains."""
         net = opened()
         net.keep_alive(CALLERS, REPLICATED_S)
         net.declare_leaving(1)
@@ -39,7 +39,7 @@
         self.assertTrue(net.relays[1].drained())
 
     def test_young_flows(self):
-        """Flows opened a moment before the stop are handed over as well."""
+        """Flows opened just before the stop are handed over as well."""
         net = opened()
         net.declare_leaving(2)
         net.advance(1.0)
@@ -49,10 +49,10 @@
         self.assertEqual({}, unlike(net, "before", "after"))
 
     def test_answers_meanwhile(self):
-        """An upstream that still answers by the old path is not cut off.
+        """Answers on the old path still reach the caller after a hand-over.
 
-        It learns the new path only from its caller's next packet; until then
-        its alerts arrive at the leaving relay, which passes them on.
+        An upstream learns the new path only from its caller's next packet.
+        Until then its alerts arrive at the leaving relay, which forwards them.
         """
         net = opened()
         net.declare_leaving(1)
@@ -67,10 +67,10 @@
         self.assertFalse(net.relays[1].drained())
 
     def test_closed_sessions(self):
-        """Sessions that their callers have closed do not hold up a stop.
+        """Sessions that their callers have closed do not delay a stop.
 
-        Nothing shows that they ended, and their paths would be kept until
-        they count as idle; operators would wait minutes for each VM.
+        The relay cannot see that they ended. If it kept their paths until they
+        count as idle, operators would wait minutes for each VM.
         """
         net = opened()
         net.declare_leaving(1)
@@ -78,7 +78,7 @@
         self.assertTrue(net.relays[1].drained())
 
     def test_rolling_replacement(self):
-        """All VMs are replaced one after the other; no flow breaks."""
+        """Replacing all VMs one after the other breaks no flow."""
         net = opened()
         for old, new in ((1, 4), (2, 5), (3, 6)):
             net.start(new)
@@ -94,7 +94,7 @@
         )
 
     def test_new_flow_without_other_vm(self):
-        """The only VM leaves; a new caller is refused and told to come back."""
+        """If the only VM leaves, a new caller is refused with a retry delay."""
         net = Net(vms=1)
         net.declare_leaving(1)
         net.open("c1")
@@ -104,14 +104,14 @@
 
 
 class LossTest(TestCase):
-    """Flows outlive a VM that dies without a word."""
+    """Flows survive the sudden death of a VM."""
 
     @parameterized.expand([("small", 2), ("usual", 3), ("large", 9)])
     def test_killed(self, _, vms):
-        """A VM is killed; its flows go on by the VM that has their records.
+        """Flows of a killed VM continue on the VM that has their records.
 
-        Between the kill and its discovery packets are lost; afterwards each
-        flow reaches the endpoint that knows it.
+        Packets are lost until the death is detected. After that, each flow
+        reaches the endpoint that knows it.
         """
         net = opened(vms)
         net.keep_alive(CALLERS, REPLICATED_S)
@@ -122,10 +122,10 @@
         self.assertEqual([], net.strangers)
 
     def test_without_records(self):
-        """A VM dies though nothing was ever replicated.
+        """Flows at their default endpoint survive without any records.
 
-        Flows at their default endpoint are found by computation; this is why
-        they need no record. Only flows that load had placed elsewhere break.
+        Their endpoint can be computed, which is why they need no record. Only
+        flows that were placed elsewhere because of load break.
         """
         net = opened(replicate_after_s=1e9)
         placed_elsewhere = {tag for tag in CALLERS if net.flow(tag).off_default}
@@ -136,9 +136,9 @@
         self.assertEqual(set(), broken - placed_elsewhere)
 
     def test_zone_lost(self):
-        """Two VMs of one availability zone die at once.
+        """Flows survive the loss of two VMs of one availability zone.
 
-        Records are kept in another zone, so no flow loses both its holder
+        Records are stored in another zone, so no flow loses both its holder
         and its record.
         """
         net = opened(vms=6)
@@ -153,11 +153,11 @@
         self.assertEqual({}, unlike(net, "before", "after"))
 
     def test_half_lost(self):
-        """Half of the fleet dies at once, over all zones.
+        """Half of the fleet, in all zones, is lost at once.
 
-        Only a flow that is off its default endpoint and whose holder and
-        keeper are both gone may break; every other one goes on, and none
-        runs anything twice.
+        Only a flow that is off its default endpoint and has lost both its
+        holder and its backup may break. All others continue, and none runs
+        anything twice.
         """
         net = opened(vms=6)
         net.keep_alive(CALLERS, REPLICATED_S)
@@ -180,10 +180,10 @@
         self.assertLess(len(excused), len(CALLERS) / 4)
 
     def test_joined_then_killed(self):
-        """A VM joins, so flows are held off their owner; then a holder dies.
+        """A join moves the ownership of flows; then one of the holders dies.
 
-        The owner keeps the record of such a flow, as it is the one that will
-        be asked for it.
+        The owner must store the record of a flow held by another VM, as it is
+        the one that will be queried.
         """
         net = opened()
         net.keep_alive(CALLERS, REPLICATED_S)
@@ -196,10 +196,10 @@
         self.assertEqual({}, unlike(net, *["before", "joined", "after"]))
 
     def test_relay_restarted(self):
-        """A relay crashes and is back before anyone has missed it.
+        """A relay crashes and restarts before its death is detected.
 
-        It still owns its flows but knows none of them. The keepers of their
-        records, and of their connection ids, tell it.
+        It still owns its flows but knows none of them. It learns them from the
+        VMs that store their records and connection ids.
         """
         net = opened()
         net.keep_alive(CALLERS, REPLICATED_S)
@@ -209,10 +209,10 @@
         self.assertEqual({}, unlike(net, "before", "after"))
 
     def test_guess_yields(self):
-        """An owner guessed a flow's endpoint; then its holder reports it.
+        """A guessed flow is dropped when its holder sends a record.
 
-        The holder knows where the session is. Held against it, the guess
-        would leave the caller at an endpoint that has never heard of it.
+        The holder knows the session's endpoint. If the guess took precedence,
+        the caller would stay at an endpoint that does not know its session.
         """
         net = opened(vms=2)
         net.start(3)
@@ -237,14 +237,14 @@
 
 
 class SplitTest(TestCase):
-    """Both sides of a cut serve; one owner is left when it heals."""
+    """Both sides of a partition serve; one holder is left once it heals."""
 
     def test_cut_and_heal(self):
-        """An availability zone is cut off for a while.
+        """An availability zone is partitioned from the rest for a while.
 
-        Each side declares the other dead and carries the flows whose packets
-        reach it. When the cut heals, each flow is left with one relay, and
-        none of them breaks.
+        Each side declares the other dead and forwards the flows whose packets
+        reach it. Once the partition heals, each flow is left with one relay,
+        and none of them breaks.
         """
         net = opened()
         net.keep_alive(CALLERS, REPLICATED_S)
@@ -271,13 +271,13 @@
 
 
 class FreezeTest(TestCase):
-    """A relay that was frozen wakes with old beliefs."""
+    """A relay that was frozen resumes with a stale view of the fleet."""
 
     def test_wakes(self):
-        """A relay stands still for ten seconds while others take over.
+        """A relay is frozen for ten seconds while others take over.
 
-        It opens nothing until its agent has answered it anew, and goes on
-        passing what it knows; no flow breaks.
+        It opens no flows until its agent has sent a new view, and still
+        forwards known flows. No flow breaks.
         """
         net = opened()
         net.keep_alive(CALLERS, REPLICATED_S)
@@ -298,11 +298,11 @@
         self.assertEqual([], not_last(net, "after"))
 
     def test_packets_before_the_first_tick(self):
-        """A relay wakes with packets in its sockets, and reads those first.
+        """Packets read between a freeze and the first tick open no flows.
 
-        Its clock has not ticked yet, so it had not noticed that it stood
-        still: it opened flows by what it believed before, at endpoints that
-        have left meanwhile.
+        A relay that wakes reads its sockets before its clock ticks. It did not
+        detect the freeze and opened flows by its stale view, at endpoints that
+        had left in the meantime.
         """
         net = Net(vms=1)
         net.advance(1.0)
@@ -312,10 +312,10 @@
         self.assertEqual({}, net.sessions)
 
     def test_old_view_after_waking(self):
-        """A view that was sent before the freeze is no fresh one.
+        """A view that was sent before the freeze does not count as fresh.
 
-        It may lie in the link's buffer; taken for fresh, the relay would open
-        flows at endpoints that have long gone.
+        It may still be in the link's buffer. If it counted, the relay would
+        open flows at endpoints that left long ago.
         """
         net = Net(vms=2)
         core = net.relays[1]
--- a/tests/relay_directory_test.py
+++ b/tests/relay_directory_test.py
@@ -15,7 +15,7 @@
 
 
 class MovedCallerTest(TestCase):
-    """A caller whose address changes in mid-session finds its endpoint."""
+    """A caller whose address changes in mid-session reaches its endpoint."""
 
     def _moved(self, net: Net) -> list[str]:
         for tag in CALLERS:
@@ -24,11 +24,10 @@
         return not_last(net, "moved")
 
     def test_router_forgot(self):
-        """Every caller's router forgets it and gives it another address.
+        """Sessions continue when NATs rebind every caller to a new address.
 
-        The new address belongs to another owner and computes to another
-        endpoint; without the connection id the session would hang until its
-        timeout.
+        The new address has another owner and another default endpoint.
+        Without the connection id, the session would hang until its timeout.
         """
         net = opened(vms=5)
         net.keep_alive(CALLERS, REPLICATED_S)
@@ -37,7 +36,7 @@
 
     @parameterized.expand([("killed", False), ("replaced", True)])
     def test_after_loss(self, _, planned):
-        """A VM goes before the callers move; the second keeper remembers."""
+        """One of the two VMs that store an id may be lost before a move."""
         net = opened(vms=5)
         net.keep_alive(CALLERS, REPLICATED_S)
         if planned:
@@ -49,11 +48,11 @@
         self.assertEqual([], self._moved(net))
 
     def test_replaced(self):
-        """A keeper leaves in order and gives its ids on.
+        """A VM that leaves in a planned stop hands over its connection ids.
 
-        Left with one keeper, an id would be lost with that one, and a caller
-        that moves afterwards would not find its endpoint. The order to stop
-        may come before the view in which the ring leaves the VM out.
+        Otherwise each id would be left on one VM and lost with it, and a caller
+        that moves afterwards would not reach its endpoint. The drain order may
+        come before the view in which the ring excludes the VM.
         """
         net = opened(vms=5)
         net.keep_alive(CALLERS, REPLICATED_S)
@@ -66,9 +65,10 @@
         self.assertEqual(2 * len(CALLERS), kept)
 
     def test_unknown_id(self):
-        """A stranger's connection id leads to the default endpoint at most.
+        """An unknown connection id leads at most to the default endpoint.
 
-        No session is there, so nothing runs, and the guess is forgotten.
+        That endpoint has no such session, so nothing runs and the guessed
+        flow is removed.
         """
         net = opened()
         net.keep_alive(CALLERS, REPLICATED_S)
--- a/tests/relay_routing_test.py
+++ b/tests/relay_routing_test.py
@@ -1,4 +1,4 @@
-"""Tests of relay._routing: packets find their flow, and nothing circles."""
+"""Tests of relay._routing: packets reach their flow without loops."""
 
 from parameterized import parameterized
 from testtools import TestCase
@@ -29,14 +29,14 @@
 from tests.relay_crowd import CALLERS, opened, say_all, unlike
 
 _SETTLED_S = 6.0
-"""After so long an owner no longer asks before it opens a flow."""
+"""Time after a change until owners open flows without a query, in seconds."""
 
 
 class ChangeTest(TestCase):
-    """Flows open while the fleet changes are neither lost nor opened twice."""
+    """Flows opened during fleet changes are neither lost nor opened twice."""
 
     def test_join(self):
-        """Flows that open while a VM joins stay where they are."""
+        """Flows that are open while a VM joins stay at their endpoint."""
         net = opened()
         net.start(4)
         say_all(net, "after")
@@ -46,8 +46,9 @@
     def test_second_flight(self):
         """A VM joins between the two flights of a handshake.
 
-        The second flight is an Initial as well. Opened anew at another
-        endpoint it would be a stranger there, and the handshake would hang.
+        The second flight is an Initial as well. If it opened a second flow,
+        it could reach an endpoint that does not know the handshake, which
+        would hang.
         """
         net = Net(vms=3)
         for tag in CALLERS:
@@ -59,7 +60,7 @@
         self.assertEqual([], net.strangers)
 
     def test_partial_knowledge(self):
-        """Only some VMs have heard of a join; packets still find their flow."""
+        """Packets reach their flow while only some VMs know of a join."""
         net = opened()
         net.vms[4] = vm(4)
         net.start(4)
@@ -69,13 +70,14 @@
 
 
 class StandbyTest(TestCase):
-    """An agent passes on what its relay cannot take."""
+    """An agent forwards packets in place of a dead relay."""
 
     def test_owner_not_known_dead(self):
         """A relay dies, and its agent knows before the other VMs do.
 
-        Another relay that still believes in the dead one would send the
-        packet there, and the caller's handshake would wait for a second.
+        Another relay that still takes the dead one for the owner would send
+        the packet back there, and the caller's handshake would be delayed by
+        a second.
         """
         net = Net(vms=2)
         port = net.relays[1].table.listener(REGISTRY).service.port
@@ -97,12 +99,12 @@
 
 
 class NotReadyTest(TestCase):
-    """An owner that may open no flow leaves nobody waiting."""
+    """An owner that may not open flows delays no caller."""
 
     def _stale(self) -> tuple[Net, list[str]]:
-        """Returns VMs of which the second has lost its agent, and callers.
+        """Returns a fleet whose second VM has lost its agent, and callers.
 
-        The callers are those whose flows it owns.
+        The callers are those whose flows the second VM owns.
         """
         net = Net(vms=3)
         port = net.relays[1].table.listener(REGISTRY).service.port
@@ -122,11 +124,11 @@
 
     @parameterized.expand([("from_fabric", 2), ("by_1", 1), ("by_3", 3)])
     def test_opened_elsewhere(self, _, to):
-        """A VM's agent has died or hangs; its relay believes old things.
+        """New flows of an owner without an agent are opened by the next VM.
 
-        It dropped the first packet of each flow that it thinks its own, one
-        in nine with three VMs, and of another VM's that does not know yet.
-        The next VM opens the flow.
+        If a VM's agent has died or hangs, its relay's view is stale. It used to
+        drop the first packet of each flow that it took for its own, one in nine
+        with three VMs, and of those that a VM unaware of this forwarded to it.
         """
         net, owned = self._stale()
         for tag in owned:
@@ -136,17 +138,18 @@
         self.assertEqual(0, drops)
 
     def test_nobody_ready(self):
-        """No agent of the fleet lives; a packet does not go round for ever."""
+        """With no agent alive in the fleet, a packet does not loop forever."""
         net, owned = self._stale()
         net.advance(4.0, renew=False)
         net.open(owned[0], to=2)
         self.assertEqual({}, net.sessions)
 
     def test_second_flight_after_it(self):
-        """Its agent is back; a handshake that began elsewhere goes on.
+        """A handshake begun on another VM continues once the agent is back.
 
-        Its second flight is an Initial as well. Opened anew at the owner it
-        would reach another endpoint, and the caller's handshake would hang.
+        Its second flight is an Initial as well. If the owner opened a second
+        flow for it, it would reach another endpoint and the caller's handshake
+        would hang.
         """
         net, owned = self._stale()
         for tag in owned:
@@ -162,10 +165,13 @@
 
 
 class TrustTest(TestCase):
-    """Only the fleet can plant or take flows."""
+    """Only VMs of the fleet can add or take over flows."""
 
     def test_forged_record(self):
-        """A stranger sends a record that would lead a caller elsewhere."""
+        """A forged record, sealed with an unknown key, is rejected.
+
+        It could otherwise lead a caller to another endpoint.
+        """
         net = Net(vms=2)
         record = FlowRecord(REGISTRY, *address_of("c1"), 7, RecordFlag.KEEP)
         body = b"\0\0\0\1" + pack_records([record])
@@ -176,10 +182,10 @@
         self.assertEqual(1, net.dropped(c.ENVELOPE_FAULTS, faults.UNKNOWN_KEY))
 
     def test_hops_bounded(self):
-        """Two VMs each believe that the other owns a flow.
+        """Packets do not loop when two VMs take each other for the owner.
 
-        Their packets must not circle and fill the network; after the hops
-        allowed they are dropped and counted.
+        Looping packets would saturate the network. Beyond the hop limit they
+        are dropped and counted.
         """
         net = Net(vms=3)
         core = net.relays[1]
@@ -202,7 +208,7 @@
         [("leaving", VmState.LEAVING), ("alive", VmState.ALIVE)]
     )
     def test_garbage_body(self, _, state):
-        """A genuine envelope with a body of nonsense changes nothing."""
+        """A valid envelope with a garbage body changes nothing."""
         net = Net(vms=2)
         net.vms[2] = vm(2, state=state)
         net.publish()
--- a/tests/relay_table_test.py
+++ b/tests/relay_table_test.py
@@ -10,12 +10,12 @@
 
 
 class _StubbornWire(FakeWire):
-    """A wire on which another program holds some ports for a while."""
+    """A wire on which another program uses some ports for a while."""
 
     taken: tuple[int, ...] = ()
 
     def open_listener(self, service):
-        """Opens a fake port, unless it is taken."""
+        """Opens a fake port, unless it is in use."""
         if service.port in self.taken:
             return None
         return super().open_listener(service)
@@ -28,17 +28,17 @@
 
 
 class PortsTest(TestCase):
-    """Each service of the manifest has its port, and no other keeps one."""
+    """Exactly the services of the manifest have open ports."""
 
     def _table(self) -> FlowTable:
         self.wire = _StubbornWire(Net(vms=1), 1)
         return FlowTable(self.wire, 100)
 
     def test_taken_port(self):
-        """Another program holds a service's port and ends later.
+        """A port in use by another program is retried without a new manifest.
 
-        The fabric's packets for that service are lost at this VM until the
-        port opens; it is tried again without a new manifest.
+        Until the port opens, this VM loses the fabric's packets for the
+        service.
         """
         table = self._table()
         self.wire.taken = (4000 + REGISTRY,)
@@ -49,11 +49,12 @@
         self.assertIsNotNone(table.listener(REGISTRY))
 
     def test_joined_after_a_port_was_reused(self):
-        """A VM joins after a port was given to another service.
+        """A VM that joins after a port was reassigned makes no guesses there.
 
-        It has not seen the service before, and would send that one's
-        sessions, unknown to it, to the port's service of today. The manifest
-        says that there was one. New flows are opened at once all the same.
+        It has not seen the port's previous service and would send that
+        service's sessions, which it does not know, to the current one. The
+        manifest says that there was a previous service. New flows still open
+        at once.
         """
         whole = _manifest(REGISTRY).services[0]
         for since, may_guess in ((0, True), (7, False)):
@@ -65,7 +66,7 @@
             self.assertFalse(table.rests(listener, 100.0))
 
     def test_withdrawn_service(self):
-        """A withdrawn service's port closes once its last flow has ended."""
+        """The port of a removed service closes once its last flow has ended."""
         table = self._table()
         table.set_manifest(_manifest(REGISTRY, BARCODES), 0.0)
         listener = table.listener(REGISTRY)
