--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -20,28 +20,28 @@
 from pollenmast.peers._envelope import Opener, Sealer
 from pollenmast.peers._kinds import Kind
 from pollenmast.peers._records import endpoint_id
-from pollenmast.relay._carrier import Arrival, Carrier
 from pollenmast.relay._custody import Custody
 from pollenmast.relay._directory import Directory
 from pollenmast.relay._endpoint_loads import EndpointLoads
 from pollenmast.relay._flows import TICKS_PER_S, Flow, FlowState, Listener
+from pollenmast.relay._forwarder import FlowForwarder, IncomingDatagram
 from pollenmast.relay._history import Decision, History
 from pollenmast.relay._openings import Openings
-from pollenmast.relay._post import Post
+from pollenmast.relay._peer_sender import PeerSender
 from pollenmast.relay._readiness import Readiness
 from pollenmast.relay._routing import Routing
 from pollenmast.relay._table import FlowTable, Wire
 from pollenmast.relay._upkeep import Upkeep
 from pollenmast.settings import Settings
 
-COME_BACK_MS = 500
+DRAINING_RETRY_AFTER_MS = 500
 """Retry delay, in ms, sent to callers that a draining relay refuses.
 
 By then the other VMs know that this relay is leaving.
 """
 
 
-class RelayCore(Carrier):
+class RelayCore(FlowForwarder):
     """The state and decisions of one relay; sockets and clock are outside."""
 
     def __init__(
@@ -62,21 +62,23 @@
         )
         key = settings.fleet.key
         self._opener = Opener(key, settings.fleet.previous_key)
-        post = Post(
+        peer_sender = PeerSender(
             self._fleet, wire, Sealer(settings.vm.name, key), self.counters
         )
         age_s = settings.relay.replicate_after_s
         budget = settings.relay.replication_bytes_per_s
-        self._custody = Custody(self._fleet, self, post, budget, self.counters)
+        self._custody = Custody(
+            self._fleet, self, peer_sender, budget, self.counters
+        )
         self._directory = Directory(
-            self._fleet, self, post, age_s, self.counters
+            self._fleet, self, peer_sender, age_s, self.counters
         )
         self._routing = Routing(
             self._fleet,
             self,
             self._custody,
             self._directory,
-            post,
+            peer_sender,
             self.counters,
         )
         self._upkeep = Upkeep(
@@ -100,7 +102,7 @@
             Kind.NOT_FOUND: self._routing.on_not_found,
             Kind.CONNECTION_IDS: self._directory.on_entries,
             Kind.RECORDS: self._custody.on_records,
-            Kind.RECORDS_TAKEN: self._custody.on_taken,
+            Kind.RECORDS_TAKEN: self._custody.on_records_acknowledged,
         }
 
     @property
@@ -131,7 +133,7 @@
     def ready(self, now: float) -> bool:
         """Returns whether this relay may open flows."""
         known = self._manifest is not None and not self._draining
-        return known and self._readiness.fresh(now)
+        return known and self._readiness.is_fresh(now)
 
     def drained(self) -> bool:
         """Returns whether the drain is complete: no flow needs this relay."""
@@ -149,24 +151,24 @@
         """Handles a caller's datagram that is not on the fast path."""
         flow = listener.flows.get(caller)
         if flow is not None:
-            self.carry(flow, data, now)
+            self.forward_to_upstream(flow, data, now)
             return
-        arrival = self.read(listener, caller, data, 0, 0)
-        if arrival is not None:
-            self.on_datagram(arrival, now)
+        datagram = self.read(listener, caller, data, 0, 0)
+        if datagram is not None:
+            self.on_datagram(datagram, now)
 
-    def on_datagram(self, arrival: Arrival, now: float) -> None:
+    def on_datagram(self, datagram: IncomingDatagram, now: float) -> None:
         """Handles a datagram from the fabric or from another relay."""
-        flow = arrival.listener.flows.get(arrival.caller)
+        flow = datagram.listener.flows.get(datagram.caller)
         if flow is not None:
-            self.carry(flow, arrival.data, now)
+            self.forward_to_upstream(flow, datagram.data, now)
             return
-        opening = self._openings.find(arrival.listener, arrival.caller)
+        opening = self._openings.find(datagram.listener, datagram.caller)
         if opening is None:
-            self._routing.route(arrival, now)
+            self._routing.route(datagram, now)
             return
-        idempotent = arrival.listener.service.idempotent
-        data, early = self._without_early_data(idempotent, arrival.data)
+        idempotent = datagram.listener.service.idempotent
+        data, early = self._without_early_data(idempotent, datagram.data)
         if data:
             self._openings.add_datagram(opening, data, early, now)
 
@@ -176,8 +178,8 @@
         caller: tuple[str, int],
         data: bytes,
         hops: int,
-        via: int,
-    ) -> Arrival | None:
+        previous_hop: int,
+    ) -> IncomingDatagram | None:
         """Parses a caller's datagram.
 
         Args:
@@ -185,7 +187,7 @@
             caller: The caller's IP address and port.
             data: The datagram.
             hops: How many relays have forwarded it.
-            via: Number of the VM that forwarded it, 0 for the fabric.
+            previous_hop: Number of the VM that forwarded it, 0 for the fabric.
 
         Returns:
             The datagram, or None if it is not a valid packet and was dropped
@@ -199,9 +201,11 @@
         if reason is not None:
             self.counters.add(c.DROPS, reason)
             return None
-        return Arrival(listener, caller, packet.unwrap(), data, hops, via)
+        return IncomingDatagram(
+            listener, caller, packet.unwrap(), data, hops, previous_hop
+        )
 
-    def carry(self, flow: Flow, data: bytes, now: float) -> None:
+    def forward_to_upstream(self, flow: Flow, data: bytes, now: float) -> None:
         """Forwards a caller's datagram to the flow's upstream."""
         if not data:
             self.counters.add(c.DROPS, c.DropReason.EMPTY)
@@ -236,13 +240,13 @@
     def on_first_answer(self, flow: Flow, data: bytes, now: float) -> None:
         """Handles the first datagram from the upstream on this path."""
         if flow.state is FlowState.OPENING:
-            self._openings.answered(flow, now)
-            self._directory.learn(flow, data)
+            self._openings.on_answered(flow, now)
+            self._directory.read_connection_id(flow, data)
         elif flow.state in (FlowState.ADOPTED, FlowState.GUESSED):
-            self._custody.answered_anew(flow)
+            self._custody.release_previous_relay(flow)
         if flow.state is not FlowState.MOVED:
             flow.state = FlowState.CARRIED
-            self._custody.tell_owner(flow)
+            self._custody.replicate_to_owner(flow)
 
     def on_peer(self, data: bytes, now: float) -> None:
         """Handles a sealed envelope from another relay."""
@@ -259,36 +263,36 @@
 
     # The interface used by routing, custody and directory.
 
-    def open(self, arrival: Arrival, now: float) -> None:
+    def open(self, datagram: IncomingDatagram, now: float) -> None:
         """Places, holds or refuses a new flow."""
         if not self.ready(now):
             self.counters.add(c.DROPS, c.DropReason.NOT_READY)
             return
-        if self._table.rests(arrival.listener, now):
+        if self._table.in_quarantine(datagram.listener, now):
             self.counters.add(c.DROPS, c.DropReason.PORT_REUSED)
             return
-        idempotent = arrival.listener.service.idempotent
-        data, early = self._without_early_data(idempotent, arrival.data)
-        self._openings.begin(arrival, data, early, now)
+        idempotent = datagram.listener.service.idempotent
+        data, early = self._without_early_data(idempotent, datagram.data)
+        self._openings.begin(datagram, data, early, now)
 
-    def without_owner(self, arrival: Arrival, now: float) -> None:
+    def on_no_owner(self, datagram: IncomingDatagram, now: float) -> None:
         """Refuses a new flow if this relay drains and knows no other VM."""
         del now
-        if arrival.opens and self._draining:
-            self._openings.refuse_draining(arrival, COME_BACK_MS)
+        if datagram.is_initial and self._draining:
+            self._openings.refuse_draining(datagram, DRAINING_RETRY_AFTER_MS)
             return
         self.counters.add(c.DROPS, c.DropReason.NO_OWNER)
 
-    def guess(self, arrival: Arrival, now: float) -> None:
+    def guess(self, datagram: IncomingDatagram, now: float) -> None:
         """Forwards an unknown flow in progress to its default endpoint."""
-        number = arrival.listener.service.number
-        name = self._dispatcher.default_endpoint(number, arrival.key)
-        if name is None or not self._table.may_guess(arrival.listener):
+        number = datagram.listener.service.number
+        name = self._dispatcher.default_endpoint(number, datagram.key)
+        if name is None or not self._table.may_guess(datagram.listener):
             self.counters.add(c.DROPS, c.DropReason.UNKNOWN_FLOW)
             return
         flow = self._adopt(
-            arrival.listener,
-            arrival.caller,
+            datagram.listener,
+            datagram.caller,
             endpoint_id(number, name),
             FlowState.GUESSED,
             now,
@@ -297,7 +301,7 @@
             self.counters.add(c.DROPS, c.DropReason.FLOW_TABLE_FULL)
             return
         self.counters.add(c.FALLBACKS)
-        self.carry(flow, arrival.data, now)
+        self.forward_to_upstream(flow, datagram.data, now)
 
     def adopt(
         self,
@@ -313,7 +317,7 @@
             self.counters.add(c.REPATHS, reason)
             service = listener.service.name
             text = f"taken over, {reason.value}"
-            self._history.note(
+            self._history.add(
                 Decision(now, caller, service, flow.target.name, text)
             )
         return flow
@@ -354,7 +358,7 @@
         """Applies the agent's view of the fleet."""
         if view.manifest is not None:
             self._take_manifest(view.manifest, now)
-        self._table.tend(now)
+        self._table.maintain_ports(now)
         self._fleet.update(view.vms, now)
         self._dispatcher.set_fleet(max(1, len(self._fleet.owners)))
         for report in view.reports:
@@ -411,7 +415,7 @@
             counters=tuple(
                 messages.CounterValue(*item) for item in self.counters.items()
             ),
-            endpoints=self._loads.due(now),
+            endpoints=self._loads.take_due(now),
             wake=self._readiness.wake,
         )
 
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -9,17 +9,17 @@
     RecordFlag,
     unpack_records,
 )
-from pollenmast.relay._carrier import Carrier
 from pollenmast.relay._flows import Flow, FlowState
+from pollenmast.relay._forwarder import FlowForwarder
 from pollenmast.relay._outbox import (
     ACKNOWLEDGEMENT_BYTES,
     Outbox,
     split_batch,
 )
-from pollenmast.relay._post import Post
+from pollenmast.relay._peer_sender import PeerSender
 from pollenmast.relay._replicas import Replicas
 
-MOST_FORMERS = 300_000
+MAX_PREVIOUS_RELAYS = 300_000
 """Limit on taken-over flows whose previous relay still waits to be released.
 
 A little more than the whole flow table of one relay.
@@ -32,19 +32,19 @@
     def __init__(
         self,
         fleet: Fleet,
-        carrier: Carrier,
-        post: Post,
+        forwarder: FlowForwarder,
+        peer_sender: PeerSender,
         bytes_per_s: float,
         counters: c.Counters,
     ):
         self._fleet = fleet
-        self._carrier = carrier
-        self._post = post
+        self._forwarder = forwarder
+        self._peer_sender = peer_sender
         self._counters = counters
         self._replicas = Replicas()
         self._outbox = Outbox(self._send_records, bytes_per_s, counters)
-        self._formers: dict[Flow, int] = {}
-        self._handed: dict[tuple[int, str, int], int] = {}
+        self._previous_relays: dict[Flow, int] = {}
+        self._handover_targets: dict[tuple[int, str, int], int] = {}
 
     @property
     def replicas(self) -> Replicas:
@@ -69,7 +69,7 @@
         if backup:
             self._outbox.add(backup, record_of(flow, RecordFlag.KEEP))
 
-    def tell_owner(self, flow: Flow) -> None:
+    def replicate_to_owner(self, flow: Flow) -> None:
         """Sends the record of a flow owned by another VM to that VM.
 
         The flow may have opened here while its owner changed. The scan that
@@ -80,14 +80,14 @@
         if not self._fleet.owns(flow.key):
             self.replicate(flow, self._fleet.backup(flow.key))
 
-    def tell_keeper(self, flow: Flow, asker: int) -> None:
+    def replicate_to_asker(self, flow: Flow, asker: int) -> None:
         """Stores the record on a VM that asked for it, so that it asks once."""
         if flow.backup != asker and asker:
             self.replicate(flow, asker)
 
-    def ended(self, flow: Flow) -> None:
+    def delete_record(self, flow: Flow) -> None:
         """Deletes the record of an ended flow from its backup VM."""
-        self._formers.pop(flow, None)
+        self._previous_relays.pop(flow, None)
         if flow.backup:
             self._outbox.add(flow.backup, record_of(flow, RecordFlag.FORGET))
             flow.backup = 0
@@ -95,10 +95,10 @@
     def hand_over(self, flow: Flow, owner: int) -> None:
         """Asks the new owner to take over the flow, unless already asked."""
         record = record_of(flow, RecordFlag.TAKE)
-        if self._handed.get(record.key) == owner:
+        if self._handover_targets.get(record.key) == owner:
             return
         if self._outbox.add(owner, record):
-            self._handed[record.key] = owner
+            self._handover_targets[record.key] = owner
 
     def tick(self, now: float, urgent: bool) -> None:
         """Sends queued records.
@@ -110,21 +110,23 @@
             urgent: Whether to ignore the byte budget, as a draining VM must.
         """
         undelivered: list[FlowRecord] = []
-        for vm in self._outbox.vms():
+        for vm in self._outbox.destinations():
             if not self._fleet.carries(vm):
                 undelivered.extend(self._outbox.drop_vm(vm))
         undelivered.extend(self._outbox.flush(now, urgent))
         for record in undelivered:
-            self._handed.pop(record.key, None)
+            self._handover_targets.pop(record.key, None)
             flow = self._flow(record)
             if flow is not None and record.flags == RecordFlag.KEEP:
                 flow.backup = 0
 
-    def answered_anew(self, flow: Flow) -> None:
+    def release_previous_relay(self, flow: Flow) -> None:
         """Releases the flow's previous relay: the upstream now answers here."""
-        former = self._formers.pop(flow, None)
-        if former is not None:
-            self._outbox.add(former, record_of(flow, RecordFlag.CARRIED))
+        previous_relay = self._previous_relays.pop(flow, None)
+        if previous_relay is not None:
+            self._outbox.add(
+                previous_relay, record_of(flow, RecordFlag.CARRIED)
+            )
 
     def on_records(self, opened: Opened, now: float) -> None:
         """Applies a batch of records and acknowledges it."""
@@ -134,28 +136,30 @@
             self._counters.add(c.ENVELOPE_FAULTS, records.unwrap_err())
             return
         for record in records.unwrap():
-            self._take_record(record, opened.sender, now)
+            self._apply_record(record, opened.sender, now)
         self._counters.add(
             c.CONTROL_BYTES, "replication", ACKNOWLEDGEMENT_BYTES
         )
-        self._post.send(opened.sender, Kind.RECORDS_TAKEN, number)
+        self._peer_sender.send(opened.sender, Kind.RECORDS_TAKEN, number)
 
-    def _take_record(self, record: FlowRecord, sender: int, now: float) -> None:
-        flow = self._known(self._flow(record), now)
+    def _apply_record(
+        self, record: FlowRecord, sender: int, now: float
+    ) -> None:
+        flow = self._discard_guess(self._flow(record), now)
         if record.flags == RecordFlag.FORGET:
             self._replicas.forget(record, sender)
         elif record.flags == RecordFlag.RELEASE:
             self._release(flow, record, sender, now)
         elif record.flags == RecordFlag.CARRIED:
-            self._carrier.table.end_moved(record, now)
+            self._forwarder.table.end_moved(record, now)
         elif flow is not None:
-            self._on_second_holder(flow, record, sender, now)
+            self._resolve_second_holder(flow, record, sender, now)
         elif record.flags == RecordFlag.TAKE:
             self._take_over(record, sender, now)
         else:
             self._replicas.keep(record, sender)
 
-    def _known(self, flow: Flow | None, now: float) -> Flow | None:
+    def _discard_guess(self, flow: Flow | None, now: float) -> Flow | None:
         """Ends a guessed flow, as a record of its real endpoint has come.
 
         If the guess took precedence over the holder that reports the flow,
@@ -165,15 +169,15 @@
             The flow, or None if there is none or it was only guessed.
         """
         if flow is not None and flow.state is FlowState.GUESSED:
-            self._carrier.table.end(flow, now)
+            self._forwarder.table.end(flow, now)
             return None
         return flow
 
     def _take_over(self, record: FlowRecord, sender: int, now: float) -> None:
-        listener = self._carrier.table.at_port(record.service_port)
+        listener = self._forwarder.table.listener_at(record.service_port)
         if listener is None:
             return
-        flow = self._carrier.adopt(
+        flow = self._forwarder.adopt(
             listener,
             (record.ip, record.port),
             record.endpoint,
@@ -182,15 +186,15 @@
         )
         if flow is not None:
             self._replicas.drop(record.service_port, flow.caller)
-            self._note_former(flow, sender)
+            self._add_previous_relay(flow, sender)
 
-    def _note_former(self, flow: Flow, sender: int) -> None:
-        if len(self._formers) < MOST_FORMERS:
-            self._formers[flow] = sender
+    def _add_previous_relay(self, flow: Flow, sender: int) -> None:
+        if len(self._previous_relays) < MAX_PREVIOUS_RELAYS:
+            self._previous_relays[flow] = sender
         if flow.state is FlowState.CARRIED:
-            self.answered_anew(flow)
+            self.release_previous_relay(flow)
 
-    def _on_second_holder(
+    def _resolve_second_holder(
         self, flow: Flow, record: FlowRecord, sender: int, now: float
     ) -> None:
         """Resolves a flow that this relay and another one both forward.
@@ -201,7 +205,7 @@
         other relay still forwards late answers until its path is silent.
         """
         if record.flags == RecordFlag.TAKE:
-            self._note_former(flow, sender)
+            self._add_previous_relay(flow, sender)
             return
         owner = self._fleet.owner(flow.key)
         if owner is not None and owner.number == sender:
@@ -214,28 +218,28 @@
     ) -> None:
         self._replicas.keep(record, sender)
         if flow is not None:
-            self._formers.pop(flow, None)
-            self._carrier.let_go(flow, now)
+            self._previous_relays.pop(flow, None)
+            self._forwarder.let_go(flow, now)
 
-    def on_taken(self, opened: Opened, now: float) -> None:
+    def on_records_acknowledged(self, opened: Opened, now: float) -> None:
         """Handles a batch's acknowledgement; releases handed-over flows."""
-        for record in self._outbox.acknowledged(opened.body):
+        for record in self._outbox.pop_acknowledged(opened.body):
             if record.flags != RecordFlag.TAKE:
                 continue
-            self._handed.pop(record.key, None)
+            self._handover_targets.pop(record.key, None)
             flow = self._flow(record)
             if flow is not None:
                 self._counters.add(c.TRANSFERS)
                 self._release(flow, record, opened.sender, now)
 
     def _flow(self, record: FlowRecord) -> Flow | None:
-        listener = self._carrier.table.at_port(record.service_port)
+        listener = self._forwarder.table.listener_at(record.service_port)
         if listener is None:
             return None
         return listener.flows.get((record.ip, record.port))
 
     def _send_records(self, vm: int, body: bytes) -> None:
-        self._post.send(vm, Kind.RECORDS, body)
+        self._peer_sender.send(vm, Kind.RECORDS, body)
 
 
 def record_of(flow: Flow, flag: int) -> FlowRecord:
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -37,9 +37,9 @@
     pack_found,
     unpack_connection_ids,
 )
-from pollenmast.relay._carrier import Arrival, Carrier
 from pollenmast.relay._flows import TICKS_PER_S, Flow
-from pollenmast.relay._post import Post
+from pollenmast.relay._forwarder import FlowForwarder, IncomingDatagram
+from pollenmast.relay._peer_sender import PeerSender
 
 CID_BYTES = 8
 """Number of connection id bytes that are read.
@@ -48,17 +48,17 @@
 ones distinguish them as well.
 """
 
-MOST_ENTRIES = 200_000
+MAX_ENTRIES = 200_000
 """Limit on stored connection ids; the oldest are evicted.
 
 Twice the sessions of a VM at the load expected in two years, with each id
 stored on two VMs. A full map takes 35 MB, as measured in a trial.
 """
 
-LOOK_TICKS = TICKS_PER_S // 2
+SCAN_INTERVAL_TICKS = TICKS_PER_S // 2
 """Interval between scans of flows not yet published, in ticks."""
 
-FORGET_TICKS = 60 * TICKS_PER_S
+UNPUBLISHED_EXPIRY_TICKS = 60 * TICKS_PER_S
 """Age, in ticks, at which an unpublished flow counts as ended.
 
 Its caller has not been heard past the replication age by then.
@@ -73,26 +73,26 @@
     def __init__(
         self,
         fleet: Fleet,
-        carrier: Carrier,
-        post: Post,
+        forwarder: FlowForwarder,
+        peer_sender: PeerSender,
         publish_after_s: float,
         counters: c.Counters,
     ):
         self._fleet = fleet
-        self._carrier = carrier
-        self._post = post
+        self._forwarder = forwarder
+        self._peer_sender = peer_sender
         self._publish_after = int(publish_after_s * TICKS_PER_S)
         self._counters = counters
-        self._looked_at = 0
+        self._last_scan = 0
         self._draining = False
         self._entries: dict[tuple[int, int], int] = {}
-        self._learnt: dict[Flow, int] = {}
-        self._leaving: dict[int, list[ConnectionId]] = {}
+        self._unpublished: dict[Flow, int] = {}
+        self._outgoing: dict[int, list[ConnectionId]] = {}
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def learn(self, flow: Flow, data: bytes) -> None:
+    def read_connection_id(self, flow: Flow, data: bytes) -> None:
         """Reads the connection id in an endpoint's first answer."""
         if flow.listener.service.kind is not ServiceKind.SESSION:
             return
@@ -101,14 +101,14 @@
             return
         cid = packet.unwrap().source_cid
         if len(cid) >= CID_BYTES:
-            self._learnt[flow] = _CID.unpack_from(cid)[0]
+            self._unpublished[flow] = _CID.unpack_from(cid)[0]
 
     def publish(self, flow: Flow) -> None:
         """Stores the flow's connection id on its two VMs, once."""
-        cid = self._learnt.pop(flow, None)
+        cid = self._unpublished.pop(flow, None)
         if cid is not None:
             port = flow.listener.service.port
-            self._keep(ConnectionId(port, cid, flow.target.number))
+            self._distribute(ConnectionId(port, cid, flow.target.number))
 
     def drain(self) -> None:
         """Schedules the hand-over of every entry, for a planned stop.
@@ -121,65 +121,65 @@
     def _hand_over(self) -> None:
         self._draining = False
         for (port, cid), endpoint in list(self._entries.items()):
-            self._keep(ConnectionId(port, cid, endpoint))
+            self._distribute(ConnectionId(port, cid, endpoint))
 
     def tick(self, tick: int) -> None:
         """Publishes ids of flows past the replication age; sends the queue."""
-        if tick - self._looked_at < LOOK_TICKS:
+        if tick - self._last_scan < SCAN_INTERVAL_TICKS:
             return
-        self._looked_at = tick
+        self._last_scan = tick
         if self._draining and self._fleet.me not in self._fleet.owners:
             self._hand_over()
-        for flow in list(self._learnt):
+        for flow in list(self._unpublished):
             if flow.heard - flow.opened >= self._publish_after:
                 self.publish(flow)
-            elif tick - flow.opened > FORGET_TICKS:
-                del self._learnt[flow]
+            elif tick - flow.opened > UNPUBLISHED_EXPIRY_TICKS:
+                del self._unpublished[flow]
         self._send()
 
     def _send(self) -> None:
-        for vm, entries in self._leaving.items():
+        for vm, entries in self._outgoing.items():
             for start in range(0, len(entries), MOST_RECORDS):
                 body = pack_connection_ids(
                     entries[start : start + MOST_RECORDS]
                 )
                 self._counters.add(c.CONTROL_BYTES, "replication", len(body))
-                self._post.send(vm, Kind.CONNECTION_IDS, body)
-        self._leaving = {}
+                self._peer_sender.send(vm, Kind.CONNECTION_IDS, body)
+        self._outgoing = {}
 
-    def search(self, arrival: Arrival, now: float) -> bool:
+    def search(self, datagram: IncomingDatagram, now: float) -> bool:
         """Looks up the endpoint of a packet's connection id.
 
         Args:
-            arrival: The datagram of an unknown flow.
+            datagram: The datagram of an unknown flow.
             now: The runtime's clock, in seconds.
 
         Returns:
             Whether the datagram is handled: forwarded to its endpoint, or
             sent to another VM as part of the query.
         """
-        cid = _cid_of(arrival)
+        cid = _cid_of(datagram)
         if cid is None:
             return False
-        service_port = arrival.listener.service.port
+        service_port = datagram.listener.service.port
         endpoint = self._entries.get((service_port, cid))
         if endpoint is not None:
-            return self._lead_back(arrival, endpoint, now)
-        asked = self._others(service_port, cid)
+            return self._adopt_moved_caller(datagram, endpoint, now)
+        asked = self._remote_keepers(service_port, cid)
         if not asked:
             return False
-        ip, port = arrival.caller
+        ip, port = datagram.caller
         forwarded = Forwarded(
             service_port,
             ip,
             port,
             1,
-            arrival.data,
+            datagram.data,
             self._fleet.me.number,
             asked[1] if len(asked) > 1 else 0,
         )
         self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
-        self._post.send(asked[0], Kind.FIND, pack_forwarded(forwarded))
+        self._peer_sender.send(asked[0], Kind.FIND, pack_forwarded(forwarded))
         return True
 
     def on_entries(self, opened: Opened, now: float) -> None:
@@ -192,15 +192,15 @@
         for entry in entries.unwrap():
             self._store(entry)
 
-    def answer(self, forwarded: Forwarded) -> None:
+    def answer_query(self, forwarded: Forwarded) -> None:
         """Answers a query for a connection id, or forwards it."""
         cid = _read_cid(forwarded.data)
         endpoint = self._entries.get((forwarded.service_port, cid))
-        following = forwarded.next_asked
+        next_vm = forwarded.next_asked
         if endpoint is not None:
             found = pack_found(Found(endpoint, True, forwarded))
-            self._post.send(forwarded.asker, Kind.FOUND, found)
-        elif following and self._fleet.carries(following):
+            self._peer_sender.send(forwarded.asker, Kind.FOUND, found)
+        elif next_vm and self._fleet.carries(next_vm):
             body = pack_forwarded(
                 Forwarded(
                     forwarded.service_port,
@@ -211,49 +211,51 @@
                     forwarded.asker,
                 )
             )
-            self._post.send(following, Kind.FIND, body)
+            self._peer_sender.send(next_vm, Kind.FIND, body)
         else:
             body = pack_forwarded(forwarded)
-            self._post.send(forwarded.asker, Kind.NOT_FOUND, body)
-
-    def _lead_back(self, arrival: Arrival, endpoint: int, now: float) -> bool:
-        flow = self._carrier.adopt(
-            arrival.listener,
-            arrival.caller,
+            self._peer_sender.send(forwarded.asker, Kind.NOT_FOUND, body)
+
+    def _adopt_moved_caller(
+        self, datagram: IncomingDatagram, endpoint: int, now: float
+    ) -> bool:
+        flow = self._forwarder.adopt(
+            datagram.listener,
+            datagram.caller,
             endpoint,
             c.RepathReason.CALLER_MOVED,
             now,
         )
         if flow is None:
             return False
-        self._carrier.carry(flow, arrival.data, now)
+        self._forwarder.forward_to_upstream(flow, datagram.data, now)
         return True
 
-    def _keep(self, entry: ConnectionId) -> None:
+    def _distribute(self, entry: ConnectionId) -> None:
         key = connection_id_hash(entry.service_port, entry.cid)
         for keeper in self._fleet.keepers(key):
             if keeper == self._fleet.me.number:
                 self._store(entry)
             else:
-                self._leaving.setdefault(keeper, []).append(entry)
+                self._outgoing.setdefault(keeper, []).append(entry)
 
     def _store(self, entry: ConnectionId) -> None:
         key = (entry.service_port, entry.cid)
-        if len(self._entries) >= MOST_ENTRIES and key not in self._entries:
+        if len(self._entries) >= MAX_ENTRIES and key not in self._entries:
             del self._entries[next(iter(self._entries))]
         self._entries[key] = entry.endpoint
 
-    def _others(self, service_port: int, cid: int) -> list[int]:
+    def _remote_keepers(self, service_port: int, cid: int) -> list[int]:
         keepers = self._fleet.keepers(connection_id_hash(service_port, cid))
         return [number for number in keepers if number != self._fleet.me.number]
 
 
-def _cid_of(arrival: Arrival) -> int | None:
-    if arrival.packet.type is not PacketType.SHORT:
+def _cid_of(datagram: IncomingDatagram) -> int | None:
+    if datagram.packet.type is not PacketType.SHORT:
         return None
-    if arrival.listener.service.kind is not ServiceKind.SESSION:
+    if datagram.listener.service.kind is not ServiceKind.SESSION:
         return None
-    return _read_cid(arrival.data)
+    return _read_cid(datagram.data)
 
 
 def _read_cid(data: bytes) -> int | None:
--- a/src/pollenmast/relay/_endpoint_loads.py
+++ b/src/pollenmast/relay/_endpoint_loads.py
@@ -22,30 +22,30 @@
     def __init__(self, table: FlowTable, dispatcher: Dispatcher):
         self._table = table
         self._dispatcher = dispatcher
-        self._due = 0.0
+        self._next_due = 0.0
 
-    def due(self, now: float) -> tuple[EndpointLoad, ...] | None:
+    def take_due(self, now: float) -> tuple[EndpointLoad, ...] | None:
         """Returns the load of every endpoint, or None if none is due yet."""
-        if now < self._due:
+        if now < self._next_due:
             return None
-        loads = self._every(now)
-        self._due = now + len(loads) / ENDPOINTS_PER_S
+        loads = self._all_loads(now)
+        self._next_due = now + len(loads) / ENDPOINTS_PER_S
         return loads
 
-    def _every(self, now: float) -> tuple[EndpointLoad, ...]:
-        decided = {
+    def _all_loads(self, now: float) -> tuple[EndpointLoad, ...]:
+        dispatcher_loads = {
             (load.service, load.endpoint): load
             for load in self._dispatcher.loads(now)
         }
         return tuple(
-            _load(target, decided.get((target.service, target.name)))
+            _load(target, dispatcher_loads.get((target.service, target.name)))
             for target in self._table.targets
         )
 
 
-def _load(target: Target, decided: EndpointLoad | None) -> EndpointLoad:
-    if decided is None:
+def _load(target: Target, dispatcher_load: EndpointLoad | None) -> EndpointLoad:
+    if dispatcher_load is None:
         return EndpointLoad(
             target.service, target.name, target.flows, 0.0, "not in force"
         )
-    return attrs.evolve(decided, flows=target.flows)
+    return attrs.evolve(dispatcher_load, flows=target.flows)
--- a/src/pollenmast/relay/_carrier.py
+++ b/src/pollenmast/relay/_forwarder.py
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen
-class Arrival:
+class IncomingDatagram:
     """A caller's datagram that matches no flow in the flow table.
 
     Attributes:
@@ -21,7 +21,7 @@
         packet: The unencrypted header fields of its first packet.
         data: The datagram.
         hops: How many relays have forwarded it.
-        via: Number of the VM that forwarded it, 0 for the fabric.
+        previous_hop: Number of the VM that forwarded it, 0 for the fabric.
     """
 
     listener: Listener
@@ -29,7 +29,7 @@
     packet: Packet
     data: bytes
     hops: int = 0
-    via: int = 0
+    previous_hop: int = 0
 
     @property
     def key(self) -> int:
@@ -37,12 +37,12 @@
         return flow_hash(self.listener.service.port, *self.caller)
 
     @property
-    def opens(self) -> bool:
+    def is_initial(self) -> bool:
         """Whether it may open a flow, as a QUIC Initial does."""
         return self.packet.type is PacketType.INITIAL
 
 
-class Carrier(abc.ABC):
+class FlowForwarder(abc.ABC):
     """Forwards flows, opens new ones and takes over those of other relays."""
 
     @property
@@ -55,7 +55,7 @@
         """Returns whether this relay may open flows."""
 
     @abc.abstractmethod
-    def on_datagram(self, arrival: Arrival, now: float) -> None:
+    def on_datagram(self, datagram: IncomingDatagram, now: float) -> None:
         """Handles a datagram that another relay forwarded."""
 
     @abc.abstractmethod
@@ -65,8 +65,8 @@
         caller: tuple[str, int],
         data: bytes,
         hops: int,
-        via: int,
-    ) -> Arrival | None:
+        previous_hop: int,
+    ) -> IncomingDatagram | None:
         """Parses a caller's datagram.
 
         Args:
@@ -74,7 +74,7 @@
             caller: The caller's IP address and port.
             data: The datagram.
             hops: How many relays have forwarded it.
-            via: Number of the VM that forwarded it, 0 for the fabric.
+            previous_hop: Number of the VM that forwarded it, 0 for the fabric.
 
         Returns:
             The datagram, or None if it is not a valid packet and was dropped
@@ -82,19 +82,19 @@
         """
 
     @abc.abstractmethod
-    def carry(self, flow: Flow, data: bytes, now: float) -> None:
+    def forward_to_upstream(self, flow: Flow, data: bytes, now: float) -> None:
         """Forwards a caller's datagram to the flow's upstream."""
 
     @abc.abstractmethod
-    def open(self, arrival: Arrival, now: float) -> None:
+    def open(self, datagram: IncomingDatagram, now: float) -> None:
         """Places, holds or refuses a new flow."""
 
     @abc.abstractmethod
-    def guess(self, arrival: Arrival, now: float) -> None:
+    def guess(self, datagram: IncomingDatagram, now: float) -> None:
         """Forwards an unknown flow in progress to its default endpoint."""
 
     @abc.abstractmethod
-    def without_owner(self, arrival: Arrival, now: float) -> None:
+    def on_no_owner(self, datagram: IncomingDatagram, now: float) -> None:
         """Handles a datagram while no VM owns flows."""
 
     @abc.abstractmethod
--- a/src/pollenmast/relay/_history.py
+++ b/src/pollenmast/relay/_history.py
@@ -4,14 +4,14 @@
 
 import attrs
 
-KEPT = 4096
+MAX_DECISIONS = 4096
 """Number of decisions kept.
 
 At 41 new flows per second they cover more than a minute and a half and take
 1 MB, as measured in a trial.
 """
 
-MOST_LINES = 50
+MAX_LINES = 50
 
 
 @attrs.frozen
@@ -38,10 +38,10 @@
 
     def __init__(self):
         self._decisions: collections.deque[Decision] = collections.deque(
-            maxlen=KEPT
+            maxlen=MAX_DECISIONS
         )
 
-    def note(self, decision: Decision) -> None:
+    def add(self, decision: Decision) -> None:
         """Adds a decision; the oldest is evicted when the log is full."""
         self._decisions.append(decision)
 
@@ -55,12 +55,12 @@
         found = [
             _line(decision, now)
             for decision in reversed(self._decisions)
-            if not subject or subject in _names(decision)
+            if not subject or subject in _subjects(decision)
         ]
-        return tuple(found[:MOST_LINES])
+        return tuple(found[:MAX_LINES])
 
 
-def _names(decision: Decision) -> tuple[str, ...]:
+def _subjects(decision: Decision) -> tuple[str, ...]:
     ip, port = decision.caller
     return (
         ip,
--- a/src/pollenmast/relay/_openings.py
+++ b/src/pollenmast/relay/_openings.py
@@ -17,7 +17,6 @@
     Refused,
 )
 from pollenmast.peers._records import endpoint_id
-from pollenmast.relay._carrier import Arrival
 from pollenmast.relay._flows import (
     TICKS_PER_S,
     Flow,
@@ -25,10 +24,11 @@
     Listener,
     Target,
 )
+from pollenmast.relay._forwarder import IncomingDatagram
 from pollenmast.relay._history import Decision, History
 from pollenmast.relay._table import FlowTable
 
-MOST_OPENINGS = 20_000
+MAX_OPENINGS = 20_000
 """Limit on flows that are opening at a time.
 
 At 41 new flows per second and up to 5 s for the answer, about 200 are usual,
@@ -37,7 +37,7 @@
 worst case.
 """
 
-MOST_DATAGRAMS = 4
+MAX_DATAGRAMS = 4
 """Number of first datagrams buffered for a hold or a retry.
 
 An Initial with a large ClientHello may be split in two, and each part may be
@@ -51,10 +51,10 @@
 to 1 s.
 """
 
-GIVE_UP_AFTER_S = 5.0
+OPENING_TIMEOUT_S = 5.0
 """Time without an answer after which an opening is abandoned, in seconds."""
 
-CALLER_QUIET_S = 1.2
+HELD_CALLER_TIMEOUT_S = 1.2
 """Silence after which a held caller counts as gone, in seconds.
 
 By RFC 9002 section 6.2 it sends its Initial again after 1 s at the latest.
@@ -72,9 +72,10 @@
         packet: The unencrypted header fields of the first Initial, needed to
             build a refusal.
         datagrams: The caller's datagrams so far, as forwarded.
-        began: When the first datagram arrived, in seconds.
-        heard: When the latest datagram arrived, in seconds.
-        sent: When the datagrams were sent to the current endpoint, in seconds.
+        began_at: When the first datagram arrived, in seconds.
+        heard_at: When the latest datagram arrived, in seconds.
+        sent_at: When the datagrams were sent to the current endpoint, in
+            seconds.
         flow: The flow, once it is placed.
         tried: Names of the endpoints tried.
         early_data: Whether 0-RTT was forwarded, which may carry a request.
@@ -85,9 +86,9 @@
     caller: tuple[str, int]
     packet: Packet
     datagrams: list[bytes]
-    began: float
-    heard: float
-    sent: float = 0.0
+    began_at: float
+    heard_at: float
+    sent_at: float = 0.0
     flow: Flow | None = None
     tried: tuple[str, ...] = ()
     early_data: bool = False
@@ -129,54 +130,60 @@
         self, opening: Opening, data: bytes, early_data: bool, now: float
     ) -> None:
         """Buffers a further datagram of an opening flow."""
-        opening.heard = now
+        opening.heard_at = now
         opening.early_data = opening.early_data or early_data
-        if len(opening.datagrams) < MOST_DATAGRAMS:
+        if len(opening.datagrams) < MAX_DATAGRAMS:
             opening.datagrams.append(data)
 
     def begin(
-        self, arrival: Arrival, data: bytes, early_data: bool, now: float
+        self,
+        datagram: IncomingDatagram,
+        data: bytes,
+        early_data: bool,
+        now: float,
     ) -> None:
         """Asks the dispatcher to place a new flow and applies the outcome.
 
         Args:
-            arrival: The caller's first datagram.
+            datagram: The caller's first datagram.
             data: The part of it that may be forwarded.
             early_data: Whether that part contains 0-RTT.
             now: The runtime's clock, in seconds.
         """
-        if len(self._by_ticket) >= MOST_OPENINGS:
+        if len(self._by_ticket) >= MAX_OPENINGS:
             self._counters.add(c.DROPS, c.DropReason.FLOW_TABLE_FULL)
             return
         self._ticket += 1
-        service = arrival.listener.service.number
+        service = datagram.listener.service.number
         request = FlowRequest(
-            self._ticket, service, arrival.caller[0], arrival.key
+            self._ticket, service, datagram.caller[0], datagram.key
         )
         opening = Opening(
             request,
-            arrival.listener,
-            arrival.caller,
-            arrival.packet,
+            datagram.listener,
+            datagram.caller,
+            datagram.packet,
             [data],
             now,
             now,
             early_data=early_data,
         )
-        self._remember(opening)
+        self._add(opening)
         outcome = self._dispatcher.on_new_flow(request, now)
         if isinstance(outcome, Held):
             self._counters.add(c.FLOWS_HELD)
             return
-        self._settle(opening, outcome, now)
+        self._apply_outcome(opening, outcome, now)
 
-    def refuse_draining(self, arrival: Arrival, retry_after_ms: int) -> None:
+    def refuse_draining(
+        self, datagram: IncomingDatagram, retry_after_ms: int
+    ) -> None:
         """Refuses a new flow, as this relay drains and knows no other VM."""
         self._counters.add(c.REFUSALS, c.RefusalReason.DRAINING)
-        data = refusal(arrival.packet, retry_after_ms)
-        arrival.listener.send(data, arrival.caller)
+        data = refusal(datagram.packet, retry_after_ms)
+        datagram.listener.send(data, datagram.caller)
 
-    def answered(self, flow: Flow, now: float) -> None:
+    def on_answered(self, flow: Flow, now: float) -> None:
         """Handles the upstream's first answer, which ends the opening."""
         opening = self._by_caller.get((flow.listener.service.port, flow.caller))
         if opening is not None and opening.flow is flow:
@@ -189,25 +196,25 @@
         for released in self._dispatcher.release(now):
             opening = self._by_ticket.get(released.ticket)
             if opening is not None:
-                self._settle(opening, released.outcome, now)
+                self._apply_outcome(opening, released.outcome, now)
         for opening in list(self._by_ticket.values()):
-            self._check(opening, now)
+            self._check_timeouts(opening, now)
 
-    def _check(self, opening: Opening, now: float) -> None:
+    def _check_timeouts(self, opening: Opening, now: float) -> None:
         if opening.flow is None:
-            if now - opening.heard > CALLER_QUIET_S:
+            if now - opening.heard_at > HELD_CALLER_TIMEOUT_S:
                 self._counters.add(c.DROPS, c.DropReason.CALLER_SILENT)
                 self._dispatcher.on_caller_gone(opening.request.ticket)
                 self._forget(opening)
             return
-        if now - opening.began > GIVE_UP_AFTER_S:
+        if now - opening.began_at > OPENING_TIMEOUT_S:
             self._abandon(opening, now)
-        elif now - opening.sent > RETRY_AFTER_S and not opening.early_data:
+        elif now - opening.sent_at > RETRY_AFTER_S and not opening.early_data:
             self._retry(opening, now)
 
     def _retry(self, opening: Opening, now: float) -> None:
         target = opening.flow.target
-        opening.sent = now
+        opening.sent_at = now
         self._dispatcher.on_unanswered(target.service, target.name, now)
         outcome = self._dispatcher.retry(opening.request, opening.tried, now)
         if isinstance(outcome, Placed):
@@ -217,7 +224,7 @@
         self._end_flow(opening, now)
         self._refuse(opening, outcome)
 
-    def _settle(
+    def _apply_outcome(
         self, opening: Opening, outcome: Placed | Refused, now: float
     ) -> None:
         if isinstance(outcome, Refused):
@@ -236,13 +243,13 @@
             self._refuse(opening, refused)
             return
         opening.tried = (*opening.tried, placed.endpoint)
-        opening.sent = now
+        opening.sent_at = now
         opening.flow.off_default = (
             placed.off_default or not self._table.may_guess(listener)
         )
         for data in opening.datagrams:
             opening.flow.path.send(data, target.address)
-        self._note(opening, placed.endpoint, placed.why, now)
+        self._log_decision(opening, placed.endpoint, placed.why, now)
 
     def _connect(self, opening: Opening, target: Target, now: float) -> bool:
         tick = int(now * TICKS_PER_S)
@@ -268,12 +275,12 @@
         self._counters.add(c.REFUSALS, refused.reason)
         data = refusal(opening.packet, refused.retry_after_ms)
         opening.listener.send(data, opening.caller)
-        self._note(
+        self._log_decision(
             opening,
             "",
             f"refused, {refused.reason.value}, "
             f"retry after {refused.retry_after_ms} ms",
-            opening.heard,
+            opening.heard_at,
         )
 
     def _abandon(self, opening: Opening, now: float) -> None:
@@ -291,7 +298,7 @@
         self._counters.add(c.FLOWS_ENDED)
         opening.flow = None
 
-    def _remember(self, opening: Opening) -> None:
+    def _add(self, opening: Opening) -> None:
         key = (opening.listener.service.port, opening.caller)
         self._by_caller[key] = opening
         self._by_ticket[opening.request.ticket] = opening
@@ -301,10 +308,10 @@
         self._by_caller.pop(key, None)
         self._by_ticket.pop(opening.request.ticket, None)
 
-    def _note(
+    def _log_decision(
         self, opening: Opening, endpoint: str, text: str, now: float
     ) -> None:
         service = opening.listener.service.name
-        self._history.note(
+        self._history.add(
             Decision(now, opening.caller, service, endpoint, text)
         )
--- a/src/pollenmast/relay/_outbox.py
+++ b/src/pollenmast/relay/_outbox.py
@@ -23,20 +23,20 @@
 busy for some heartbeats.
 """
 
-MOST_SENDS = 6
+MAX_SENDS = 6
 """Limit on transmissions of one batch.
 
 They take about 2 s in all; by then a dead receiver has been detected.
 """
 
-MOST_QUEUED = 100_000
+MAX_QUEUED = 100_000
 """Limit on records queued for one VM.
 
 Further records wait for the next change of members. This bounds memory when a
 VM does not answer.
 """
 
-FLUSH_S = 0.5
+FLUSH_INTERVAL_S = 0.5
 """Time for which records are collected into one batch, in seconds.
 
 A record takes 15 bytes, its envelope and acknowledgement 124; sent alone, a
@@ -70,7 +70,7 @@
         self._budget = TokenBucket(bytes_per_s, bytes_per_s * BURST_S)
         self._queues: dict[int, list[FlowRecord]] = {}
         self._batches: dict[int, _Batch] = {}
-        self._number = 0
+        self._last_number = 0
         self._flushed_at = 0.0
 
     @property
@@ -81,12 +81,12 @@
     def add(self, vm: int, record: FlowRecord) -> bool:
         """Queues a record for a VM; returns False if the queue is full."""
         queue = self._queues.setdefault(vm, [])
-        if len(queue) >= MOST_QUEUED:
+        if len(queue) >= MAX_QUEUED:
             return False
         queue.append(record)
         return True
 
-    def acknowledged(self, body: bytes) -> list[FlowRecord]:
+    def pop_acknowledged(self, body: bytes) -> list[FlowRecord]:
         """Removes an acknowledged batch and returns its records."""
         if len(body) < _BATCH.size:
             return []
@@ -104,9 +104,9 @@
         Returns:
             The records abandoned after the last transmission.
         """
-        given_up = self._resend(now)
-        if not urgent and now - self._flushed_at < FLUSH_S:
-            return given_up
+        abandoned = self._resend(now)
+        if not urgent and now - self._flushed_at < FLUSH_INTERVAL_S:
+            return abandoned
         self._flushed_at = now
         for vm, queue in list(self._queues.items()):
             while queue and (urgent or self._budget.available(now) > 0):
@@ -114,7 +114,7 @@
                 del queue[:MOST_RECORDS]
             if not queue:
                 del self._queues[vm]
-        return given_up
+        return abandoned
 
     def drop_vm(self, vm: int) -> list[FlowRecord]:
         """Removes and returns all records for a VM that has left."""
@@ -125,7 +125,7 @@
                 del self._batches[number]
         return dropped
 
-    def vms(self) -> set[int]:
+    def destinations(self) -> set[int]:
         """Returns the VMs that records are queued or unacknowledged for."""
         waiting = {batch.vm for batch in self._batches.values()}
         return waiting | set(self._queues)
@@ -133,25 +133,25 @@
     def _send_batch(
         self, vm: int, records: list[FlowRecord], now: float
     ) -> None:
-        self._number += 1
-        body = _BATCH.pack(self._number) + pack_records(records)
-        self._batches[self._number] = _Batch(vm, records, body, now)
+        self._last_number += 1
+        body = _BATCH.pack(self._last_number) + pack_records(records)
+        self._batches[self._last_number] = _Batch(vm, records, body, now)
         self._transmit(vm, body)
         self._counters.add(REPLICAS_SENT, amount=len(records))
 
     def _resend(self, now: float) -> list[FlowRecord]:
-        given_up: list[FlowRecord] = []
+        abandoned: list[FlowRecord] = []
         for number, batch in list(self._batches.items()):
             if now - batch.sent_at < RESEND_AFTER_S:
                 continue
-            if batch.sends >= MOST_SENDS:
-                given_up.extend(batch.records)
+            if batch.sends >= MAX_SENDS:
+                abandoned.extend(batch.records)
                 del self._batches[number]
                 continue
             batch.sends += 1
             batch.sent_at = now
             self._transmit(batch.vm, batch.body)
-        return given_up
+        return abandoned
 
     def _transmit(self, vm: int, body: bytes) -> None:
         size = len(body) + _OVERHEAD
--- a/src/pollenmast/relay/_post.py
+++ b/src/pollenmast/relay/_peer_sender.py
@@ -7,7 +7,7 @@
 from pollenmast.relay._table import Wire
 
 
-class Post:
+class PeerSender:
     """Sends messages to other relays."""
 
     def __init__(
@@ -19,7 +19,7 @@
         self._counters = counters
 
     def send(self, number: int, kind: Kind, body: bytes) -> None:
-        """Sends a message to a VM's relay; dropped if the VM is unknown."""
+        """Sends a message to a VM's relay; dropped if the VM is dead."""
         vm = self._fleet.vm(number)
         if vm is None:
             self._counters.add(c.DROPS, c.DropReason.NO_OWNER)
--- a/src/pollenmast/relay/_program.py
+++ b/src/pollenmast/relay/_program.py
@@ -36,7 +36,7 @@
 The same as the interval at which agents probe endpoints.
 """
 
-SETTLE_S = 1.0
+EXIT_DELAY_S = 1.0
 """Time for which a drained relay still runs before it exits, in seconds.
 
 The fabric's list of VMs lags; packets that it still sends here are forwarded
@@ -77,7 +77,7 @@
         )
         self._link.listen(address, relay.link_port)
         self._grace_s = relay.grace_s
-        self._stop_at: float | None = None
+        self._drain_deadline: float | None = None
         self._exit = EXIT_OK
 
     async def run(self) -> int:
@@ -122,13 +122,13 @@
             if isinstance(message, messages.FleetView):
                 self._core.on_view(message, now)
             elif isinstance(message, messages.DrainOrder):
-                self._stop(message.grace_s)
+                self._start_drain(message.grace_s)
             elif isinstance(message, messages.ExplainQuery):
                 await self._link.send(self._core.explain(message, now))
 
-    def _stop(self, grace_s: float) -> None:
-        if self._stop_at is None:
-            self._stop_at = anyio.current_time() + grace_s
+    def _start_drain(self, grace_s: float) -> None:
+        if self._drain_deadline is None:
+            self._drain_deadline = anyio.current_time() + grace_s
             self._log.write(STOPPING, grace_s=grace_s)
             self._core.drain()
 
@@ -136,7 +136,7 @@
         self, received: AsyncIterator[int], scope: anyio.CancelScope
     ) -> None:
         await anext(received)
-        self._stop(self._grace_s)
+        self._start_drain(self._grace_s)
         # Only a second signal ends the drain early: the first one may follow
         # the agent's drain order, if both programs are told to stop at once.
         await anext(received)
@@ -144,16 +144,16 @@
         scope.cancel()
 
     async def _watch_drain(self, scope: anyio.CancelScope) -> None:
-        while not self._over():
+        while not self._drain_finished():
             await anyio.sleep(TICK_S)
         await self._link.send(self._core.report(anyio.current_time()))
-        await anyio.sleep(SETTLE_S)
+        await anyio.sleep(EXIT_DELAY_S)
         scope.cancel()
 
-    def _over(self) -> bool:
-        if self._stop_at is None:
+    def _drain_finished(self) -> bool:
+        if self._drain_deadline is None:
             return False
-        late = anyio.current_time() >= self._stop_at
+        late = anyio.current_time() >= self._drain_deadline
         return late or self._core.drained()
 
 
@@ -168,8 +168,8 @@
         start, 3 if a second signal cut the shutdown short.
     """
     gc.set_threshold(*_GC_THRESHOLDS)
-    _, most_files = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most_files, most_files))
+    _, max_files = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (max_files, max_files))
     log = EventLog("relay", settings.vm.name)
     return anyio.run(_run, settings, log)
 
--- a/src/pollenmast/relay/_readiness.py
+++ b/src/pollenmast/relay/_readiness.py
@@ -9,14 +9,14 @@
 from pollenmast.manifest import Manifest
 from pollenmast.peers._messages import FleetView
 
-LEASE_S = 3.0
+VIEW_LEASE_S = 3.0
 """Maximum age of the latest view at which flows may be opened, in seconds.
 
 An agent sends one view per second. A relay that has missed three may be cut
 off from its agent, or may itself have been frozen.
 """
 
-FIRST_REPORTS_S = 3.0
+FIRST_REPORTS_TIMEOUT_S = 3.0
 """Maximum wait of a starting relay for reports of all endpoints, in seconds.
 
 Six probe intervals. A VM that has just joined has the manifest at once but
@@ -24,7 +24,7 @@
 flows there.
 """
 
-FROZEN_S = 1.0
+FREEZE_THRESHOLD_S = 1.0
 """Gap between two ticks beyond which the process was frozen, in seconds.
 
 50 ticks of 20 ms, which is longer than a garbage collection or a busy host
@@ -37,10 +37,10 @@
 
     def __init__(self, now: float):
         self._last_tick = now
-        self._last_view = now - 2 * LEASE_S
+        self._last_view = now - 2 * VIEW_LEASE_S
         self._wake = 1
-        self._informed = False
-        self._informed_by: float | None = None
+        self._all_reported = False
+        self._reports_deadline: float | None = None
         self._reported: set[tuple[int, str]] = set()
 
     @property
@@ -48,13 +48,15 @@
         """Number of starts and wake-ups from a freeze, which views repeat."""
         return self._wake
 
-    def fresh(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Returns whether the view is fresh enough to open flows."""
         # After a freeze, the process may read its sockets before its next tick.
-        awake = now - self._last_tick <= FROZEN_S
-        in_lease = now - self._last_view <= LEASE_S
-        waited = self._informed_by is not None and now >= self._informed_by
-        return awake and in_lease and (self._informed or waited)
+        awake = now - self._last_tick <= FREEZE_THRESHOLD_S
+        in_lease = now - self._last_view <= VIEW_LEASE_S
+        waited = (
+            self._reports_deadline is not None and now >= self._reports_deadline
+        )
+        return awake and in_lease and (self._all_reported or waited)
 
     def on_tick(self, now: float) -> None:
         """Records a tick; a long gap since the last one means a freeze.
@@ -64,9 +66,9 @@
         may still be buffered in the link. Each view must therefore repeat the
         wake number.
         """
-        if now - self._last_tick > FROZEN_S:
+        if now - self._last_tick > FREEZE_THRESHOLD_S:
             self._wake += 1
-            self._last_view = now - 2 * LEASE_S
+            self._last_view = now - 2 * VIEW_LEASE_S
         self._last_tick = now
 
     def on_view(
@@ -82,23 +84,25 @@
         Returns:
             Whether this relay's view was stale until now.
         """
-        was_fresh = self.fresh(now)
-        if not self._informed:
-            self._note_reports(view)
+        was_fresh = self.is_fresh(now)
+        if not self._all_reported:
+            self._add_reports(view)
         if manifest is not None:
-            if self._informed_by is None:
-                self._informed_by = now + FIRST_REPORTS_S
-            self._informed = self._informed or self._knows_all(manifest)
+            if self._reports_deadline is None:
+                self._reports_deadline = now + FIRST_REPORTS_TIMEOUT_S
+            self._all_reported = (
+                self._all_reported or self._covers_all_endpoints(manifest)
+            )
         if view.fresh and view.wake_seen == self._wake:
             self._last_view = now
-        return self.fresh(now) and not was_fresh
+        return self.is_fresh(now) and not was_fresh
 
-    def _note_reports(self, view: FleetView) -> None:
+    def _add_reports(self, view: FleetView) -> None:
         """Accumulates reports, as a view may hold only those that changed."""
         for report in view.reports:
             self._reported.add((report.service, report.endpoint))
 
-    def _knows_all(self, manifest: Manifest) -> bool:
+    def _covers_all_endpoints(self, manifest: Manifest) -> bool:
         """Returns whether every endpoint of the manifest has been reported."""
         return all(
             (service.number, endpoint.name) in self._reported
--- a/src/pollenmast/relay/_replicas.py
+++ b/src/pollenmast/relay/_replicas.py
@@ -4,7 +4,7 @@
 
 from pollenmast.peers._records import FlowRecord
 
-MOST_REPLICAS = 500_000
+MAX_REPLICAS = 500_000
 """Limit on stored records.
 
 Twice the flows of one relay, so that the whole table of another relay fits in
@@ -37,7 +37,7 @@
     def keep(self, record: FlowRecord, holder: int) -> bool:
         """Stores a record for its holder; returns False if there is no room."""
         key = (record.service_port, record.ip, record.port)
-        if len(self) >= MOST_REPLICAS and key not in self._replicas:
+        if len(self) >= MAX_REPLICAS and key not in self._replicas:
             return False
         self._replicas[key] = Replica(holder, record.endpoint)
         return True
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -25,20 +25,20 @@
     unpack_forwarded,
     unpack_found,
 )
-from pollenmast.relay._carrier import Arrival, Carrier
 from pollenmast.relay._custody import Custody
 from pollenmast.relay._directory import Directory
-from pollenmast.relay._post import Post
+from pollenmast.relay._forwarder import FlowForwarder, IncomingDatagram
+from pollenmast.relay._peer_sender import PeerSender
 from pollenmast.relay._replicas import Replica
 
-MOST_HOPS = 3
+MAX_HOPS = 3
 """Limit on forwarding hops of one datagram between relays.
 
 From the fabric it reaches any relay, then the owner, then the holder, and one
 more relay while views of the fleet differ.
 """
 
-ASK_AFTER_CHANGE_S = 5.0
+QUERY_AFTER_CHANGE_S = 5.0
 """Time after a change of owners in which Initials are queried too, in seconds.
 
 The second flight of a handshake is an Initial as well. If the new owner opened
@@ -47,7 +47,7 @@
 trips, and heartbeats spread a change within about 2 s.
 """
 
-QUESTIONS_PER_S = 5000.0
+QUERIES_PER_S = 5000.0
 """Limit on queries to other VMs per second.
 
 Without it, a flood of packets of sessions that never existed would be
@@ -64,43 +64,49 @@
     def __init__(
         self,
         fleet: Fleet,
-        carrier: Carrier,
+        forwarder: FlowForwarder,
         custody: Custody,
         directory: Directory,
-        post: Post,
+        peer_sender: PeerSender,
         counters: c.Counters,
     ):
         self._fleet = fleet
-        self._carrier = carrier
+        self._forwarder = forwarder
         self._custody = custody
         self._directory = directory
-        self._questions = TokenBucket(QUESTIONS_PER_S, QUESTIONS_PER_S)
-        self._post = post
+        self._query_budget = TokenBucket(QUERIES_PER_S, QUERIES_PER_S)
+        self._peer_sender = peer_sender
         self._counters = counters
 
-    def route(self, arrival: Arrival, now: float) -> None:
+    def route(self, datagram: IncomingDatagram, now: float) -> None:
         """Sends a datagram to its flow's relay, or handles it here."""
         replica = self._custody.replicas.find(
-            arrival.listener.service.port, arrival.caller
+            datagram.listener.service.port, datagram.caller
         )
-        if replica is not None and self._follow(replica, arrival, now):
+        if replica is not None and self._route_by_replica(
+            replica, datagram, now
+        ):
             return
-        owner = self._fleet.owner(arrival.key)
+        owner = self._fleet.owner(datagram.key)
         if owner is None:
-            self._carrier.without_owner(arrival, now)
-        elif self._cannot_open(owner, arrival, now):
-            self._pass_over(arrival, now)
-        elif owner.number in (self._fleet.me.number, arrival.via):
-            self._as_owner(arrival, now)
+            self._forwarder.on_no_owner(datagram, now)
+        elif self._owned_but_not_ready(owner, datagram, now):
+            self._forward_to_successor(datagram, now)
+        elif owner.number in (self._fleet.me.number, datagram.previous_hop):
+            self._handle_as_owner(datagram, now)
         else:
-            self._forward(owner.number, arrival, c.ForwardReason.OWNER)
+            self._forward(owner.number, datagram, c.ForwardReason.OWNER)
 
-    def _cannot_open(self, owner: Member, arrival: Arrival, now: float) -> bool:
+    def _owned_but_not_ready(
+        self, owner: Member, datagram: IncomingDatagram, now: float
+    ) -> bool:
         """Returns whether this VM owns a new flow but may not open it."""
         own = owner.number == self._fleet.me.number
-        return own and arrival.opens and not self._carrier.ready(now)
+        return own and datagram.is_initial and not self._forwarder.ready(now)
 
-    def _pass_over(self, arrival: Arrival, now: float) -> None:
+    def _forward_to_successor(
+        self, datagram: IncomingDatagram, now: float
+    ) -> None:
         """Forwards a new flow to the VM that would own it without this one.
 
         This VM's view of the fleet is stale: its agent is gone, or the relay
@@ -110,87 +116,93 @@
         opens the flow because the datagram comes from the VM that it takes for
         the owner.
         """
-        following = self._fleet.successor(arrival.key)
-        if following is None:
-            self._as_owner(arrival, now)
+        successor = self._fleet.successor(datagram.key)
+        if successor is None:
+            self._handle_as_owner(datagram, now)
         else:
             reason = c.ForwardReason.NOT_READY
-            self._forward(following.number, arrival, reason)
+            self._forward(successor.number, datagram, reason)
 
-    def _follow(self, replica: Replica, arrival: Arrival, now: float) -> bool:
+    def _route_by_replica(
+        self, replica: Replica, datagram: IncomingDatagram, now: float
+    ) -> bool:
         """Forwards a datagram to its holder, or adopts a dead holder's flow."""
         if self._fleet.carries(replica.holder):
-            if replica.holder == arrival.via:
+            if replica.holder == datagram.previous_hop:
                 return False
-            self._forward(replica.holder, arrival, c.ForwardReason.HOLDER)
+            self._forward(replica.holder, datagram, c.ForwardReason.HOLDER)
             return True
-        if not self._fleet.owns(arrival.key):
+        if not self._fleet.owns(datagram.key):
             return False
-        return self._adopt(replica, arrival, now)
-
-    def _adopt(self, replica: Replica, arrival: Arrival, now: float) -> bool:
-        flow = self._carrier.adopt(
-            arrival.listener,
-            arrival.caller,
+        return self._adopt(replica, datagram, now)
+
+    def _adopt(
+        self, replica: Replica, datagram: IncomingDatagram, now: float
+    ) -> bool:
+        flow = self._forwarder.adopt(
+            datagram.listener,
+            datagram.caller,
             replica.endpoint,
             c.RepathReason.ADOPTED,
             now,
         )
         if flow is None:
             return False
-        port = arrival.listener.service.port
-        self._custody.replicas.drop(port, arrival.caller)
-        self._carrier.carry(flow, arrival.data, now)
+        port = datagram.listener.service.port
+        self._custody.replicas.drop(port, datagram.caller)
+        self._forwarder.forward_to_upstream(flow, datagram.data, now)
         return True
 
-    def _as_owner(self, arrival: Arrival, now: float) -> None:
-        recent = now - self._fleet.changed_at < ASK_AFTER_CHANGE_S
-        if arrival.opens and not recent:
-            self._carrier.open(arrival, now)
+    def _handle_as_owner(self, datagram: IncomingDatagram, now: float) -> None:
+        recent = now - self._fleet.changed_at < QUERY_AFTER_CHANGE_S
+        if datagram.is_initial and not recent:
+            self._forwarder.open(datagram, now)
             return
         # The VM that forwarded the packet is not queried: it does not know the
         # flow, or has no relay.
-        asked = self._fleet.asked(arrival.key, but=arrival.via)
-        if asked and not self._questions.take(now):
+        asked = self._fleet.asked(datagram.key, but=datagram.previous_hop)
+        if asked and not self._query_budget.take(now):
             self._counters.add(c.DROPS, c.DropReason.UNKNOWN_FLOW)
             return
         if not asked:
-            self._decide_unknown(arrival, now)
+            self._handle_unknown_flow(datagram, now)
             return
         forwarded = _forwarded(
-            arrival,
+            datagram,
             hops=1,
             asker=self._fleet.me.number,
             next_asked=asked[1] if len(asked) > 1 else 0,
         )
         self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
-        self._post.send(asked[0], Kind.ASK, pack_forwarded(forwarded))
+        self._peer_sender.send(asked[0], Kind.ASK, pack_forwarded(forwarded))
 
-    def _decide_unknown(self, arrival: Arrival, now: float) -> None:
+    def _handle_unknown_flow(
+        self, datagram: IncomingDatagram, now: float
+    ) -> None:
         """Handles a flow known to no VM, being new or lost with its holder."""
-        if arrival.opens:
-            self._carrier.open(arrival, now)
-        elif not self._directory.search(arrival, now):
-            self._carrier.guess(arrival, now)
+        if datagram.is_initial:
+            self._forwarder.open(datagram, now)
+        elif not self._directory.search(datagram, now):
+            self._forwarder.guess(datagram, now)
 
     def _forward(
-        self, vm: int, arrival: Arrival, reason: c.ForwardReason
+        self, vm: int, datagram: IncomingDatagram, reason: c.ForwardReason
     ) -> None:
-        if arrival.hops >= MOST_HOPS:
+        if datagram.hops >= MAX_HOPS:
             self._counters.add(c.DROPS, c.DropReason.TOO_MANY_HOPS)
             return
         self._counters.add(c.FORWARDS, reason)
-        body = pack_forwarded(_forwarded(arrival, hops=arrival.hops + 1))
-        self._post.send(vm, Kind.FORWARD, body)
+        body = pack_forwarded(_forwarded(datagram, hops=datagram.hops + 1))
+        self._peer_sender.send(vm, Kind.FORWARD, body)
 
     def on_forward(self, opened: Opened, now: float) -> None:
         """Handles a datagram that another relay forwarded."""
         # If an agent forwarded it in place of its relay, nothing may be sent
         # back to that VM. This VM may not know yet that the relay is gone.
-        via = self._fleet.vm_behind(opened.sender)
-        arrival = self._read(self._unpack(opened), via)
-        if arrival is not None:
-            self._carrier.on_datagram(arrival, now)
+        previous_hop = self._fleet.vm_behind(opened.sender)
+        datagram = self._read(self._unpack(opened), previous_hop)
+        if datagram is not None:
+            self._forwarder.on_datagram(datagram, now)
 
     def on_ask(self, opened: Opened, now: float) -> None:
         """Forwards a queried datagram to its flow, or queries the next VM."""
@@ -198,11 +210,11 @@
         if forwarded is None:
             return
         caller = (forwarded.ip, forwarded.port)
-        listener = self._carrier.table.at_port(forwarded.service_port)
+        listener = self._forwarder.table.listener_at(forwarded.service_port)
         flow = listener.flows.get(caller) if listener else None
         if flow is not None:
-            self._carrier.carry(flow, forwarded.data, now)
-            self._custody.tell_keeper(flow, forwarded.asker)
+            self._forwarder.forward_to_upstream(flow, forwarded.data, now)
+            self._custody.replicate_to_asker(flow, forwarded.asker)
             return
         replica = self._custody.replicas.find(forwarded.service_port, caller)
         if replica is not None:
@@ -219,32 +231,32 @@
             passed = attrs.evolve(forwarded, asker=0, next_asked=0, hops=2)
             self._counters.add(c.FORWARDS, c.ForwardReason.HOLDER)
             body = pack_forwarded(passed)
-            self._post.send(replica.holder, Kind.FORWARD, body)
+            self._peer_sender.send(replica.holder, Kind.FORWARD, body)
             return
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
         found = pack_found(Found(replica.endpoint, False, forwarded))
-        self._post.send(forwarded.asker, Kind.FOUND, found)
+        self._peer_sender.send(forwarded.asker, Kind.FOUND, found)
 
     def _ask_next(self, forwarded: Forwarded) -> None:
         if self._may_be_anothers(forwarded):
             self._counters.add(c.DROPS, c.DropReason.UNKNOWN_FLOW)
             return
-        following = forwarded.next_asked
-        if following and self._fleet.carries(following):
+        next_vm = forwarded.next_asked
+        if next_vm and self._fleet.carries(next_vm):
             self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
             body = pack_forwarded(attrs.evolve(forwarded, next_asked=0))
-            self._post.send(following, Kind.ASK, body)
+            self._peer_sender.send(next_vm, Kind.ASK, body)
             return
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
         body = pack_forwarded(forwarded)
-        self._post.send(forwarded.asker, Kind.UNKNOWN, body)
+        self._peer_sender.send(forwarded.asker, Kind.UNKNOWN, body)
 
     def on_find(self, opened: Opened, now: float) -> None:
         """Answers a query for the connection id in a datagram."""
         del now
         forwarded = self._unpack(opened)
         if forwarded is not None:
-            self._directory.answer(forwarded)
+            self._directory.answer_query(forwarded)
 
     def on_found(self, opened: Opened, now: float) -> None:
         """Forwards a datagram whose endpoint another VM has found."""
@@ -253,33 +265,33 @@
             self._counters.add(c.ENVELOPE_FAULTS, unpacked.unwrap_err())
             return
         found = unpacked.unwrap()
-        arrival = self._read(found.forwarded, opened.sender)
-        if arrival is None:
+        datagram = self._read(found.forwarded, opened.sender)
+        if datagram is None:
             return
-        flow = arrival.listener.flows.get(arrival.caller)
+        flow = datagram.listener.flows.get(datagram.caller)
         if flow is None:
             moved = found.caller_moved
             reasons = c.RepathReason
-            flow = self._carrier.adopt(
-                arrival.listener,
-                arrival.caller,
+            flow = self._forwarder.adopt(
+                datagram.listener,
+                datagram.caller,
                 found.endpoint,
                 reasons.CALLER_MOVED if moved else reasons.ADOPTED,
                 now,
             )
         if flow is not None:
-            self._carrier.carry(flow, arrival.data, now)
+            self._forwarder.forward_to_upstream(flow, datagram.data, now)
 
     def on_not_found(self, opened: Opened, now: float) -> None:
         """Handles a datagram whose connection id no VM has stored."""
-        arrival = self._read(self._unpack(opened), opened.sender)
-        if arrival is None:
+        datagram = self._read(self._unpack(opened), opened.sender)
+        if datagram is None:
             return
-        flow = arrival.listener.flows.get(arrival.caller)
+        flow = datagram.listener.flows.get(datagram.caller)
         if flow is None:
-            self._carrier.guess(arrival, now)
+            self._forwarder.guess(datagram, now)
         else:
-            self._carrier.carry(flow, arrival.data, now)
+            self._forwarder.forward_to_upstream(flow, datagram.data, now)
 
     def _may_be_anothers(self, forwarded: Forwarded) -> bool:
         """Returns whether a packet may be for the port's previous service.
@@ -287,8 +299,8 @@
         The VM that asks may have joined after the port was reassigned, and
         would forward the packet to the default endpoint of the new service.
         """
-        table = self._carrier.table
-        listener = table.at_port(forwarded.service_port)
+        table = self._forwarder.table
+        listener = table.listener_at(forwarded.service_port)
         in_session = not forwarded.data or not forwarded.data[0] & LONG_HEADER
         return in_session and (
             listener is not None and not table.may_guess(listener)
@@ -297,24 +309,26 @@
     def on_unknown(self, opened: Opened, now: float) -> None:
         """Handles the return of a datagram whose flow no queried VM knows."""
         forwarded = self._unpack(opened)
-        arrival = self._read(forwarded, opened.sender)
-        if arrival is None:
+        datagram = self._read(forwarded, opened.sender)
+        if datagram is None:
             return
-        flow = arrival.listener.flows.get(arrival.caller)
+        flow = datagram.listener.flows.get(datagram.caller)
         if flow is not None:
-            self._carrier.carry(flow, arrival.data, now)
+            self._forwarder.forward_to_upstream(flow, datagram.data, now)
             return
-        self._decide_unknown(arrival, now)
+        self._handle_unknown_flow(datagram, now)
 
-    def _read(self, forwarded: Forwarded | None, sender: int) -> Arrival | None:
+    def _read(
+        self, forwarded: Forwarded | None, sender: int
+    ) -> IncomingDatagram | None:
         if forwarded is None:
             return None
-        listener = self._carrier.table.at_port(forwarded.service_port)
+        listener = self._forwarder.table.listener_at(forwarded.service_port)
         if listener is None:
             self._counters.add(c.DROPS, c.DropReason.UNKNOWN_SERVICE)
             return None
         caller = (forwarded.ip, forwarded.port)
-        return self._carrier.read(
+        return self._forwarder.read(
             listener, caller, forwarded.data, forwarded.hops, sender
         )
 
@@ -327,15 +341,15 @@
 
 
 def _forwarded(
-    arrival: Arrival, hops: int, asker: int = 0, next_asked: int = 0
+    datagram: IncomingDatagram, hops: int, asker: int = 0, next_asked: int = 0
 ) -> Forwarded:
-    ip, port = arrival.caller
+    ip, port = datagram.caller
     return Forwarded(
-        arrival.listener.service.port,
+        datagram.listener.service.port,
         ip,
         port,
         hops,
-        arrival.data,
+        datagram.data,
         asker,
         next_asked,
     )
--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -21,7 +21,7 @@
 from pollenmast.relay._table import Wire
 from pollenmast.upstreams._paths import Path
 
-MOST_DATAGRAM_BYTES = 9216
+MAX_DATAGRAM_BYTES = 9216
 """Size of the largest datagram forwarded, in bytes: a jumbo frame.
 
 QUIC packets beyond the path's MTU do not occur, and a buffer of 64 KiB per
@@ -35,10 +35,10 @@
 a batch takes at most a third of a millisecond.
 """
 
-ROUNDS = 8
+MAX_ROUNDS = 8
 """Limit on rounds over all readable sockets before other tasks may run."""
 
-MOST_EVENTS = 512
+MAX_EVENTS = 512
 
 
 class _SocketListener(Listener):
@@ -82,9 +82,9 @@
         self._address = address
         self._log = log
         self._epoll = select.epoll()
-        self._by_fd: dict[int, object] = {}
-        self._peers = udp_socket(address, peer_port)
-        self._register(self._peers, None)
+        self._receivers_by_fd: dict[int, object] = {}
+        self._peer_socket = udp_socket(address, peer_port)
+        self._register(self._peer_socket, None)
 
     def open_listener(self, service: Service) -> Listener | None:
         """Opens a service's port towards callers; returns None on failure."""
@@ -115,38 +115,38 @@
 
     def send_peer(self, data: bytes, address: tuple[str, int]) -> None:
         """Sends a sealed envelope to another relay."""
-        _send(self._peers, data, address)
+        _send(self._peer_socket, data, address)
 
     async def pump(self, core: RelayCore) -> None:
         """Forwards packets until it is cancelled."""
         while True:
             await anyio.wait_readable(self._epoll.fileno())
-            for _ in range(ROUNDS):
+            for _ in range(MAX_ROUNDS):
                 if not self.pump_once(core):
                     break
             await anyio.sleep(0)
 
     def pump_once(self, core: RelayCore) -> bool:
         """Reads a batch from each readable socket; returns whether any was."""
-        events = self._epoll.poll(0, MOST_EVENTS)
+        events = self._epoll.poll(0, MAX_EVENTS)
         now = anyio.current_time() if events else 0.0
         for fd, _ in events:
-            owner = self._by_fd.get(fd)
-            if owner is None:
-                _drain_peers(self._peers, core, now)
-            elif isinstance(owner, _SocketPath):
-                drain_path(owner, core, now)
+            receiver = self._receivers_by_fd.get(fd)
+            if receiver is None:
+                _receive_from_peers(self._peer_socket, core, now)
+            elif isinstance(receiver, _SocketPath):
+                forward_from_upstreams(receiver, core, now)
             else:
-                drain_listener(owner, core, now)
+                forward_from_callers(receiver, core, now)
         return bool(events)
 
     def close(self) -> None:
         """Closes the sockets that the flow table does not own."""
-        self._peers.close()
+        self._peer_socket.close()
         self._epoll.close()
 
-    def _register(self, sock: socket.socket, owner: object) -> None:
-        self._by_fd[sock.fileno()] = owner
+    def _register(self, sock: socket.socket, receiver: object) -> None:
+        self._receivers_by_fd[sock.fileno()] = receiver
         self._epoll.register(sock.fileno(), select.EPOLLIN)
 
 
@@ -158,7 +158,7 @@
         return
 
 
-def drain_listener(
+def forward_from_callers(
     listener: _SocketListener, core: RelayCore, now: float
 ) -> None:
     """Forwards a batch of callers' datagrams to their upstreams.
@@ -171,7 +171,7 @@
     tick = core.tick_now
     for _ in range(BATCH):
         try:
-            data, caller = recvfrom(MOST_DATAGRAM_BYTES)
+            data, caller = recvfrom(MAX_DATAGRAM_BYTES)
         except OSError:
             return
         flow = flows.get(caller)
@@ -186,14 +186,16 @@
             core.counters.add(c.DROPS, c.DropReason.SEND_FAILED)
 
 
-def drain_path(path: _SocketPath, core: RelayCore, now: float) -> None:
+def forward_from_upstreams(
+    path: _SocketPath, core: RelayCore, now: float
+) -> None:
     """Forwards a batch of upstreams' datagrams to their callers."""
     recvfrom = path.recvfrom
     flows = path.flows
     tick = core.tick_now
     for _ in range(BATCH):
         try:
-            data, upstream = recvfrom(MOST_DATAGRAM_BYTES)
+            data, upstream = recvfrom(MAX_DATAGRAM_BYTES)
         except OSError:
             return
         flow = flows.get(upstream)
@@ -211,10 +213,12 @@
             core.counters.add(c.DROPS, c.DropReason.SEND_FAILED)
 
 
-def _drain_peers(sock: socket.socket, core: RelayCore, now: float) -> None:
+def _receive_from_peers(
+    sock: socket.socket, core: RelayCore, now: float
+) -> None:
     for _ in range(BATCH):
         try:
-            data = sock.recv(MOST_DATAGRAM_BYTES)
+            data = sock.recv(MAX_DATAGRAM_BYTES)
         except OSError:
             return
         core.on_peer(data, now)
--- a/src/pollenmast/relay/_table.py
+++ b/src/pollenmast/relay/_table.py
@@ -7,7 +7,7 @@
 from pollenmast.relay._flows import Flow, FlowState, Listener, Target
 from pollenmast.upstreams._paths import Path, PathPool
 
-REUSED_REST_S = 30.0
+REUSED_PORT_QUARANTINE_S = 30.0
 """Time for which a reassigned port opens no flows, in seconds.
 
 Callers' libraries abandon a handshake by then, so that no more Initials for the
@@ -36,15 +36,15 @@
 class FlowTable:
     """The flows that this relay forwards, with their ports and endpoints."""
 
-    def __init__(self, wire: Wire, most_flows: int):
+    def __init__(self, wire: Wire, max_flows: int):
         self._wire = wire
-        self._most_flows = most_flows
+        self._max_flows = max_flows
         self._pool = PathPool(wire.open_path)
         self._listeners: dict[int, Listener] = {}
         self._services: dict[int, Listener] = {}
         self._targets: dict[int, Target] = {}
-        self._unopened: dict[int, Service] = {}
-        self._reused: dict[int, float] = {}
+        self._unopened_services: dict[int, Service] = {}
+        self._reused_since: dict[int, float] = {}
         self._flows = 0
         self._moved: dict[tuple[int, str, int], Flow] = {}
 
@@ -56,7 +56,7 @@
     @property
     def full(self) -> bool:
         """Whether the table has no room for another flow."""
-        return self._flows >= self._most_flows
+        return self._flows >= self._max_flows
 
     @property
     def listeners(self) -> list[Listener]:
@@ -75,7 +75,7 @@
 
     def set_manifest(self, manifest: Manifest, now: float) -> None:
         """Applies a manifest."""
-        self._unopened = {}
+        self._unopened_services = {}
         for service in manifest.services:
             self._set_service(service, now)
         numbers = {service.number for service in manifest.services}
@@ -83,13 +83,13 @@
             del self._services[number]
         self._set_targets(manifest)
 
-    def tend(self, now: float) -> None:
+    def maintain_ports(self, now: float) -> None:
         """Retries ports that failed to open, and closes unused ones.
 
         Another program may use a port for a while. Without a retry, this VM
         would lose the service's packets until the next manifest.
         """
-        for service in list(self._unopened.values()):
+        for service in list(self._unopened_services.values()):
             self._set_service(service, now)
         for port, listener in list(self._listeners.items()):
             gone = listener.service.number not in self._services
@@ -102,17 +102,17 @@
         if listener is None:
             listener = self._wire.open_listener(service)
             if listener is None:
-                self._unopened[service.port] = service
+                self._unopened_services[service.port] = service
                 return
-            self._unopened.pop(service.port, None)
+            self._unopened_services.pop(service.port, None)
             self._listeners[service.port] = listener
             if service.port_since:
                 # This VM joined after the port was reassigned and has not seen
                 # its previous service. It must not forward that service's
                 # sessions to a default endpoint.
-                self._reused.setdefault(service.port, _LONG_AGO)
+                self._reused_since.setdefault(service.port, _LONG_AGO)
         if listener.service.number != service.number:
-            self._reused[service.port] = now
+            self._reused_since[service.port] = now
         listener.service = service
         self._services[service.number] = listener
 
@@ -140,7 +140,7 @@
         """Returns the port of the service with this number, or None."""
         return self._services.get(service)
 
-    def at_port(self, port: int) -> Listener | None:
+    def listener_at(self, port: int) -> Listener | None:
         """Returns the open port with this port number, or None."""
         return self._listeners.get(port)
 
@@ -155,17 +155,17 @@
         service. A guess would send a packet meant for the registry to barcodes,
         and the caller would see its session reset by an unrelated endpoint.
         """
-        return listener.service.port not in self._reused
+        return listener.service.port not in self._reused_since
 
-    def rests(self, listener: Listener, now: float) -> bool:
+    def in_quarantine(self, listener: Listener, now: float) -> bool:
         """Returns whether a port was recently reassigned to another service.
 
         The network may still repeat the Initial of a session with the previous
         service. It would open a flow at the new service, and the session's
         packets would follow it there.
         """
-        since = self._reused.get(listener.service.port)
-        return since is not None and now - since < REUSED_REST_S
+        since = self._reused_since.get(listener.service.port)
+        return since is not None and now - since < REUSED_PORT_QUARANTINE_S
 
     def open(
         self,
@@ -253,7 +253,7 @@
         flow.target.flows -= 1
         self._flows -= 1
 
-    def every_flow(self) -> list[Flow]:
+    def all_flows(self) -> list[Flow]:
         """Returns a snapshot of all flows, including moved ones."""
         return [
             flow for path in self._pool.paths for flow in path.flows.values()
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -21,28 +21,28 @@
 from pollenmast.relay._table import FlowTable
 from pollenmast.settings import RelaySettings
 
-SLICE = 2_000
+FLOWS_PER_TICK = 2_000
 """Number of flows scanned per tick of 20 ms.
 
 A pass over 200,000 flows takes 2 s and some percent of a core, as measured by
 `python -m bench run capacity`.
 """
 
-PASS_S = 0.5
+PASS_INTERVAL_S = 0.5
 """Minimum time between the starts of two passes, in seconds.
 
 The conditions that a pass looks for take seconds to arise, so that a small
 table need not be scanned at every tick.
 """
 
-CHECKED_SLICE = 200
+CHECKED_FLOWS_PER_TICK = 200
 """Number of flows scanned per tick while owners or defaults are recomputed.
 
 This happens after a change of members or of the manifest, and takes many times
 as long per flow.
 """
 
-GUESS_S = 5.0
+GUESS_TIMEOUT_S = 5.0
 """Time in which the endpoint of a guessed flow must answer, in seconds.
 
 Without this limit, a flood of forged packets would fill the table.
@@ -70,7 +70,7 @@
         self._custody = custody
         self._dispatcher = dispatcher
         self._counters = counters
-        self._repaths = TokenBucket(PER_SECOND, BURST)
+        self._repath_budget = TokenBucket(PER_SECOND, BURST)
         self._pending: list[Flow] = []
         self._next_pass = 0.0
         self._changes_seen = 0
@@ -95,9 +95,9 @@
         if not self._pending:
             if now < self._next_pass:
                 return
-            self._next_pass = now + PASS_S
+            self._next_pass = now + PASS_INTERVAL_S
             self._begin_pass()
-        size = CHECKED_SLICE if self._checks else SLICE
+        size = CHECKED_FLOWS_PER_TICK if self._checks else FLOWS_PER_TICK
         flows = self._pending[-size:]
         del self._pending[-size:]
         idle_since = tick - int(self._settings.idle_s * TICKS_PER_S)
@@ -111,10 +111,10 @@
                 and flow.heard > idle_since
             ):
                 continue
-            self._look_at(flow, now, tick, idle_since)
+            self._inspect(flow, now, tick, idle_since)
 
     def _begin_pass(self) -> None:
-        self._pending = self._table.every_flow()
+        self._pending = self._table.all_flows()
         self._check_backups = self._changes_seen != self._fleet.changes
         self._changes_seen = self._fleet.changes
         self._check_defaults = self._new_defaults
@@ -123,7 +123,7 @@
             self._check_backups or self._check_defaults or self._draining
         )
 
-    def _look_at(
+    def _inspect(
         self, flow: Flow, now: float, tick: int, idle_since: int
     ) -> None:
         if flow.path.flows.get(flow.target.address) is not flow:
@@ -132,20 +132,20 @@
         if (
             last < idle_since
             or self._unproved(flow, tick)
-            or self._given_up(flow, tick)
+            or self._handover_expired(flow, tick)
         ):
             self._end(flow, now)
         elif flow.state in (FlowState.CARRIED, FlowState.ADOPTED):
-            self._keep(flow, now, tick)
+            self._maintain(flow, now, tick)
 
     def _unproved(self, flow: Flow, tick: int) -> bool:
         """Returns whether a guessed flow got no answer in time."""
         waited = tick - flow.opened
         return flow.state is FlowState.GUESSED and waited > (
-            GUESS_S * TICKS_PER_S
+            GUESS_TIMEOUT_S * TICKS_PER_S
         )
 
-    def _given_up(self, flow: Flow, tick: int) -> bool:
+    def _handover_expired(self, flow: Flow, tick: int) -> bool:
         """Returns whether a draining relay may end a handed-over flow.
 
         A session that its caller has closed is never answered on its new path,
@@ -162,21 +162,21 @@
 
     def _end(self, flow: Flow, now: float) -> None:
         if flow.state is not FlowState.MOVED:
-            self._custody.ended(flow)
+            self._custody.delete_record(flow)
             self._dispatcher.on_flow_ended(
                 flow.target.service, flow.target.name, now
             )
         self._table.end(flow, now)
         self._counters.add(c.FLOWS_ENDED)
 
-    def _keep(self, flow: Flow, now: float, tick: int) -> None:
+    def _maintain(self, flow: Flow, now: float, tick: int) -> None:
         if flow.unanswered:
             self._repair(flow, now, tick)
         if self._draining:
             self._hand_over(flow)
             return
         if self._check_defaults:
-            self._check_default(flow)
+            self._update_off_default(flow)
         if not flow.backup or self._check_backups:
             self._replicate(flow)
 
@@ -185,7 +185,7 @@
         if owner is not None and owner.number != self._fleet.me.number:
             self._custody.hand_over(flow, owner.number)
 
-    def _check_default(self, flow: Flow) -> None:
+    def _update_off_default(self, flow: Flow) -> None:
         # A VM that does not know the flow sees only its port, which may belong
         # to another service by now.
         service = flow.listener.service.number
@@ -210,7 +210,7 @@
         if backup != flow.backup:
             self._custody.replicate(flow, backup)
 
-    def _answers_others(self, flow: Flow, tick: int) -> bool:
+    def _endpoint_answers_others(self, flow: Flow, tick: int) -> bool:
         """Returns whether the endpoint answered other flows after this one."""
         last = flow.target.answered
         fresh = tick - last < ENDPOINT_ALIVE_S * TICKS_PER_S
@@ -221,9 +221,9 @@
             flow.unanswered,
             (tick - flow.answered) / TICKS_PER_S,
             (tick - flow.heard) / TICKS_PER_S,
-            self._answers_others(flow, tick),
+            self._endpoint_answers_others(flow, tick),
         )
-        if not silent or not self._repaths.take(now):
+        if not silent or not self._repath_budget.take(now):
             return
         # The tick lies in the future, so that the flow counts as silent again
         # only after the retry interval.
--- a/tests/relay_core_test.py
+++ b/tests/relay_core_test.py
@@ -24,7 +24,7 @@
 _CALLERS = [f"c{n}" for n in range(40)]
 
 
-class CarryTest(TestCase):
+class ForwardTest(TestCase):
     """A flow's packets reach its endpoint through any VM."""
 
     def test_any_vm(self):
@@ -177,7 +177,7 @@
         joining.on_view(told, net.now)
         self.assertTrue(joining.ready(net.now))
 
-    def test_joining_waits_no_longer(self):
+    def test_joining_wait_is_bounded(self):
         """A VM does not wait longer for a report that never comes."""
         net = Net(vms=1)
         view = attrs.evolve(net.view(net.relays[1]), reports=())
--- a/tests/relay_custody_test.py
+++ b/tests/relay_custody_test.py
@@ -4,7 +4,7 @@
 from testtools import TestCase
 
 from pollenmast import counters as c
-from pollenmast.relay._carrier import Arrival
+from pollenmast.relay._forwarder import IncomingDatagram
 from standins.memory import (
     REGISTRY,
     Net,
@@ -13,13 +13,13 @@
     short,
     vm,
 )
-from tests.relay_crowd import (
+from tests.relay_sessions import (
     CALLERS,
-    REPLICATED_S,
-    not_last,
-    opened,
-    say_all,
-    unlike,
+    REPLICATION_WAIT_S,
+    net_with_sessions,
+    send_from_all,
+    unexpected_last,
+    unexpected_runs,
 )
 
 
@@ -28,25 +28,25 @@
 
     def test_handover(self):
         """Every flow continues on another VM, and the leaving one drains."""
-        net = opened()
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net = net_with_sessions()
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         net.declare_leaving(1)
         net.advance(2.0)
-        say_all(net, "after")
+        send_from_all(net, "after")
         net.advance(2.0)
-        self.assertEqual({}, unlike(net, "before", "after"))
+        self.assertEqual({}, unexpected_runs(net, "before", "after"))
         self.assertEqual([], net.strangers)
         self.assertTrue(net.relays[1].drained())
 
     def test_young_flows(self):
         """Flows opened just before the stop are handed over as well."""
-        net = opened()
+        net = net_with_sessions()
         net.declare_leaving(2)
         net.advance(1.0)
         net.kill(2)
         net.declare_dead(2)
-        say_all(net, "after")
-        self.assertEqual({}, unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        self.assertEqual({}, unexpected_runs(net, "before", "after"))
 
     def test_answers_meanwhile(self):
         """Answers on the old path still reach the caller after a hand-over.
@@ -54,7 +54,7 @@
         An upstream learns the new path only from its caller's next packet.
         Until then its alerts arrive at the leaving relay, which forwards them.
         """
-        net = opened()
+        net = net_with_sessions()
         net.declare_leaving(1)
         net.advance(1.0)
         moved = [t for t in CALLERS if net.sessions[t].path.number == 1]
@@ -72,25 +72,28 @@
         The relay cannot see that they ended. If it kept their paths until they
         count as idle, operators would wait minutes for each VM.
         """
-        net = opened()
+        net = net_with_sessions()
         net.declare_leaving(1)
         net.advance(20.0)
         self.assertTrue(net.relays[1].drained())
 
     def test_rolling_replacement(self):
         """Replacing all VMs one after the other breaks no flow."""
-        net = opened()
+        net = net_with_sessions()
         for old, new in ((1, 4), (2, 5), (3, 6)):
             net.start(new)
             net.advance(1.0)
             net.declare_leaving(old)
             net.advance(1.0)
-            say_all(net, f"without {old}")
+            send_from_all(net, f"without {old}")
             net.advance(1.0)
             net.kill(old)
             net.declare_dead(old)
         self.assertEqual(
-            {}, unlike(net, *["before", "without 1", "without 2", "without 3"])
+            {},
+            unexpected_runs(
+                net, *["before", "without 1", "without 2", "without 3"]
+            ),
         )
 
     def test_new_flow_without_other_vm(self):
@@ -113,12 +116,12 @@
         Packets are lost until the death is detected. After that, each flow
         reaches the endpoint that knows it.
         """
-        net = opened(vms)
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net = net_with_sessions(vms)
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         net.kill(1)
         net.declare_dead(1)
-        say_all(net, "after")
-        self.assertEqual({}, unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        self.assertEqual({}, unexpected_runs(net, "before", "after"))
         self.assertEqual([], net.strangers)
 
     def test_without_records(self):
@@ -127,12 +130,12 @@
         Their endpoint can be computed, which is why they need no record. Only
         flows that were placed elsewhere because of load break.
         """
-        net = opened(replicate_after_s=1e9)
+        net = net_with_sessions(replicate_after_s=1e9)
         placed_elsewhere = {tag for tag in CALLERS if net.flow(tag).off_default}
         net.kill(1)
         net.declare_dead(1)
-        say_all(net, "after")
-        broken = set(unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        broken = set(unexpected_runs(net, "before", "after"))
         self.assertEqual(set(), broken - placed_elsewhere)
 
     def test_zone_lost(self):
@@ -141,26 +144,26 @@
         Records are stored in another zone, so no flow loses both its holder
         and its record.
         """
-        net = opened(vms=6)
+        net = net_with_sessions(vms=6)
         net.manifest = manifest(version=2, endpoints=4)
         net.publish()
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         for number in (3, 6):
             net.kill(number)
         for number in (3, 6):
             net.declare_dead(number)
-        say_all(net, "after")
-        self.assertEqual({}, unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        self.assertEqual({}, unexpected_runs(net, "before", "after"))
 
-    def test_half_lost(self):
+    def test_half_of_fleet_lost(self):
         """Half of the fleet, in all zones, is lost at once.
 
         Only a flow that is off its default endpoint and has lost both its
         holder and its backup may break. All others continue, and none runs
         anything twice.
         """
-        net = opened(vms=6)
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net = net_with_sessions(vms=6)
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         lost = (1, 2, 3)
         numbers = {net.relays[number].fleet.me.number for number in lost}
         excused = {
@@ -174,8 +177,8 @@
             net.kill(number)
         for number in lost:
             net.declare_dead(number)
-        say_all(net, "after")
-        broken = set(unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        broken = set(unexpected_runs(net, "before", "after"))
         self.assertEqual(set(), broken - excused)
         self.assertLess(len(excused), len(CALLERS) / 4)
 
@@ -185,15 +188,17 @@
         The owner must store the record of a flow held by another VM, as it is
         the one that will be queried.
         """
-        net = opened()
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net = net_with_sessions()
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         net.start(4)
-        net.keep_alive(CALLERS, REPLICATED_S)
-        say_all(net, "joined")
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
+        send_from_all(net, "joined")
         net.kill(1)
         net.declare_dead(1)
-        say_all(net, "after")
-        self.assertEqual({}, unlike(net, *["before", "joined", "after"]))
+        send_from_all(net, "after")
+        self.assertEqual(
+            {}, unexpected_runs(net, *["before", "joined", "after"])
+        )
 
     def test_relay_restarted(self):
         """A relay crashes and restarts before its death is detected.
@@ -201,20 +206,20 @@
         It still owns its flows but knows none of them. It learns them from the
         VMs that store their records and connection ids.
         """
-        net = opened()
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net = net_with_sessions()
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         net.kill(1)
         net.start(1)
-        say_all(net, "after")
-        self.assertEqual({}, unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        self.assertEqual({}, unexpected_runs(net, "before", "after"))
 
-    def test_guess_yields(self):
+    def test_record_replaces_guess(self):
         """A guessed flow is dropped when its holder sends a record.
 
         The holder knows the session's endpoint. If the guess took precedence,
         the caller would stay at an endpoint that does not know its session.
         """
-        net = opened(vms=2)
+        net = net_with_sessions(vms=2)
         net.start(3)
         owner = net.relays[3]
         listener = owner.table.listener(REGISTRY)
@@ -222,21 +227,21 @@
             tag
             for tag in CALLERS
             if owner.fleet.owns(
-                Arrival(listener, address_of(tag), None, b"").key
+                IncomingDatagram(listener, address_of(tag), None, b"").key
             )
         )
         (holder,) = net.holders(tag)
         caller = address_of(tag)
-        arrival = owner.read(listener, caller, short(tag), 0, 0)
+        datagram = owner.read(listener, caller, short(tag), 0, 0)
         net.silent_upstreams.update(t.address for t in owner.table.targets)
-        owner.guess(arrival, net.now)
+        owner.guess(datagram, net.now)
         flow = net.relays[holder].table.listener(REGISTRY).flows[caller]
         net.relays[holder].custody.replicate(flow, owner.fleet.me.number)
         net.advance(1.0)
         self.assertEqual([holder], net.holders(tag))
 
 
-class SplitTest(TestCase):
+class PartitionTest(TestCase):
     """Both sides of a partition serve; one holder is left once it heals."""
 
     def test_cut_and_heal(self):
@@ -246,8 +251,8 @@
         reach it. Once the partition heals, each flow is left with one relay,
         and none of them breaks.
         """
-        net = opened()
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net = net_with_sessions()
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         everybody = dict(net.vms)
         net.cut = lambda source, target: (source == 1) != (target == 1)
         for number, core in net.relays.items():
@@ -264,26 +269,26 @@
         net.vms = everybody
         net.publish()
         net.advance(6.0)
-        say_all(net, "after")
+        send_from_all(net, "after")
         self.assertEqual([], net.strangers)
-        self.assertEqual([], not_last(net, "after"))
+        self.assertEqual([], unexpected_last(net, "after"))
         self.assertEqual({1}, {len(net.holders(tag)) for tag in CALLERS})
 
 
 class FreezeTest(TestCase):
     """A relay that was frozen resumes with a stale view of the fleet."""
 
-    def test_wakes(self):
+    def test_resumed(self):
         """A relay is frozen for ten seconds while others take over.
 
         It opens no flows until its agent has sent a new view, and still
         forwards known flows. No flow breaks.
         """
-        net = opened()
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net = net_with_sessions()
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         frozen = net.relays.pop(1)
         net.declare_dead(1)
-        say_all(net, "meanwhile")
+        send_from_all(net, "meanwhile")
         net.advance(10.0)
         net.relays[1] = frozen
         frozen.tick(net.now)
@@ -293,9 +298,9 @@
         net.vms[1] = vm(1)
         net.publish()
         net.advance(6.0)
-        say_all(net, "after")
+        send_from_all(net, "after")
         self.assertEqual([], net.strangers)
-        self.assertEqual([], not_last(net, "after"))
+        self.assertEqual([], unexpected_last(net, "after"))
 
     def test_packets_before_the_first_tick(self):
         """Packets read between a freeze and the first tick open no flows.
--- a/tests/relay_routing_test.py
+++ b/tests/relay_routing_test.py
@@ -15,7 +15,7 @@
     pack_forwarded,
     pack_records,
 )
-from pollenmast.relay._carrier import Arrival
+from pollenmast.relay._forwarder import IncomingDatagram
 from standins.memory import (
     KEY,
     REGISTRY,
@@ -26,7 +26,12 @@
     short,
     vm,
 )
-from tests.relay_crowd import CALLERS, opened, say_all, unlike
+from tests.relay_sessions import (
+    CALLERS,
+    net_with_sessions,
+    send_from_all,
+    unexpected_runs,
+)
 
 _SETTLED_S = 6.0
 """Time after a change until owners open flows without a query, in seconds."""
@@ -37,10 +42,10 @@
 
     def test_join(self):
         """Flows that are open while a VM joins stay at their endpoint."""
-        net = opened()
+        net = net_with_sessions()
         net.start(4)
-        say_all(net, "after")
-        self.assertEqual({}, unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        self.assertEqual({}, unexpected_runs(net, "before", "after"))
         self.assertEqual([], net.strangers)
 
     def test_second_flight(self):
@@ -61,12 +66,12 @@
 
     def test_partial_knowledge(self):
         """Packets reach their flow while only some VMs know of a join."""
-        net = opened()
+        net = net_with_sessions()
         net.vms[4] = vm(4)
         net.start(4)
         net.publish(only=(1, 4))
-        say_all(net, "after")
-        self.assertEqual({}, unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        self.assertEqual({}, unexpected_runs(net, "before", "after"))
 
 
 class StandbyTest(TestCase):
@@ -144,7 +149,7 @@
         net.open(owned[0], to=2)
         self.assertEqual({}, net.sessions)
 
-    def test_second_flight_after_it(self):
+    def test_second_flight_after_recovery(self):
         """A handshake begun on another VM continues once the agent is back.
 
         Its second flight is an Initial as well. If the owner opened a second
@@ -194,13 +199,13 @@
             f"c{n}"
             for n in range(99)
             if not core.fleet.owns(
-                Arrival(listener, address_of(f"c{n}"), None, b"").key
+                IncomingDatagram(listener, address_of(f"c{n}"), None, b"").key
             )
         )
-        arrival = core.read(
-            listener, address_of(far), short(far), hops=3, via=99
+        datagram = core.read(
+            listener, address_of(far), short(far), hops=3, previous_hop=99
         )
-        core.on_datagram(arrival, net.now)
+        core.on_datagram(datagram, net.now)
         reason = c.DropReason.TOO_MANY_HOPS
         self.assertEqual(1, net.dropped(c.DROPS, reason))
 
--- a/tests/relay_table_test.py
+++ b/tests/relay_table_test.py
@@ -9,14 +9,14 @@
 from standins.memory import BARCODES, REGISTRY, FakeWire, Net, manifest
 
 
-class _StubbornWire(FakeWire):
+class _BusyPortWire(FakeWire):
     """A wire on which another program uses some ports for a while."""
 
-    taken: tuple[int, ...] = ()
+    busy_ports: tuple[int, ...] = ()
 
     def open_listener(self, service):
         """Opens a fake port, unless it is in use."""
-        if service.port in self.taken:
+        if service.port in self.busy_ports:
             return None
         return super().open_listener(service)
 
@@ -31,21 +31,21 @@
     """Exactly the services of the manifest have open ports."""
 
     def _table(self) -> FlowTable:
-        self.wire = _StubbornWire(Net(vms=1), 1)
+        self.wire = _BusyPortWire(Net(vms=1), 1)
         return FlowTable(self.wire, 100)
 
-    def test_taken_port(self):
+    def test_busy_port(self):
         """A port in use by another program is retried without a new manifest.
 
         Until the port opens, this VM loses the fabric's packets for the
         service.
         """
         table = self._table()
-        self.wire.taken = (4000 + REGISTRY,)
+        self.wire.busy_ports = (4000 + REGISTRY,)
         table.set_manifest(_manifest(REGISTRY, BARCODES), 0.0)
         self.assertIsNone(table.listener(REGISTRY))
-        self.wire.taken = ()
-        table.tend(0.0)
+        self.wire.busy_ports = ()
+        table.maintain_ports(0.0)
         self.assertIsNotNone(table.listener(REGISTRY))
 
     def test_joined_after_a_port_was_reused(self):
@@ -61,9 +61,9 @@
             service = attrs.evolve(whole, port_since=since)
             table = self._table()
             table.set_manifest(manifests.Manifest(9, (service,), ""), 100.0)
-            listener = table.at_port(service.port)
+            listener = table.listener_at(service.port)
             self.assertEqual(may_guess, table.may_guess(listener))
-            self.assertFalse(table.rests(listener, 100.0))
+            self.assertFalse(table.in_quarantine(listener, 100.0))
 
     def test_withdrawn_service(self):
         """The port of a removed service closes once its last flow has ended."""
@@ -75,8 +75,8 @@
             listener, ("10.0.0.1", 1), target, FlowState.CARRIED, 0, 0.0
         )
         table.set_manifest(_manifest(BARCODES), 0.0)
-        table.tend(0.0)
+        table.maintain_ports(0.0)
         self.assertEqual(2, len(table.listeners))
         table.end(flow, 1.0)
-        table.tend(0.0)
+        table.maintain_ports(0.0)
         self.assertEqual(1, len(table.listeners))
