--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -1,4 +1,8 @@
-"""The relay without its sockets: datagrams and time in, datagrams out."""
+"""The relay's logic without I/O.
+
+Datagrams and the current time are passed in; datagrams go out through a
+`Wire`. This lets tests run whole fleets of relays in memory.
+"""
 
 import random
 
@@ -16,26 +20,29 @@
 from pollenmast.peers._envelope import Opener, Sealer
 from pollenmast.peers._kinds import Kind
 from pollenmast.peers._records import endpoint_id
-from pollenmast.relay._carrier import Arrival, Carrier
 from pollenmast.relay._custody import Custody
 from pollenmast.relay._directory import Directory
 from pollenmast.relay._endpoint_loads import EndpointLoads
 from pollenmast.relay._flows import TICKS_PER_S, Flow, FlowState, Listener
+from pollenmast.relay._forwarder import FlowForwarder, IncomingDatagram
 from pollenmast.relay._history import Decision, History
 from pollenmast.relay._openings import Openings
-from pollenmast.relay._post import Post
+from pollenmast.relay._peer_sender import PeerSender
 from pollenmast.relay._readiness import Readiness
 from pollenmast.relay._routing import Routing
 from pollenmast.relay._table import FlowTable, Wire
 from pollenmast.relay._upkeep import Upkeep
 from pollenmast.settings import Settings
 
-COME_BACK_MS = 500
-"""Told to a caller that a leaving relay refuses: others know of it by then."""
+DRAINING_RETRY_AFTER_MS = 500
+"""Retry delay, in ms, sent to callers that a draining relay refuses.
+
+By then the other VMs know that this relay is leaving.
+"""
 
 
-class RelayCore(Carrier):
-    """All that a relay knows and does, but for sockets and the clock."""
+class RelayCore(FlowForwarder):
+    """The state and decisions of one relay; sockets and clock are outside."""
 
     def __init__(
         self,
@@ -55,21 +62,23 @@
         )
         key = settings.fleet.key
         self._opener = Opener(key, settings.fleet.previous_key)
-        post = Post(
+        peer_sender = PeerSender(
             self._fleet, wire, Sealer(settings.vm.name, key), self.counters
         )
         age_s = settings.relay.replicate_after_s
         budget = settings.relay.replication_bytes_per_s
-        self._custody = Custody(self._fleet, self, post, budget, self.counters)
+        self._custody = Custody(
+            self._fleet, self, peer_sender, budget, self.counters
+        )
         self._directory = Directory(
-            self._fleet, self, post, age_s, self.counters
+            self._fleet, self, peer_sender, age_s, self.counters
         )
         self._routing = Routing(
             self._fleet,
             self,
             self._custody,
             self._directory,
-            post,
+            peer_sender,
             self.counters,
         )
         self._upkeep = Upkeep(
@@ -93,73 +102,73 @@
             Kind.NOT_FOUND: self._routing.on_not_found,
             Kind.CONNECTION_IDS: self._directory.on_entries,
             Kind.RECORDS: self._custody.on_records,
-            Kind.RECORDS_TAKEN: self._custody.on_taken,
+            Kind.RECORDS_TAKEN: self._custody.on_records_acknowledged,
         }
 
     @property
     def table(self) -> FlowTable:
-        """The flow table."""
+        """The flows that this relay forwards."""
         return self._table
 
     @property
     def fleet(self) -> Fleet:
-        """The other VMs."""
+        """The VMs of the fleet and which of them own flows."""
         return self._fleet
 
     @property
     def custody(self) -> Custody:
-        """The flow records between relays."""
+        """The flow records exchanged with other relays."""
         return self._custody
 
     @property
     def directory(self) -> Directory:
-        """The connection ids kept here."""
+        """The connection ids stored on this VM."""
         return self._directory
 
     @property
     def openings(self) -> Openings:
-        """The flows that open."""
+        """The flows whose handshake has not been answered yet."""
         return self._openings
 
     def ready(self, now: float) -> bool:
         """Returns whether this relay may open flows."""
         known = self._manifest is not None and not self._draining
-        return known and self._readiness.fresh(now)
+        return known and self._readiness.is_fresh(now)
 
     def drained(self) -> bool:
-        """Returns whether nothing of any flow depends on this relay."""
+        """Returns whether the drain is complete: no flow needs this relay."""
         return (
             self._draining
             and self._table.flows == 0
             and self._custody.outbox.idle
         )
 
-    # What callers send.
+    # Datagrams from callers.
 
     def on_caller(
         self, listener: Listener, data: bytes, caller: tuple[str, int], now
     ) -> None:
-        """Takes what the packet path does not pass on."""
+        """Handles a caller's datagram that is not on the fast path."""
         flow = listener.flows.get(caller)
         if flow is not None:
-            self.carry(flow, data, now)
+            self.forward_to_upstream(flow, data, now)
             return
-        arrival = self.read(listener, caller, data, 0, 0)
-        if arrival is not None:
-            self.on_datagram(arrival, now)
+        datagram = self.read(listener, caller, data, 0, 0)
+        if datagram is not None:
+            self.on_datagram(datagram, now)
 
-    def on_datagram(self, arrival: Arrival, now: float) -> None:
-        """Takes a datagram from the fabric or from another relay."""
-        flow = arrival.listener.flows.get(arrival.caller)
+    def on_datagram(self, datagram: IncomingDatagram, now: float) -> None:
+        """Handles a datagram from the fabric or from another relay."""
+        flow = datagram.listener.flows.get(datagram.caller)
         if flow is not None:
-            self.carry(flow, arrival.data, now)
+            self.forward_to_upstream(flow, datagram.data, now)
             return
-        opening = self._openings.find(arrival.listener, arrival.caller)
+        opening = self._openings.find(datagram.listener, datagram.caller)
         if opening is None:
-            self._routing.route(arrival, now)
+            self._routing.route(datagram, now)
             return
-        idempotent = arrival.listener.service.idempotent
-        data, early = self._without_early_data(idempotent, arrival.data)
+        idempotent = datagram.listener.service.idempotent
+        data, early = self._without_early_data(idempotent, datagram.data)
         if data:
             self._openings.add_datagram(opening, data, early, now)
 
@@ -169,9 +178,21 @@
         caller: tuple[str, int],
         data: bytes,
         hops: int,
-        via: int,
-    ) -> Arrival | None:
-        """Reads a datagram; counts and drops what is no packet."""
+        previous_hop: int,
+    ) -> IncomingDatagram | None:
+        """Parses a caller's datagram.
+
+        Args:
+            listener: The service's port.
+            caller: The caller's IP address and port.
+            data: The datagram.
+            hops: How many relays have forwarded it.
+            previous_hop: Number of the VM that forwarded it, 0 for the fabric.
+
+        Returns:
+            The datagram, or None if it is not a valid packet and was dropped
+            and counted.
+        """
         packet = read_packet(data)
         if packet.is_err():
             self.counters.add(c.DROPS, packet.unwrap_err())
@@ -180,10 +201,12 @@
         if reason is not None:
             self.counters.add(c.DROPS, reason)
             return None
-        return Arrival(listener, caller, packet.unwrap(), data, hops, via)
+        return IncomingDatagram(
+            listener, caller, packet.unwrap(), data, hops, previous_hop
+        )
 
-    def carry(self, flow: Flow, data: bytes, now: float) -> None:
-        """Passes a caller's datagram to its upstream."""
+    def forward_to_upstream(self, flow: Flow, data: bytes, now: float) -> None:
+        """Forwards a caller's datagram to the flow's upstream."""
         if not data:
             self.counters.add(c.DROPS, c.DropReason.EMPTY)
             return
@@ -203,7 +226,7 @@
     def _without_early_data(
         self, idempotent: bool, data: bytes
     ) -> tuple[bytes, bool]:
-        """Returns what may be passed on, and whether 0-RTT is in it."""
+        """Returns what may be forwarded, and whether it contains 0-RTT."""
         stripped, found = without_early_data(data)
         if not found:
             return data, False
@@ -212,21 +235,21 @@
         self.counters.add(c.DROPS, c.DropReason.EARLY_DATA, found)
         return (stripped if any(stripped) else b""), False
 
-    # What upstreams send.
+    # Datagrams from upstreams and from other relays.
 
     def on_first_answer(self, flow: Flow, data: bytes, now: float) -> None:
-        """Notes that the upstream answers by this path."""
+        """Handles the first datagram from the upstream on this path."""
         if flow.state is FlowState.OPENING:
-            self._openings.answered(flow, now)
-            self._directory.learn(flow, data)
+            self._openings.on_answered(flow, now)
+            self._directory.read_connection_id(flow, data)
         elif flow.state in (FlowState.ADOPTED, FlowState.GUESSED):
-            self._custody.answered_anew(flow)
+            self._custody.release_previous_relay(flow)
         if flow.state is not FlowState.MOVED:
             flow.state = FlowState.CARRIED
-            self._custody.tell_owner(flow)
+            self._custody.replicate_to_owner(flow)
 
     def on_peer(self, data: bytes, now: float) -> None:
-        """Takes an envelope of another relay."""
+        """Handles a sealed envelope from another relay."""
         opened = self._opener.open(data, now)
         if opened.is_err():
             self.counters.add(c.ENVELOPE_FAULTS, opened.unwrap_err())
@@ -238,38 +261,38 @@
             return
         handler(envelope, now)
 
-    # What routing and custody ask for.
+    # The interface used by routing, custody and directory.
 
-    def open(self, arrival: Arrival, now: float) -> None:
-        """Decides about a new flow."""
+    def open(self, datagram: IncomingDatagram, now: float) -> None:
+        """Places, holds or refuses a new flow."""
         if not self.ready(now):
             self.counters.add(c.DROPS, c.DropReason.NOT_READY)
             return
-        if self._table.rests(arrival.listener, now):
+        if self._table.in_quarantine(datagram.listener, now):
             self.counters.add(c.DROPS, c.DropReason.PORT_REUSED)
             return
-        idempotent = arrival.listener.service.idempotent
-        data, early = self._without_early_data(idempotent, arrival.data)
-        self._openings.begin(arrival, data, early, now)
+        idempotent = datagram.listener.service.idempotent
+        data, early = self._without_early_data(idempotent, datagram.data)
+        self._openings.begin(datagram, data, early, now)
 
-    def without_owner(self, arrival: Arrival, now: float) -> None:
-        """Refuses a new flow of a leaving relay that knows no other."""
+    def on_no_owner(self, datagram: IncomingDatagram, now: float) -> None:
+        """Refuses a new flow if this relay drains and knows no other VM."""
         del now
-        if arrival.opens and self._draining:
-            self._openings.refuse_draining(arrival, COME_BACK_MS)
+        if datagram.is_initial and self._draining:
+            self._openings.refuse_draining(datagram, DRAINING_RETRY_AFTER_MS)
             return
         self.counters.add(c.DROPS, c.DropReason.NO_OWNER)
 
-    def guess(self, arrival: Arrival, now: float) -> None:
-        """Carries an unknown flow in progress to its default endpoint."""
-        number = arrival.listener.service.number
-        name = self._dispatcher.default_endpoint(number, arrival.key)
-        if name is None or not self._table.may_guess(arrival.listener):
+    def guess(self, datagram: IncomingDatagram, now: float) -> None:
+        """Forwards an unknown flow in progress to its default endpoint."""
+        number = datagram.listener.service.number
+        name = self._dispatcher.default_endpoint(number, datagram.key)
+        if name is None or not self._table.may_guess(datagram.listener):
             self.counters.add(c.DROPS, c.DropReason.UNKNOWN_FLOW)
             return
         flow = self._adopt(
-            arrival.listener,
-            arrival.caller,
+            datagram.listener,
+            datagram.caller,
             endpoint_id(number, name),
             FlowState.GUESSED,
             now,
@@ -278,7 +301,7 @@
             self.counters.add(c.DROPS, c.DropReason.FLOW_TABLE_FULL)
             return
         self.counters.add(c.FALLBACKS)
-        self.carry(flow, arrival.data, now)
+        self.forward_to_upstream(flow, datagram.data, now)
 
     def adopt(
         self,
@@ -288,13 +311,13 @@
         reason: c.RepathReason,
         now: float,
     ) -> Flow | None:
-        """Takes over a flow, or returns None when it cannot be carried."""
+        """Takes over a flow; returns None if it cannot be forwarded here."""
         flow = self._adopt(listener, caller, endpoint, FlowState.ADOPTED, now)
         if flow is not None:
             self.counters.add(c.REPATHS, reason)
             service = listener.service.name
             text = f"taken over, {reason.value}"
-            self._history.note(
+            self._history.add(
                 Decision(now, caller, service, flow.target.name, text)
             )
         return flow
@@ -319,27 +342,31 @@
         return flow
 
     def let_go(self, flow: Flow, now: float) -> None:
-        """Leaves a flow to another relay; late answers still pass here."""
+        """Leaves a flow to another relay.
+
+        Late answers on the old path are still forwarded to the caller.
+        """
         target = flow.target
         self._directory.publish(flow)
         self._dispatcher.on_flow_ended(target.service, target.name, now)
         self._table.let_go(flow)
         flow.heard = self.tick_now
 
-    # What the agent and the clock bring.
+    # Input from the agent and the clock.
 
     def on_view(self, view: messages.FleetView, now: float) -> None:
-        """Takes the agent's view."""
+        """Applies the agent's view of the fleet."""
         if view.manifest is not None:
             self._take_manifest(view.manifest, now)
-        self._table.tend(now)
+        self._table.maintain_ports(now)
         self._fleet.update(view.vms, now)
         self._dispatcher.set_fleet(max(1, len(self._fleet.owners)))
         for report in view.reports:
             self._dispatcher.on_report(report, now)
         if self._readiness.on_view(view, self._manifest, now):
-            # Others may have opened flows meanwhile; opened anew here, they
-            # would meet endpoints that have no such handshake, and hang.
+            # While this relay's view was stale, other VMs may have opened
+            # flows that it owns. Opened a second time here, these flows could
+            # reach an endpoint without their handshake state and hang.
             self._fleet.note_absence(now)
 
     def _take_manifest(self, data: bytes, now: float) -> None:
@@ -358,14 +385,14 @@
         self._table.set_manifest(manifest, now)
 
     def drain(self) -> None:
-        """Begins a planned stop: no new flows, every flow handed over."""
+        """Starts a drain: opens no new flows and hands over all others."""
         if not self._draining:
             self._draining = True
             self._upkeep.drain()
             self._directory.drain()
 
     def tick(self, now: float) -> None:
-        """Does what time brings about; called every 20 ms."""
+        """Runs all timed work; called every 20 ms."""
         self._readiness.on_tick(now)
         self.tick_now = int(now * TICKS_PER_S)
         self._openings.tick(now)
@@ -374,7 +401,7 @@
         self._directory.tick(self.tick_now)
 
     def report(self, now: float) -> messages.RelayReport:
-        """Returns what the agent wants to know, twice a second."""
+        """Returns the report that is sent to the agent twice a second."""
         manifest = self._manifest
         return messages.RelayReport(
             version=manifest.version if manifest else 0,
@@ -388,13 +415,13 @@
             counters=tuple(
                 messages.CounterValue(*item) for item in self.counters.items()
             ),
-            endpoints=self._loads.due(now),
+            endpoints=self._loads.take_due(now),
             wake=self._readiness.wake,
         )
 
     def explain(
         self, query: messages.ExplainQuery, now: float
     ) -> messages.ExplainAnswer:
-        """Returns why something was decided."""
+        """Returns recent decisions about a caller, service or endpoint."""
         lines = self._history.explain(query.subject, now)
         return messages.ExplainAnswer(query.identifier, lines)
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -1,21 +1,21 @@
-"""Which endpoint chose a connection id: leads callers back that have moved.
-
-A caller's router may forget it and give it another address in the middle of a
-session. The flow's key is then another, its owner is another VM, and nothing
-that is computed from the new address names the old endpoint; the caller's
-session would hang until it times out. What stays is the connection id that
-the endpoint chose, which every packet of the caller carries.
-
-So two VMs, found by hashing that id, keep its endpoint. Whoever meets a packet
-of an unknown flow asks them, and opens a second flow to the same endpoint. The
-first one is left alone: a forged packet with a recorded connection id can so
-take nothing from the caller, for QUIC itself validates the new path (RFC 9000
-section 9.3).
-
-It does not help where the caller has taken a new connection id (a deliberate
-migration: the id was told under encryption), where an endpoint uses ids of
-fewer than eight bytes, in a session younger than the age of replication, or
-where both keepers died. Then the default endpoint is tried.
+"""Distributed map from QUIC connection ids to endpoints.
+
+A NAT may rebind a caller to another address in mid-session. This changes the
+flow's key and its owner, and the old endpoint can no longer be computed from
+the address; the caller's session would hang until it times out. The connection
+id that the endpoint chose stays the same and is in every packet of the caller.
+
+Therefore two VMs, found by hashing the connection id, store its endpoint. A
+relay that receives a packet of an unknown flow queries them and opens a second
+flow to the same endpoint. The first flow is left unchanged, so a forged packet
+with a recorded connection id takes nothing from the caller: QUIC itself
+validates the new path (RFC 9000 section 9.3).
+
+The directory does not help if the caller has switched to another connection id
+(a deliberate migration, whose id was sent under encryption), if the endpoint
+uses ids of fewer than eight bytes, if the session is younger than the
+replication age, or if both VMs that stored the id have died. Then the default
+endpoint is tried.
 """
 
 import struct
@@ -37,54 +37,63 @@
     pack_found,
     unpack_connection_ids,
 )
-from pollenmast.relay._carrier import Arrival, Carrier
 from pollenmast.relay._flows import TICKS_PER_S, Flow
-from pollenmast.relay._post import Post
+from pollenmast.relay._forwarder import FlowForwarder, IncomingDatagram
+from pollenmast.relay._peer_sender import PeerSender
 
 CID_BYTES = 8
-"""Bytes of a connection id that are read: the length that common libraries
-choose; of longer ones the first eight tell them apart as well."""
+"""Number of connection id bytes that are read.
 
-MOST_ENTRIES = 200_000
-"""Ids kept; the oldest fall out. Twice a VM's sessions at the size of two
-years' time, at two keepers each; 35 MB when full (trial)."""
+Common libraries choose ids of this length; the first eight bytes of longer
+ones distinguish them as well.
+"""
+
+MAX_ENTRIES = 200_000
+"""Limit on stored connection ids; the oldest are evicted.
+
+Twice the sessions of a VM at the load expected in two years, with each id
+stored on two VMs. A full map takes 35 MB, as measured in a trial.
+"""
 
-LOOK_TICKS = TICKS_PER_S // 2
-"""Between two looks at young flows, in ticks."""
+SCAN_INTERVAL_TICKS = TICKS_PER_S // 2
+"""Interval between scans of flows not yet published, in ticks."""
 
-FORGET_TICKS = 60 * TICKS_PER_S
-"""A flow whose caller was not heard past the age by then has ended."""
+UNPUBLISHED_EXPIRY_TICKS = 60 * TICKS_PER_S
+"""Age, in ticks, at which an unpublished flow counts as ended.
+
+Its caller has not been heard past the replication age by then.
+"""
 
 _CID = struct.Struct("!Q")
 
 
 class Directory:
-    """The connection ids kept here, and the search for others."""
+    """The connection ids stored on this VM, and the lookup of others."""
 
     def __init__(
         self,
         fleet: Fleet,
-        carrier: Carrier,
-        post: Post,
+        forwarder: FlowForwarder,
+        peer_sender: PeerSender,
         publish_after_s: float,
         counters: c.Counters,
     ):
         self._fleet = fleet
-        self._carrier = carrier
-        self._post = post
+        self._forwarder = forwarder
+        self._peer_sender = peer_sender
         self._publish_after = int(publish_after_s * TICKS_PER_S)
         self._counters = counters
-        self._looked_at = 0
+        self._last_scan = 0
         self._draining = False
         self._entries: dict[tuple[int, int], int] = {}
-        self._learnt: dict[Flow, int] = {}
-        self._leaving: dict[int, list[ConnectionId]] = {}
+        self._unpublished: dict[Flow, int] = {}
+        self._outgoing: dict[int, list[ConnectionId]] = {}
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def learn(self, flow: Flow, data: bytes) -> None:
-        """Reads the connection id that an endpoint's first answer names."""
+    def read_connection_id(self, flow: Flow, data: bytes) -> None:
+        """Reads the connection id in an endpoint's first answer."""
         if flow.listener.service.kind is not ServiceKind.SESSION:
             return
         packet = read_packet(data)
@@ -92,85 +101,89 @@
             return
         cid = packet.unwrap().source_cid
         if len(cid) >= CID_BYTES:
-            self._learnt[flow] = _CID.unpack_from(cid)[0]
+            self._unpublished[flow] = _CID.unpack_from(cid)[0]
 
     def publish(self, flow: Flow) -> None:
-        """Has the keepers keep the flow's connection id, once."""
-        cid = self._learnt.pop(flow, None)
+        """Stores the flow's connection id on its two VMs, once."""
+        cid = self._unpublished.pop(flow, None)
         if cid is not None:
             port = flow.listener.service.port
-            self._keep(ConnectionId(port, cid, flow.target.number))
+            self._distribute(ConnectionId(port, cid, flow.target.number))
 
     def drain(self) -> None:
-        """Has every entry given to its new keepers, for a planned stop.
+        """Schedules the hand-over of every entry, for a planned stop.
 
-        That waits until the ring leaves this VM out: before, the new keepers
-        would be computed as the old ones, this VM among them.
+        The hand-over waits until the ring excludes this VM. Computed earlier,
+        the new locations would be the old ones and still include this VM.
         """
         self._draining = True
 
     def _hand_over(self) -> None:
         self._draining = False
         for (port, cid), endpoint in list(self._entries.items()):
-            self._keep(ConnectionId(port, cid, endpoint))
+            self._distribute(ConnectionId(port, cid, endpoint))
 
     def tick(self, tick: int) -> None:
-        """Publishes the ids of flows that have lasted, and sends what waits."""
-        if tick - self._looked_at < LOOK_TICKS:
+        """Publishes ids of flows past the replication age; sends the queue."""
+        if tick - self._last_scan < SCAN_INTERVAL_TICKS:
             return
-        self._looked_at = tick
+        self._last_scan = tick
         if self._draining and self._fleet.me not in self._fleet.owners:
             self._hand_over()
-        for flow in list(self._learnt):
+        for flow in list(self._unpublished):
             if flow.heard - flow.opened >= self._publish_after:
                 self.publish(flow)
-            elif tick - flow.opened > FORGET_TICKS:
-                del self._learnt[flow]
+            elif tick - flow.opened > UNPUBLISHED_EXPIRY_TICKS:
+                del self._unpublished[flow]
         self._send()
 
     def _send(self) -> None:
-        for vm, entries in self._leaving.items():
+        for vm, entries in self._outgoing.items():
             for start in range(0, len(entries), MOST_RECORDS):
                 body = pack_connection_ids(
                     entries[start : start + MOST_RECORDS]
                 )
                 self._counters.add(c.CONTROL_BYTES, "replication", len(body))
-                self._post.send(vm, Kind.CONNECTION_IDS, body)
-        self._leaving = {}
+                self._peer_sender.send(vm, Kind.CONNECTION_IDS, body)
+        self._outgoing = {}
 
-    def search(self, arrival: Arrival, now: float) -> bool:
-        """Looks for the endpoint of a packet's connection id.
+    def search(self, datagram: IncomingDatagram, now: float) -> bool:
+        """Looks up the endpoint of a packet's connection id.
+
+        Args:
+            datagram: The datagram of an unknown flow.
+            now: The runtime's clock, in seconds.
 
         Returns:
-            Whether the datagram is dealt with: passed on, or sent along with
-            the question to another VM.
+            Whether the datagram is handled: forwarded to its endpoint, or
+            sent to another VM as part of the query.
         """
-        cid = _cid_of(arrival)
+        cid = _cid_of(datagram)
         if cid is None:
             return False
-        service_port = arrival.listener.service.port
+        service_port = datagram.listener.service.port
         endpoint = self._entries.get((service_port, cid))
         if endpoint is not None:
-            return self._lead_back(arrival, endpoint, now)
-        asked = self._others(service_port, cid)
+            return self._adopt_moved_caller(datagram, endpoint, now)
+        asked = self._remote_keepers(service_port, cid)
         if not asked:
             return False
-        ip, port = arrival.caller
+        ip, port = datagram.caller
         forwarded = Forwarded(
             service_port,
             ip,
             port,
             1,
-            arrival.data,
+            datagram.data,
             self._fleet.me.number,
             asked[1] if len(asked) > 1 else 0,
         )
         self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
-        self._post.send(asked[0], Kind.FIND, pack_forwarded(forwarded))
+        self._peer_sender.send(asked[0], Kind.FIND, pack_forwarded(forwarded))
         return True
 
     def on_entries(self, opened: Opened, now: float) -> None:
-        """Keeps what another relay has learnt."""
+        """Stores connection ids that another relay has published."""
         del now
         entries = unpack_connection_ids(opened.body)
         if entries.is_err():
@@ -179,15 +192,15 @@
         for entry in entries.unwrap():
             self._store(entry)
 
-    def answer(self, forwarded: Forwarded) -> None:
-        """Answers a question for a connection id, or asks on."""
+    def answer_query(self, forwarded: Forwarded) -> None:
+        """Answers a query for a connection id, or forwards it."""
         cid = _read_cid(forwarded.data)
         endpoint = self._entries.get((forwarded.service_port, cid))
-        following = forwarded.next_asked
+        next_vm = forwarded.next_asked
         if endpoint is not None:
             found = pack_found(Found(endpoint, True, forwarded))
-            self._post.send(forwarded.asker, Kind.FOUND, found)
-        elif following and self._fleet.carries(following):
+            self._peer_sender.send(forwarded.asker, Kind.FOUND, found)
+        elif next_vm and self._fleet.carries(next_vm):
             body = pack_forwarded(
                 Forwarded(
                     forwarded.service_port,
@@ -198,53 +211,55 @@
                     forwarded.asker,
                 )
             )
-            self._post.send(following, Kind.FIND, body)
+            self._peer_sender.send(next_vm, Kind.FIND, body)
         else:
             body = pack_forwarded(forwarded)
-            self._post.send(forwarded.asker, Kind.NOT_FOUND, body)
-
-    def _lead_back(self, arrival: Arrival, endpoint: int, now: float) -> bool:
-        flow = self._carrier.adopt(
-            arrival.listener,
-            arrival.caller,
+            self._peer_sender.send(forwarded.asker, Kind.NOT_FOUND, body)
+
+    def _adopt_moved_caller(
+        self, datagram: IncomingDatagram, endpoint: int, now: float
+    ) -> bool:
+        flow = self._forwarder.adopt(
+            datagram.listener,
+            datagram.caller,
             endpoint,
             c.RepathReason.CALLER_MOVED,
             now,
         )
         if flow is None:
             return False
-        self._carrier.carry(flow, arrival.data, now)
+        self._forwarder.forward_to_upstream(flow, datagram.data, now)
         return True
 
-    def _keep(self, entry: ConnectionId) -> None:
+    def _distribute(self, entry: ConnectionId) -> None:
         key = connection_id_hash(entry.service_port, entry.cid)
         for keeper in self._fleet.keepers(key):
             if keeper == self._fleet.me.number:
                 self._store(entry)
             else:
-                self._leaving.setdefault(keeper, []).append(entry)
+                self._outgoing.setdefault(keeper, []).append(entry)
 
     def _store(self, entry: ConnectionId) -> None:
         key = (entry.service_port, entry.cid)
-        if len(self._entries) >= MOST_ENTRIES and key not in self._entries:
+        if len(self._entries) >= MAX_ENTRIES and key not in self._entries:
             del self._entries[next(iter(self._entries))]
         self._entries[key] = entry.endpoint
 
-    def _others(self, service_port: int, cid: int) -> list[int]:
+    def _remote_keepers(self, service_port: int, cid: int) -> list[int]:
         keepers = self._fleet.keepers(connection_id_hash(service_port, cid))
         return [number for number in keepers if number != self._fleet.me.number]
 
 
-def _cid_of(arrival: Arrival) -> int | None:
-    if arrival.packet.type is not PacketType.SHORT:
+def _cid_of(datagram: IncomingDatagram) -> int | None:
+    if datagram.packet.type is not PacketType.SHORT:
         return None
-    if arrival.listener.service.kind is not ServiceKind.SESSION:
+    if datagram.listener.service.kind is not ServiceKind.SESSION:
         return None
-    return _read_cid(arrival.data)
+    return _read_cid(datagram.data)
 
 
 def _read_cid(data: bytes) -> int | None:
-    """Returns the connection id of a short header, behind its first byte."""
+    """Returns the connection id in a short header, after its first byte."""
     if len(data) < 1 + CID_BYTES:
         return None
     return _CID.unpack_from(data, 1)[0]
--- a/src/pollenmast/relay/_openings.py
+++ b/src/pollenmast/relay/_openings.py
@@ -1,8 +1,8 @@
-"""Flows that open: placed, held, tried again or refused.
+"""Flows that are opening: placed, held, retried or refused.
 
-From a caller's first Initial until the upstream's first answer nothing has
-been passed that could carry a request (0-RTT aside), so only in this time may
-a flow be refused or tried at another endpoint.
+Between a caller's first Initial and the upstream's first answer, nothing has
+been forwarded that could carry a request, except for 0-RTT. Only in this time
+may a flow be refused or retried at another endpoint.
 """
 
 import attrs
@@ -17,7 +17,6 @@
     Refused,
 )
 from pollenmast.peers._records import endpoint_id
-from pollenmast.relay._carrier import Arrival
 from pollenmast.relay._flows import (
     TICKS_PER_S,
     Flow,
@@ -25,47 +24,61 @@
     Listener,
     Target,
 )
+from pollenmast.relay._forwarder import IncomingDatagram
 from pollenmast.relay._history import Decision, History
 from pollenmast.relay._table import FlowTable
 
-MOST_OPENINGS = 20_000
-"""Flows that may be opening at a time: at 41 new flows a second and 5 s to
-answer about 200 are usual, so a flood of half-opened flows meets this bound
-long before it hurts; with four datagrams of 1,300 bytes each it stays near 100
-MB at the worst."""
+MAX_OPENINGS = 20_000
+"""Limit on flows that are opening at a time.
 
-MOST_DATAGRAMS = 4
-"""First datagrams kept for a hold or a retry: an Initial may be split in two
-when it carries a large ClientHello, and each may be sent again once."""
+At 41 new flows per second and up to 5 s for the answer, about 200 are usual,
+so only a flood of half-open flows reaches the limit, and long before it does
+harm. With four datagrams of 1,300 bytes each, memory stays near 100 MB in the
+worst case.
+"""
+
+MAX_DATAGRAMS = 4
+"""Number of first datagrams buffered for a hold or a retry.
+
+An Initial with a large ClientHello may be split in two, and each part may be
+sent again once.
+"""
 
 RETRY_AFTER_S = 0.3
-"""Time without an answer before another endpoint is tried. A handshake answer
-takes a few ms here; callers' libraries send again after 0.3 to 1 s."""
+"""Time without an answer before another endpoint is tried, in seconds.
+
+A handshake answer takes a few ms here; callers' libraries retransmit after 0.3
+to 1 s.
+"""
+
+OPENING_TIMEOUT_S = 5.0
+"""Time without an answer after which an opening is abandoned, in seconds."""
 
-GIVE_UP_AFTER_S = 5.0
-"""Time after which an opening that got no answer is forgotten."""
+HELD_CALLER_TIMEOUT_S = 1.2
+"""Silence after which a held caller counts as gone, in seconds.
 
-CALLER_QUIET_S = 1.2
-"""A held caller that has sent nothing for so long has gone: RFC 9002 section
-6.2 lets it send its Initial again after 1 s at the latest."""
+By RFC 9002 section 6.2 it sends its Initial again after 1 s at the latest.
+"""
 
 
 @attrs.define
 class Opening:
-    """One flow between its first packet and the upstream's first answer.
+    """A flow between its first packet and the upstream's first answer.
 
     Attributes:
-        request: What the dispatcher was asked.
+        request: The request to the dispatcher.
         listener: The service's port.
-        caller: The caller's IP number and port.
-        packet: The first Initial's readable part; a refusal answers it.
-        datagrams: What the caller sent so far, as passed on.
-        began: When the first datagram came, in seconds.
-        heard: When the newest datagram came.
-        sent: When the datagrams went to the endpoint now tried.
+        caller: The caller's IP address and port.
+        packet: The unencrypted header fields of the first Initial, needed to
+            build a refusal.
+        datagrams: The caller's datagrams so far, as forwarded.
+        began_at: When the first datagram arrived, in seconds.
+        heard_at: When the latest datagram arrived, in seconds.
+        sent_at: When the datagrams were sent to the current endpoint, in
+            seconds.
         flow: The flow, once it is placed.
         tried: Names of the endpoints tried.
-        early_data: Whether 0-RTT was passed, which may carry a request.
+        early_data: Whether 0-RTT was forwarded, which may carry a request.
     """
 
     request: FlowRequest
@@ -73,16 +86,16 @@
     caller: tuple[str, int]
     packet: Packet
     datagrams: list[bytes]
-    began: float
-    heard: float
-    sent: float = 0.0
+    began_at: float
+    heard_at: float
+    sent_at: float = 0.0
     flow: Flow | None = None
     tried: tuple[str, ...] = ()
     early_data: bool = False
 
 
 class Openings:
-    """All flows that open at this relay."""
+    """All flows that are opening at this relay."""
 
     def __init__(
         self,
@@ -104,68 +117,74 @@
 
     @property
     def held(self) -> int:
-        """Flows whose first packets are held."""
+        """Number of flows whose first packets are held."""
         return sum(each.flow is None for each in self._by_ticket.values())
 
     def find(
         self, listener: Listener, caller: tuple[str, int]
     ) -> Opening | None:
-        """Returns the opening of this caller, if there is one."""
+        """Returns the caller's opening flow, or None."""
         return self._by_caller.get((listener.service.port, caller))
 
     def add_datagram(
         self, opening: Opening, data: bytes, early_data: bool, now: float
     ) -> None:
-        """Keeps a further datagram of an opening."""
-        opening.heard = now
+        """Buffers a further datagram of an opening flow."""
+        opening.heard_at = now
         opening.early_data = opening.early_data or early_data
-        if len(opening.datagrams) < MOST_DATAGRAMS:
+        if len(opening.datagrams) < MAX_DATAGRAMS:
             opening.datagrams.append(data)
 
     def begin(
-        self, arrival: Arrival, data: bytes, early_data: bool, now: float
+        self,
+        datagram: IncomingDatagram,
+        data: bytes,
+        early_data: bool,
+        now: float,
     ) -> None:
-        """Decides about a new flow and carries the decision out.
+        """Asks the dispatcher to place a new flow and applies the outcome.
 
         Args:
-            arrival: The caller's first datagram.
-            data: What of it may be passed on.
-            early_data: Whether that holds 0-RTT.
+            datagram: The caller's first datagram.
+            data: The part of it that may be forwarded.
+            early_data: Whether that part contains 0-RTT.
             now: The runtime's clock, in seconds.
         """
-        if len(self._by_ticket) >= MOST_OPENINGS:
+        if len(self._by_ticket) >= MAX_OPENINGS:
             self._counters.add(c.DROPS, c.DropReason.FLOW_TABLE_FULL)
             return
         self._ticket += 1
-        service = arrival.listener.service.number
+        service = datagram.listener.service.number
         request = FlowRequest(
-            self._ticket, service, arrival.caller[0], arrival.key
+            self._ticket, service, datagram.caller[0], datagram.key
         )
         opening = Opening(
             request,
-            arrival.listener,
-            arrival.caller,
-            arrival.packet,
+            datagram.listener,
+            datagram.caller,
+            datagram.packet,
             [data],
             now,
             now,
             early_data=early_data,
         )
-        self._remember(opening)
+        self._add(opening)
         outcome = self._dispatcher.on_new_flow(request, now)
         if isinstance(outcome, Held):
             self._counters.add(c.FLOWS_HELD)
             return
-        self._settle(opening, outcome, now)
+        self._apply_outcome(opening, outcome, now)
 
-    def refuse_draining(self, arrival: Arrival, retry_after_ms: int) -> None:
-        """Refuses a new flow: this relay leaves and knows no other."""
+    def refuse_draining(
+        self, datagram: IncomingDatagram, retry_after_ms: int
+    ) -> None:
+        """Refuses a new flow, as this relay drains and knows no other VM."""
         self._counters.add(c.REFUSALS, c.RefusalReason.DRAINING)
-        data = refusal(arrival.packet, retry_after_ms)
-        arrival.listener.send(data, arrival.caller)
+        data = refusal(datagram.packet, retry_after_ms)
+        datagram.listener.send(data, datagram.caller)
 
-    def answered(self, flow: Flow, now: float) -> None:
-        """Notes the upstream's first answer: the flow no longer opens."""
+    def on_answered(self, flow: Flow, now: float) -> None:
+        """Handles the upstream's first answer, which ends the opening."""
         opening = self._by_caller.get((flow.listener.service.port, flow.caller))
         if opening is not None and opening.flow is flow:
             self._forget(opening)
@@ -173,29 +192,29 @@
         self._dispatcher.on_answered(target.service, target.name, now)
 
     def tick(self, now: float) -> None:
-        """Releases held flows and retries those that got no answer."""
+        """Places held flows and retries unanswered ones."""
         for released in self._dispatcher.release(now):
             opening = self._by_ticket.get(released.ticket)
             if opening is not None:
-                self._settle(opening, released.outcome, now)
+                self._apply_outcome(opening, released.outcome, now)
         for opening in list(self._by_ticket.values()):
-            self._check(opening, now)
+            self._check_timeouts(opening, now)
 
-    def _check(self, opening: Opening, now: float) -> None:
+    def _check_timeouts(self, opening: Opening, now: float) -> None:
         if opening.flow is None:
-            if now - opening.heard > CALLER_QUIET_S:
+            if now - opening.heard_at > HELD_CALLER_TIMEOUT_S:
                 self._counters.add(c.DROPS, c.DropReason.CALLER_SILENT)
                 self._dispatcher.on_caller_gone(opening.request.ticket)
                 self._forget(opening)
             return
-        if now - opening.began > GIVE_UP_AFTER_S:
+        if now - opening.began_at > OPENING_TIMEOUT_S:
             self._abandon(opening, now)
-        elif now - opening.sent > RETRY_AFTER_S and not opening.early_data:
+        elif now - opening.sent_at > RETRY_AFTER_S and not opening.early_data:
             self._retry(opening, now)
 
     def _retry(self, opening: Opening, now: float) -> None:
         target = opening.flow.target
-        opening.sent = now
+        opening.sent_at = now
         self._dispatcher.on_unanswered(target.service, target.name, now)
         outcome = self._dispatcher.retry(opening.request, opening.tried, now)
         if isinstance(outcome, Placed):
@@ -205,7 +224,7 @@
         self._end_flow(opening, now)
         self._refuse(opening, outcome)
 
-    def _settle(
+    def _apply_outcome(
         self, opening: Opening, outcome: Placed | Refused, now: float
     ) -> None:
         if isinstance(outcome, Refused):
@@ -224,13 +243,13 @@
             self._refuse(opening, refused)
             return
         opening.tried = (*opening.tried, placed.endpoint)
-        opening.sent = now
+        opening.sent_at = now
         opening.flow.off_default = (
             placed.off_default or not self._table.may_guess(listener)
         )
         for data in opening.datagrams:
             opening.flow.path.send(data, target.address)
-        self._note(opening, placed.endpoint, placed.why, now)
+        self._log_decision(opening, placed.endpoint, placed.why, now)
 
     def _connect(self, opening: Opening, target: Target, now: float) -> bool:
         tick = int(now * TICKS_PER_S)
@@ -256,12 +275,12 @@
         self._counters.add(c.REFUSALS, refused.reason)
         data = refusal(opening.packet, refused.retry_after_ms)
         opening.listener.send(data, opening.caller)
-        self._note(
+        self._log_decision(
             opening,
             "",
             f"refused, {refused.reason.value}, "
             f"retry after {refused.retry_after_ms} ms",
-            opening.heard,
+            opening.heard_at,
         )
 
     def _abandon(self, opening: Opening, now: float) -> None:
@@ -279,7 +298,7 @@
         self._counters.add(c.FLOWS_ENDED)
         opening.flow = None
 
-    def _remember(self, opening: Opening) -> None:
+    def _add(self, opening: Opening) -> None:
         key = (opening.listener.service.port, opening.caller)
         self._by_caller[key] = opening
         self._by_ticket[opening.request.ticket] = opening
@@ -289,10 +308,10 @@
         self._by_caller.pop(key, None)
         self._by_ticket.pop(opening.request.ticket, None)
 
-    def _note(
+    def _log_decision(
         self, opening: Opening, endpoint: str, text: str, now: float
     ) -> None:
         service = opening.listener.service.name
-        self._history.note(
+        self._history.add(
             Decision(now, opening.caller, service, endpoint, text)
         )
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -1,7 +1,7 @@
-"""Walks the flow table in slices: ends, repairs and replicates flows.
+"""Scans the flow table in slices: ends, repairs and replicates flows.
 
-One pass over 200,000 flows at once would hold up packets for a tenth of a
-second, and callers would see it as jitter. A slice a tick does not.
+A full pass over 200,000 flows at once would delay packets by a tenth of a
+second, which callers would see as jitter. One slice per tick does not.
 """
 
 from pollenmast import counters as c
@@ -21,28 +21,39 @@
 from pollenmast.relay._table import FlowTable
 from pollenmast.settings import RelaySettings
 
-SLICE = 2_000
-"""Flows looked at in a tick of 20 ms: 200,000 flows in 2 s, at some percent of
-a core (`python -m bench run capacity`)."""
+FLOWS_PER_TICK = 2_000
+"""Number of flows scanned per tick of 20 ms.
 
-PASS_S = 0.5
-"""Least time from one pass to the next. What a pass looks for takes seconds to
-come about; a small table need not be walked at every tick."""
+A pass over 200,000 flows takes 2 s and some percent of a core, as measured by
+`python -m bench run capacity`.
+"""
+
+PASS_INTERVAL_S = 0.5
+"""Minimum time between the starts of two passes, in seconds.
+
+The conditions that a pass looks for take seconds to arise, so that a small
+table need not be scanned at every tick.
+"""
 
-CHECKED_SLICE = 200
-"""The same while each flow's owner or default is computed anew, after a change
-of members or of the manifest, which takes many times as long a flow."""
+CHECKED_FLOWS_PER_TICK = 200
+"""Number of flows scanned per tick while owners or defaults are recomputed.
 
-GUESS_S = 5.0
-"""Time in which the default endpoint must answer for a flow that was guessed;
-otherwise a flood of forged packets would fill the table."""
+This happens after a change of members or of the manifest, and takes many times
+as long per flow.
+"""
+
+GUESS_TIMEOUT_S = 5.0
+"""Time in which the endpoint of a guessed flow must answer, in seconds.
+
+Without this limit, a flood of forged packets would fill the table.
+"""
 
 ENDPOINT_ALIVE_S = 2.0
-"""How fresh an endpoint's answer to another flow must be to count."""
+"""Maximum age of an answer that shows an endpoint is alive, in seconds."""
 
 
 class Upkeep:
-    """Everything about flows that time brings about."""
+    """Time-driven maintenance of the flows in the table."""
 
     def __init__(
         self,
@@ -59,7 +70,7 @@
         self._custody = custody
         self._dispatcher = dispatcher
         self._counters = counters
-        self._repaths = TokenBucket(PER_SECOND, BURST)
+        self._repath_budget = TokenBucket(PER_SECOND, BURST)
         self._pending: list[Flow] = []
         self._next_pass = 0.0
         self._changes_seen = 0
@@ -70,28 +81,28 @@
         self._draining = False
 
     def on_manifest(self) -> None:
-        """From the next pass on, looks which flows left their default."""
+        """Makes the next pass recompute which flows are off their default."""
         self._new_defaults = True
 
     def drain(self) -> None:
-        """From the next pass on, hands every flow to its owner."""
+        """Restarts the scan; each pass now hands flows over to their owners."""
         self._draining = True
         self._pending = []
         self._next_pass = 0.0
 
     def tick(self, now: float, tick: int) -> None:
-        """Looks at the next slice of flows."""
+        """Scans the next slice of flows."""
         if not self._pending:
             if now < self._next_pass:
                 return
-            self._next_pass = now + PASS_S
+            self._next_pass = now + PASS_INTERVAL_S
             self._begin_pass()
-        size = CHECKED_SLICE if self._checks else SLICE
+        size = CHECKED_FLOWS_PER_TICK if self._checks else FLOWS_PER_TICK
         flows = self._pending[-size:]
         del self._pending[-size:]
         idle_since = tick - int(self._settings.idle_s * TICKS_PER_S)
         for flow in flows:
-            # The flow that needs nothing: nearly every one, nearly always.
+            # Fast path: nearly all flows need nothing, nearly all the time.
             if (
                 flow.state is FlowState.CARRIED
                 and not flow.unanswered
@@ -100,10 +111,10 @@
                 and flow.heard > idle_since
             ):
                 continue
-            self._look_at(flow, now, tick, idle_since)
+            self._inspect(flow, now, tick, idle_since)
 
     def _begin_pass(self) -> None:
-        self._pending = self._table.every_flow()
+        self._pending = self._table.all_flows()
         self._check_backups = self._changes_seen != self._fleet.changes
         self._changes_seen = self._fleet.changes
         self._check_defaults = self._new_defaults
@@ -112,7 +123,7 @@
             self._check_backups or self._check_defaults or self._draining
         )
 
-    def _look_at(
+    def _inspect(
         self, flow: Flow, now: float, tick: int, idle_since: int
     ) -> None:
         if flow.path.flows.get(flow.target.address) is not flow:
@@ -121,26 +132,26 @@
         if (
             last < idle_since
             or self._unproved(flow, tick)
-            or self._given_up(flow, tick)
+            or self._handover_expired(flow, tick)
         ):
             self._end(flow, now)
         elif flow.state in (FlowState.CARRIED, FlowState.ADOPTED):
-            self._keep(flow, now, tick)
+            self._maintain(flow, now, tick)
 
     def _unproved(self, flow: Flow, tick: int) -> bool:
-        """Whether a guessed flow got no answer in time."""
+        """Returns whether a guessed flow got no answer in time."""
         waited = tick - flow.opened
         return flow.state is FlowState.GUESSED and waited > (
-            GUESS_S * TICKS_PER_S
+            GUESS_TIMEOUT_S * TICKS_PER_S
         )
 
-    def _given_up(self, flow: Flow, tick: int) -> bool:
-        """Whether a leaving relay no longer waits for a flow handed over.
+    def _handover_expired(self, flow: Flow, tick: int) -> bool:
+        """Returns whether a draining relay may end a handed-over flow.
 
-        A session that its caller has closed is never answered by its new
-        path, and its upstream may go on sending by the old one for a while.
-        Waiting for its silence would hold up every planned stop; a caller
-        that lives has sent its keep-alive to the new relay by now.
+        A session that its caller has closed is never answered on its new path,
+        and its upstream may still send on the old one for a while. Waiting
+        until it is silent would delay every planned stop. A caller that is
+        still alive has sent its keep-alive to the new relay by now.
         """
         waited = tick - flow.heard
         return (
@@ -151,21 +162,21 @@
 
     def _end(self, flow: Flow, now: float) -> None:
         if flow.state is not FlowState.MOVED:
-            self._custody.ended(flow)
+            self._custody.delete_record(flow)
             self._dispatcher.on_flow_ended(
                 flow.target.service, flow.target.name, now
             )
         self._table.end(flow, now)
         self._counters.add(c.FLOWS_ENDED)
 
-    def _keep(self, flow: Flow, now: float, tick: int) -> None:
+    def _maintain(self, flow: Flow, now: float, tick: int) -> None:
         if flow.unanswered:
             self._repair(flow, now, tick)
         if self._draining:
             self._hand_over(flow)
             return
         if self._check_defaults:
-            self._check_default(flow)
+            self._update_off_default(flow)
         if not flow.backup or self._check_backups:
             self._replicate(flow)
 
@@ -174,9 +185,9 @@
         if owner is not None and owner.number != self._fleet.me.number:
             self._custody.hand_over(flow, owner.number)
 
-    def _check_default(self, flow: Flow) -> None:
-        # Who does not know the flow sees only its port, which may by now
-        # belong to another service.
+    def _update_off_default(self, flow: Flow) -> None:
+        # A VM that does not know the flow sees only its port, which may belong
+        # to another service by now.
         service = flow.listener.service.number
         default = self._dispatcher.default_endpoint(service, flow.key)
         computed = self._table.may_guess(flow.listener)
@@ -186,8 +197,8 @@
         )
 
     def _replicate(self, flow: Flow) -> None:
-        # Its age when its caller was last heard: a flow that has ended shows
-        # only by its silence, and needs no record.
+        # The age counts up to the caller's latest packet. Only silence shows
+        # that a flow has ended, and an ended flow needs no record.
         age_s = (flow.heard - flow.opened) / TICKS_PER_S
         due = is_due(age_s, flow.off_default, self._settings.replicate_after_s)
         if not due and not self._check_backups:
@@ -199,8 +210,8 @@
         if backup != flow.backup:
             self._custody.replicate(flow, backup)
 
-    def _answers_others(self, flow: Flow, tick: int) -> bool:
-        """Whether the endpoint has answered others since it answered this."""
+    def _endpoint_answers_others(self, flow: Flow, tick: int) -> bool:
+        """Returns whether the endpoint answered other flows after this one."""
         last = flow.target.answered
         fresh = tick - last < ENDPOINT_ALIVE_S * TICKS_PER_S
         return fresh and last > flow.answered
@@ -210,12 +221,12 @@
             flow.unanswered,
             (tick - flow.answered) / TICKS_PER_S,
             (tick - flow.heard) / TICKS_PER_S,
-            self._answers_others(flow, tick),
+            self._endpoint_answers_others(flow, tick),
         )
-        if not silent or not self._repaths.take(now):
+        if not silent or not self._repath_budget.take(now):
             return
-        # Dated ahead, so that the flow is found silent again only after the
-        # time of the next try.
+        # The tick lies in the future, so that the flow counts as silent again
+        # only after the retry interval.
         until = tick + int((NEXT_TRY_S - SILENT_S) * TICKS_PER_S)
         if self._table.move(flow, flow.target, until, now, lost=True):
             self._counters.add(c.REPATHS, c.RepathReason.SILENT)
--- a/tests/relay_custody_test.py
+++ b/tests/relay_custody_test.py
@@ -1,10 +1,10 @@
-"""Tests of relay._custody: flows outlive their relay."""
+"""Tests of relay._custody: flows survive the loss of their relay."""
 
 from parameterized import parameterized
 from testtools import TestCase
 
 from pollenmast import counters as c
-from pollenmast.relay._carrier import Arrival
+from pollenmast.relay._forwarder import IncomingDatagram
 from standins.memory import (
     REGISTRY,
     Net,
@@ -13,48 +13,48 @@
     short,
     vm,
 )
-from tests.relay_crowd import (
+from tests.relay_sessions import (
     CALLERS,
-    REPLICATED_S,
-    not_last,
-    opened,
-    say_all,
-    unlike,
+    REPLICATION_WAIT_S,
+    net_with_sessions,
+    send_from_all,
+    unexpected_last,
+    unexpected_runs,
 )
 
 
 class PlannedStopTest(TestCase):
-    """A VM that leaves breaks no flow and cuts no answer."""
+    """A planned stop of a VM breaks no flow and loses no answer."""
 
     def test_handover(self):
-        """Every flow goes on by another VM, and the leaving one drains."""
-        net = opened()
-        net.keep_alive(CALLERS, REPLICATED_S)
+        """Every flow continues on another VM, and the leaving one drains."""
+        net = net_with_sessions()
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         net.declare_leaving(1)
         net.advance(2.0)
-        say_all(net, "after")
+        send_from_all(net, "after")
         net.advance(2.0)
-        self.assertEqual({}, unlike(net, "before", "after"))
+        self.assertEqual({}, unexpected_runs(net, "before", "after"))
         self.assertEqual([], net.strangers)
         self.assertTrue(net.relays[1].drained())
 
     def test_young_flows(self):
-        """Flows opened a moment before the stop are handed over as well."""
-        net = opened()
+        """Flows opened just before the stop are handed over as well."""
+        net = net_with_sessions()
         net.declare_leaving(2)
         net.advance(1.0)
         net.kill(2)
         net.declare_dead(2)
-        say_all(net, "after")
-        self.assertEqual({}, unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        self.assertEqual({}, unexpected_runs(net, "before", "after"))
 
     def test_answers_meanwhile(self):
-        """An upstream that still answers by the old path is not cut off.
+        """Answers on the old path still reach the caller after a hand-over.
 
-        It learns the new path only from its caller's next packet; until then
-        its alerts arrive at the leaving relay, which passes them on.
+        An upstream learns the new path only from its caller's next packet.
+        Until then its alerts arrive at the leaving relay, which forwards them.
         """
-        net = opened()
+        net = net_with_sessions()
         net.declare_leaving(1)
         net.advance(1.0)
         moved = [t for t in CALLERS if net.sessions[t].path.number == 1]
@@ -67,34 +67,37 @@
         self.assertFalse(net.relays[1].drained())
 
     def test_closed_sessions(self):
-        """Sessions that their callers have closed do not hold up a stop.
+        """Sessions that their callers have closed do not delay a stop.
 
-        Nothing shows that they ended, and their paths would be kept until
-        they count as idle; operators would wait minutes for each VM.
+        The relay cannot see that they ended. If it kept their paths until they
+        count as idle, operators would wait minutes for each VM.
         """
-        net = opened()
+        net = net_with_sessions()
         net.declare_leaving(1)
         net.advance(20.0)
         self.assertTrue(net.relays[1].drained())
 
     def test_rolling_replacement(self):
-        """All VMs are replaced one after the other; no flow breaks."""
-        net = opened()
+        """Replacing all VMs one after the other breaks no flow."""
+        net = net_with_sessions()
         for old, new in ((1, 4), (2, 5), (3, 6)):
             net.start(new)
             net.advance(1.0)
             net.declare_leaving(old)
             net.advance(1.0)
-            say_all(net, f"without {old}")
+            send_from_all(net, f"without {old}")
             net.advance(1.0)
             net.kill(old)
             net.declare_dead(old)
         self.assertEqual(
-            {}, unlike(net, *["before", "without 1", "without 2", "without 3"])
+            {},
+            unexpected_runs(
+                net, *["before", "without 1", "without 2", "without 3"]
+            ),
         )
 
     def test_new_flow_without_other_vm(self):
-        """The only VM leaves; a new caller is refused and told to come back."""
+        """If the only VM leaves, a new caller is refused with a retry delay."""
         net = Net(vms=1)
         net.declare_leaving(1)
         net.open("c1")
@@ -104,63 +107,63 @@
 
 
 class LossTest(TestCase):
-    """Flows outlive a VM that dies without a word."""
+    """Flows survive the sudden death of a VM."""
 
     @parameterized.expand([("small", 2), ("usual", 3), ("large", 9)])
     def test_killed(self, _, vms):
-        """A VM is killed; its flows go on by the VM that has their records.
+        """Flows of a killed VM continue on the VM that has their records.
 
-        Between the kill and its discovery packets are lost; afterwards each
-        flow reaches the endpoint that knows it.
+        Packets are lost until the death is detected. After that, each flow
+        reaches the endpoint that knows it.
         """
-        net = opened(vms)
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net = net_with_sessions(vms)
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         net.kill(1)
         net.declare_dead(1)
-        say_all(net, "after")
-        self.assertEqual({}, unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        self.assertEqual({}, unexpected_runs(net, "before", "after"))
         self.assertEqual([], net.strangers)
 
     def test_without_records(self):
-        """A VM dies though nothing was ever replicated.
+        """Flows at their default endpoint survive without any records.
 
-        Flows at their default endpoint are found by computation; this is why
-        they need no record. Only flows that load had placed elsewhere break.
+        Their endpoint can be computed, which is why they need no record. Only
+        flows that were placed elsewhere because of load break.
         """
-        net = opened(replicate_after_s=1e9)
+        net = net_with_sessions(replicate_after_s=1e9)
         placed_elsewhere = {tag for tag in CALLERS if net.flow(tag).off_default}
         net.kill(1)
         net.declare_dead(1)
-        say_all(net, "after")
-        broken = set(unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        broken = set(unexpected_runs(net, "before", "after"))
         self.assertEqual(set(), broken - placed_elsewhere)
 
     def test_zone_lost(self):
-        """Two VMs of one availability zone die at once.
+        """Flows survive the loss of two VMs of one availability zone.
 
-        Records are kept in another zone, so no flow loses both its holder
+        Records are stored in another zone, so no flow loses both its holder
         and its record.
         """
-        net = opened(vms=6)
+        net = net_with_sessions(vms=6)
         net.manifest = manifest(version=2, endpoints=4)
         net.publish()
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         for number in (3, 6):
             net.kill(number)
         for number in (3, 6):
             net.declare_dead(number)
-        say_all(net, "after")
-        self.assertEqual({}, unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        self.assertEqual({}, unexpected_runs(net, "before", "after"))
 
-    def test_half_lost(self):
-        """Half of the fleet dies at once, over all zones.
+    def test_half_of_fleet_lost(self):
+        """Half of the fleet, in all zones, is lost at once.
 
-        Only a flow that is off its default endpoint and whose holder and
-        keeper are both gone may break; every other one goes on, and none
-        runs anything twice.
+        Only a flow that is off its default endpoint and has lost both its
+        holder and its backup may break. All others continue, and none runs
+        anything twice.
         """
-        net = opened(vms=6)
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net = net_with_sessions(vms=6)
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         lost = (1, 2, 3)
         numbers = {net.relays[number].fleet.me.number for number in lost}
         excused = {
@@ -174,47 +177,49 @@
             net.kill(number)
         for number in lost:
             net.declare_dead(number)
-        say_all(net, "after")
-        broken = set(unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        broken = set(unexpected_runs(net, "before", "after"))
         self.assertEqual(set(), broken - excused)
         self.assertLess(len(excused), len(CALLERS) / 4)
 
     def test_joined_then_killed(self):
-        """A VM joins, so flows are held off their owner; then a holder dies.
+        """A join moves the ownership of flows; then one of the holders dies.
 
-        The owner keeps the record of such a flow, as it is the one that will
-        be asked for it.
+        The owner must store the record of a flow held by another VM, as it is
+        the one that will be queried.
         """
-        net = opened()
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net = net_with_sessions()
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         net.start(4)
-        net.keep_alive(CALLERS, REPLICATED_S)
-        say_all(net, "joined")
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
+        send_from_all(net, "joined")
         net.kill(1)
         net.declare_dead(1)
-        say_all(net, "after")
-        self.assertEqual({}, unlike(net, *["before", "joined", "after"]))
+        send_from_all(net, "after")
+        self.assertEqual(
+            {}, unexpected_runs(net, *["before", "joined", "after"])
+        )
 
     def test_relay_restarted(self):
-        """A relay crashes and is back before anyone has missed it.
+        """A relay crashes and restarts before its death is detected.
 
-        It still owns its flows but knows none of them. The keepers of their
-        records, and of their connection ids, tell it.
+        It still owns its flows but knows none of them. It learns them from the
+        VMs that store their records and connection ids.
         """
-        net = opened()
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net = net_with_sessions()
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         net.kill(1)
         net.start(1)
-        say_all(net, "after")
-        self.assertEqual({}, unlike(net, "before", "after"))
+        send_from_all(net, "after")
+        self.assertEqual({}, unexpected_runs(net, "before", "after"))
 
-    def test_guess_yields(self):
-        """An owner guessed a flow's endpoint; then its holder reports it.
+    def test_record_replaces_guess(self):
+        """A guessed flow is dropped when its holder sends a record.
 
-        The holder knows where the session is. Held against it, the guess
-        would leave the caller at an endpoint that has never heard of it.
+        The holder knows the session's endpoint. If the guess took precedence,
+        the caller would stay at an endpoint that does not know its session.
         """
-        net = opened(vms=2)
+        net = net_with_sessions(vms=2)
         net.start(3)
         owner = net.relays[3]
         listener = owner.table.listener(REGISTRY)
@@ -222,32 +227,32 @@
             tag
             for tag in CALLERS
             if owner.fleet.owns(
-                Arrival(listener, address_of(tag), None, b"").key
+                IncomingDatagram(listener, address_of(tag), None, b"").key
             )
         )
         (holder,) = net.holders(tag)
         caller = address_of(tag)
-        arrival = owner.read(listener, caller, short(tag), 0, 0)
+        datagram = owner.read(listener, caller, short(tag), 0, 0)
         net.silent_upstreams.update(t.address for t in owner.table.targets)
-        owner.guess(arrival, net.now)
+        owner.guess(datagram, net.now)
         flow = net.relays[holder].table.listener(REGISTRY).flows[caller]
         net.relays[holder].custody.replicate(flow, owner.fleet.me.number)
         net.advance(1.0)
         self.assertEqual([holder], net.holders(tag))
 
 
-class SplitTest(TestCase):
-    """Both sides of a cut serve; one owner is left when it heals."""
+class PartitionTest(TestCase):
+    """Both sides of a partition serve; one holder is left once it heals."""
 
     def test_cut_and_heal(self):
-        """An availability zone is cut off for a while.
+        """An availability zone is partitioned from the rest for a while.
 
-        Each side declares the other dead and carries the flows whose packets
-        reach it. When the cut heals, each flow is left with one relay, and
-        none of them breaks.
+        Each side declares the other dead and forwards the flows whose packets
+        reach it. Once the partition heals, each flow is left with one relay,
+        and none of them breaks.
         """
-        net = opened()
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net = net_with_sessions()
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         everybody = dict(net.vms)
         net.cut = lambda source, target: (source == 1) != (target == 1)
         for number, core in net.relays.items():
@@ -264,26 +269,26 @@
         net.vms = everybody
         net.publish()
         net.advance(6.0)
-        say_all(net, "after")
+        send_from_all(net, "after")
         self.assertEqual([], net.strangers)
-        self.assertEqual([], not_last(net, "after"))
+        self.assertEqual([], unexpected_last(net, "after"))
         self.assertEqual({1}, {len(net.holders(tag)) for tag in CALLERS})
 
 
 class FreezeTest(TestCase):
-    """A relay that was frozen wakes with old beliefs."""
+    """A relay that was frozen resumes with a stale view of the fleet."""
 
-    def test_wakes(self):
-        """A relay stands still for ten seconds while others take over.
+    def test_resumed(self):
+        """A relay is frozen for ten seconds while others take over.
 
-        It opens nothing until its agent has answered it anew, and goes on
-        passing what it knows; no flow breaks.
+        It opens no flows until its agent has sent a new view, and still
+        forwards known flows. No flow breaks.
         """
-        net = opened()
-        net.keep_alive(CALLERS, REPLICATED_S)
+        net = net_with_sessions()
+        net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         frozen = net.relays.pop(1)
         net.declare_dead(1)
-        say_all(net, "meanwhile")
+        send_from_all(net, "meanwhile")
         net.advance(10.0)
         net.relays[1] = frozen
         frozen.tick(net.now)
@@ -293,16 +298,16 @@
         net.vms[1] = vm(1)
         net.publish()
         net.advance(6.0)
-        say_all(net, "after")
+        send_from_all(net, "after")
         self.assertEqual([], net.strangers)
-        self.assertEqual([], not_last(net, "after"))
+        self.assertEqual([], unexpected_last(net, "after"))
 
     def test_packets_before_the_first_tick(self):
-        """A relay wakes with packets in its sockets, and reads those first.
+        """Packets read between a freeze and the first tick open no flows.
 
-        Its clock has not ticked yet, so it had not noticed that it stood
-        still: it opened flows by what it believed before, at endpoints that
-        have left meanwhile.
+        A relay that wakes reads its sockets before its clock ticks. It did not
+        detect the freeze and opened flows by its stale view, at endpoints that
+        had left in the meantime.
         """
         net = Net(vms=1)
         net.advance(1.0)
@@ -312,10 +317,10 @@
         self.assertEqual({}, net.sessions)
 
     def test_old_view_after_waking(self):
-        """A view that was sent before the freeze is no fresh one.
+        """A view that was sent before the freeze does not count as fresh.
 
-        It may lie in the link's buffer; taken for fresh, the relay would open
-        flows at endpoints that have long gone.
+        It may still be in the link's buffer. If it counted, the relay would
+        open flows at endpoints that left long ago.
         """
         net = Net(vms=2)
         core = net.relays[1]
