--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -1,8 +1,9 @@
-"""What happens to each segment of a client, without sockets.
+"""Decides what happens to each client segment, independently of sockets.
 
-Every packet names its endpoint by a token that the endpoint's first answer
-carried, so any VM can carry any packet of any flow. A VM decides only where a
-flow's SYN goes, and when a flow has to be given up.
+Every packet after the SYN carries the token of its endpoint, which the
+endpoint's first answer contained, so any VM can forward any packet of any flow.
+A VM decides only which endpoint a flow's SYN goes to, and when a flow has to be
+ended.
 """
 
 import random
@@ -40,13 +41,16 @@
 from pollenmast.steering._routes import RouteBook
 
 CURRENT_S = 2.5
-"""How old a confirmed view may be to say that something does not exist, in
-seconds: less than the three within which a new route must be served. While
-the directory is in reach a watch answers every second."""
+"""Maximum age in seconds of a view used to conclude that a route is missing.
+
+The same holds for endpoints. A view's age counts from the directory's last
+confirmation. The limit is below the three seconds within which a new route must
+be served; while the directory is reachable, its watch answers every second.
+"""
 
 SETTLE_S = 3.0
-"""How long after the directory's return its list may still miss entries, in
-seconds: they are back within about two."""
+"""How long the directory's list may be incomplete after the directory returns
+from an outage, in seconds. Missing entries are back within about two."""
 
 
 @attrs.frozen
@@ -54,8 +58,9 @@
     """What an update changed.
 
     Attributes:
-        records: Endpoints that came, changed or vanished.
-        table: The configuration, if a newer one came into force.
+        records: Endpoints that were added, changed or removed.
+        table: The new configuration, or None if the one in force did not
+            change.
         zones: Availability zones that were drained or restored.
     """
 
@@ -65,7 +70,7 @@
 
 
 class Steering:
-    """The beliefs of one VM and what follows from them."""
+    """One VM's view of routes and endpoints, and the decisions based on it."""
 
     def __init__(
         self,
@@ -101,42 +106,42 @@
 
     @property
     def catalog(self) -> Catalog:
-        """The endpoints."""
+        """The known endpoints."""
         return self._catalog
 
     @property
     def flows(self) -> FlowTable:
-        """The flows that passed by."""
+        """The flows whose packets this VM has seen recently."""
         return self._flows
 
     @property
     def doubts(self) -> Doubts:
-        """Which endpoints this VM asks for their health."""
+        """The policy that selects the endpoints this VM health-checks."""
         return self._doubts
 
     @property
     def load(self) -> LoadBook:
-        """The endpoints' load."""
+        """The load of the endpoints."""
         return self._load
 
     @property
     def cold_limit(self) -> ColdLimit:
-        """How many flows this VM may open to endpoints that warm up."""
+        """Limits the flows that this VM opens to cold endpoints."""
         return self._cold_limit
 
     @property
     def outliers(self) -> Outliers:
-        """The endpoints that fail requests."""
+        """Detects endpoints that fail requests while passing health checks."""
         return self._outliers
 
     @property
     def reach(self) -> Reach:
-        """Whether this VM reaches the zones that its clients depend on."""
+        """Whether this VM can reach the zones that its clients depend on."""
         return self._reach
 
     @property
     def journal(self) -> Journal:
-        """The latest changes."""
+        """The most recent changes."""
         return self._journal
 
     @property
@@ -146,59 +151,70 @@
 
     @property
     def position(self) -> Position:
-        """How far the beliefs follow the directory."""
+        """The epoch and revision of the directory that this VM has applied."""
         return self._position
 
     @property
     def revision(self) -> int:
-        """The directory's revision that the beliefs are complete up to."""
+        """The directory revision up to which the view is complete."""
         return self._position.revision
 
     @property
     def ready(self) -> bool:
-        """Whether routes and endpoints are known."""
+        """Whether a configuration and at least one endpoint are known."""
         return self.table is not None and bool(self._catalog.records)
 
     @property
     def serves(self) -> bool:
-        """Whether clients are as well off here as with another VM."""
+        """Whether clients are served as well here as by another VM."""
         return self.ready and not self._reach.cut_off
 
     def age_s(self, now: float) -> float:
-        """Returns how long ago the directory confirmed the beliefs."""
+        """Returns the seconds since the directory last confirmed this view."""
         return now - self._confirmed_at
 
     def on_confirmed(self, at: float) -> None:
-        """The directory has said, then, that nothing else has changed."""
+        """Handles confirmation by the directory that the view was complete.
+
+        Args:
+            at: When the directory confirmed it, in seconds.
+        """
         self._confirmed_at = max(self._confirmed_at, at)
         self._catalog.confirm(self._confirmed_at)
 
     def on_pause(self, gap_s: float) -> None:
-        """The VM stood still, which its clock has not counted.
+        """Ages the view after a pause of the VM that its clock did not count.
+
+        Otherwise the view would look as recent as before the pause, both to
+        this VM and to the VMs that it reports to.
 
-        Its view would else look as young as before the pause, to itself and
-        to the VMs that it tells.
+        Args:
+            gap_s: Length of the pause in seconds.
         """
         self._confirmed_at -= gap_s
         self._catalog.confirm(self._confirmed_at)
 
     def on_return(self, now: float) -> None:
-        """The directory answers again after an outage."""
+        """Handles the return of the directory after an outage."""
         self._returned_at = now
         self._catalog.extend_lapses(now)
 
     def fits(self, update: Update) -> bool:
-        """Whether an update follows from what this VM knows.
+        """Whether an update can be applied to this VM's current view.
 
-        Of another epoch only a list of everything can be taken, and none of
-        an earlier one.
+        An update of another epoch is accepted only if it is a complete list and
+        its epoch is later than the current one.
         """
         if update.epoch != self._position.epoch:
             return update.whole and update.epoch > self._position.epoch
         return self._routes.fits(update.changes)
 
     def apply(self, update: Update, now: float) -> Applied:
-        """Takes in what the directory, or a peer, told."""
+        """Applies an update from the directory or from a peer.
+
+        Returns:
+            What changed; nothing if the update does not fit the current view.
+        """
         if not self.fits(update):
             return Applied([], None)
         if update.epoch > self._position.epoch:
@@ -222,13 +238,16 @@
         return Applied(records, table, zones)
 
     def settle(self, now: float) -> Applied:
-        """Takes a restored directory's word once its writers had time."""
+        """Applies a restored directory's entries once its writers had time.
+
+        See `Catalog.settle`.
+        """
         records, zones = self._catalog.settle(now)
         self._cool(zones, now)
         return Applied(records, None, list(zones))
 
     def on_segment(self, segment: Segment, now: float) -> Outcome:
-        """Decides what becomes of a client's segment."""
+        """Decides what to do with a client's segment, and counts it."""
         outcome = self._decide(segment, now)
         if isinstance(outcome, Forward):
             self._counters.add(c.SEGMENTS)
@@ -241,7 +260,11 @@
     def on_check(
         self, record: Record, result: CheckResult, now: float
     ) -> list[Reset]:
-        """Takes in a health check; returns the flows to end."""
+        """Records the result of a health check.
+
+        Returns:
+            The resets to send for the endpoint's open flows if it is down.
+        """
         record.health.on_check(result, now)
         if record.health.down and self._catalog.is_missing(record):
             record.presence = Presence.GONE
@@ -250,13 +273,13 @@
         return self._end_flows(record)
 
     def due_checks(self, now: float) -> list[Record]:
-        """Returns the endpoints whose health is to be checked now."""
+        """Returns the endpoints to health-check now."""
         self._doubts.ask_overdue(now)
         due = self._catalog.watchlist.look(now)
         return [record for record in due if not self._doubts.drop(record)]
 
     def tick(self, now: float) -> None:
-        """Forgets what is old, and asks for what did not come back."""
+        """Expires old state and schedules checks of endpoints still missing."""
         self._flows.expire(now)
         self._catalog.expire(now)
         self._cold_limit.expire(now)
@@ -318,8 +341,9 @@
         flow.syn_at = now
         placed.record.health.on_syn(segment.flow, now)
         self._placement.on_opened(placed.record, now)
-        # Counts before its requests do: flows that arrive together would
-        # else all find the same endpoint the least loaded.
+        # Count the flow now rather than with its first request: otherwise
+        # flows that arrive together would all pick the same endpoint as the
+        # least loaded.
         self._load.on_work(endpoint.number, now)
         self._counters.add(c.PLACEMENTS, placed.reason)
         return Forward(endpoint, placed.reason)
@@ -327,10 +351,11 @@
     def _place(
         self, route: Route, flow: FlowKey, tried: tuple[str, ...], now: float
     ) -> Placed | Unplaced | None:
-        """Returns an endpoint of the first service that has one.
+        """Returns an endpoint of the route's first service that has one.
 
-        Where none has, returns why the first does not; None if the route
-        names no service.
+        Returns:
+            The placement. If no service has an endpoint, the reason given for
+                the first service; None if the route names no service.
         """
         first = None
         for service in route.services(flow.digest):
@@ -365,11 +390,11 @@
             record.health.on_repeat(now)
 
     def _end_flows(self, record: Record) -> list[Reset]:
-        """Ends every known flow of an endpoint that is down or gone.
+        """Ends all known flows of an endpoint that is down or gone.
 
-        An idle client would otherwise send its next request into silence.
-        One that may not be repeated would be lost, although a flow opened
-        anew could have carried it.
+        Otherwise an idle client would send its next request to an endpoint that
+        does not answer. A request that may not be repeated would then be lost,
+        although a newly opened flow could have carried it.
         """
         gone = record.presence is Presence.GONE
         reason = (
--- a/src/pollenmast/steering/_doubts.py
+++ b/src/pollenmast/steering/_doubts.py
@@ -1,11 +1,13 @@
-"""Which endpoints a VM asks for their health, and which it leaves to others.
+"""Which endpoints a VM health-checks, and which it leaves to other VMs.
 
-Load pattern: a service is released, or an availability zone cut off, and
-endpoints vanish or die by the dozen. Were each asked by every VM, the checks
-would grow with the product of both, and be most when the endpoints return.
+Load pattern: a service is released, or an availability zone is cut off, and
+endpoints disappear or die by the dozen. If every VM checked each of them, the
+number of checks would grow with the product of VMs and endpoints, and would be
+highest just when the endpoints return.
 
-So the zone's readers ask and tell. Another VM asks only where it carries
-flows, as their clients wait for the answer.
+So the zone's readers, the VMs that gather its reports, check endpoints and
+report the results. Any other VM checks only endpoints that it has flows to, as
+their clients wait for the result.
 """
 
 from collections.abc import Callable
@@ -17,7 +19,7 @@
 
 
 class Doubts:
-    """Decides for one VM what it asks."""
+    """Decides which endpoints one VM health-checks."""
 
     def __init__(self, catalog: Catalog, flows: FlowTable):
         self._catalog = catalog
@@ -25,28 +27,29 @@
         self._is_reader: Callable[[], bool] = _always
 
     def join(self, is_reader: Callable[[], bool]) -> None:
-        """Shares the asking with other VMs.
+        """Shares the checks with the other VMs of the zone.
 
         Args:
-            is_reader: Whether this VM asks for its zone.
+            is_reader: Returns whether this VM checks endpoints for its zone.
         """
         self._is_reader = is_reader
 
     def on_lapsed(self, records: list[Record], now: float) -> None:
-        """Entries have vanished from the directory."""
+        """Schedules checks of endpoints whose directory entries disappeared."""
         for record in self._concerning(records):
             record.health.ask(now, CheckReason.LAPSED)
 
     def ask_overdue(self, now: float) -> None:
-        """Asks endpoints whose entries did not come back."""
+        """Schedules checks of endpoints whose entries did not come back."""
         for record in self._concerning(self._catalog.overdue()):
             record.health.ask_again(now, CheckReason.MISSING)
 
     def on_reported_down(self, number: int, now: float) -> None:
-        """Another VM finds an endpoint down: this one, a reader, asks.
+        """Handles another VM's report to this reader that an endpoint is down.
 
-        Believed without a check, a VM that is cut off would turn the others
-        away from endpoints that they reach.
+        The endpoint is checked first. If the report were believed without a
+        check, a VM that is cut off would turn the others away from endpoints
+        that they can reach.
         """
         record = self._catalog.by_number(number)
         if record is None or record.health.down or self._is_unused(record):
@@ -54,10 +57,11 @@
         record.health.ask(now, CheckReason.REPORTED)
 
     def on_told_down(self, number: int, now: float) -> None:
-        """A reader of this zone, which has asked itself, finds one down.
+        """Handles a report by this zone's reader that an endpoint is down.
 
-        New flows are kept away. A VM that has found it down itself leaves it
-        to the reader to see its return.
+        The reader has checked the endpoint itself, so new flows are kept away.
+        If this VM also found it down, it leaves it to the reader to notice the
+        endpoint's return.
         """
         record = self._catalog.by_number(number)
         if record is None:
@@ -70,10 +74,10 @@
             record.health.ask_again(now, CheckReason.TOLD)
 
     def drop(self, record: Record) -> bool:
-        """Gives up a check that nobody waits for; returns whether it did.
+        """Cancels a check that nobody needs; returns whether it did.
 
-        Endpoints of a drained zone get no new flows, so that only the clients
-        of open flows need to know of their health.
+        Endpoints of a drained zone get no new flows, so only clients with open
+        flows depend on their health.
         """
         if not self._is_unused(record):
             return False
@@ -81,18 +85,26 @@
         return True
 
     def on_arrival(self, record: Record, now: float) -> None:
-        """A flow has moved here, whose endpoint this VM may not have asked."""
+        """Schedules a check for a flow that moved here from another VM.
+
+        This VM may not have checked the flow's endpoint yet.
+        """
         if record.presence is Presence.LAPSED:
             record.health.ask_again(now, CheckReason.LAPSED)
         elif record.health.is_avoided(now):
             record.health.ask_again(now, CheckReason.TOLD)
 
     def controls(self, but: Record, most: int) -> list[Record]:
-        """Returns endpoints to ask beside one that does not answer.
+        """Returns endpoints to check for comparison with an unresponsive one.
 
-        They are those that have shown life last, one of each availability
-        zone: a whole zone may be out of reach. None is of a drained zone: a VM
-        there that is cut off leaves its flows to VMs of other zones.
+        These are the endpoints that most recently showed that they are alive,
+        one of each availability zone, because a whole zone may be unreachable.
+        Drained zones are left out: a VM there that is cut off leaves its flows
+        to VMs of other zones.
+
+        Args:
+            but: The endpoint that does not answer.
+            most: Maximum number of endpoints to return.
         """
         known = [
             record
@@ -109,7 +121,7 @@
         return list(by_zone.values())[:most]
 
     def _concerning(self, records: list[Record]) -> list[Record]:
-        """Returns those of the vanished endpoints that this VM asks."""
+        """Returns those of the missing endpoints that this VM checks."""
         if self._is_reader():
             return [r for r in records if not self._is_unused(r)]
         return [r for r in records if self._flows.count(r.endpoint.name)]
--- a/src/pollenmast/steering/_flows.py
+++ b/src/pollenmast/steering/_flows.py
@@ -1,9 +1,9 @@
-"""What a VM remembers of the flows whose packets pass by it.
+"""The flows whose packets pass through this VM.
 
-The memory is soft: any VM can carry any packet without it. It counts the work
-at each endpoint, notices repeats, and knows whom to tell when an endpoint
-ends. It is lost with the VM, and a flow that moves to another VM is learned
-there from its next packet.
+This is soft state: any VM can forward any packet without it. It is used to
+count the work at each endpoint, to detect retransmissions, and to know which
+clients to reset when an endpoint goes away. It is lost with the VM; a flow that
+moves to another VM is learned there from its next packet.
 """
 
 import attrs
@@ -11,40 +11,45 @@
 from pollenmast.steering._model import FlowKey, Segment
 
 FORGET_S = 15.0
-"""A flow without a packet for so long is forgotten. Clients pause for
+"""Idle time in seconds after which a flow is forgotten. Clients pause for
 seconds between requests, and idle flows end after about this long."""
 
 MOST_FLOWS = 40_000
-"""Flows remembered, at about 300 bytes each; twice a VM's share of the
-24 million that the users expect over 1,400 VMs."""
+"""Maximum number of flows remembered, at about 300 bytes each. This is twice a
+VM's share of the 24 million flows that the users expect over 1,400 VMs."""
 
 REPEAT_S = 0.1
-"""A repeat sooner after the first try that passed by here came from a buffer,
-where both had waited: clients wait 0.2 s at the least."""
+"""Minimum delay in seconds for a retransmission to count as one.
+
+Clients wait at least 0.2 s before they retransmit. A copy that arrives sooner
+after the first one seen here had waited in a buffer together with it.
+"""
 
 _HALF = 1 << 31
 _WHOLE = 1 << 32
 
 
 def advanced(new: int, old: int) -> bool:
-    """Whether one sequence number of 32 bits is beyond another."""
+    """Whether a 32-bit sequence number is after another, with wraparound."""
     return 0 < (new - old) % _WHOLE < _HALF
 
 
 @attrs.define(eq=False)
 class Flow:
-    """One flow.
+    """The state of one flow.
 
     Attributes:
         key: Its addresses and ports.
         endpoint: The name of its endpoint.
-        seen_at: When its last packet came, in seconds.
-        acknowledged: Up to where the client has received.
-        next_sequence: The end of the data that the client has sent.
-        opened: Whether the client has answered the endpoint's SYN.
-        waiting_since: When the client sent what is not answered yet.
-        tried: Endpoints that copies of its SYN went to.
-        syn_at: When its last SYN was sent on.
+        seen_at: When its last packet arrived, in seconds.
+        acknowledged: The client's latest acknowledgement number.
+        next_sequence: The sequence number after the last data that the client
+            sent, or None before its first segment.
+        opened: Whether the client has answered the endpoint's SYN+ACK.
+        waiting_since: When the client sent the oldest data not yet answered, or
+            None.
+        tried: Names of the endpoints that copies of its SYN were sent to.
+        syn_at: When its last SYN was forwarded, in seconds.
     """
 
     key: FlowKey
@@ -60,14 +65,16 @@
 
 @attrs.frozen
 class Progress:
-    """What a segment says of its flow's endpoint.
+    """What a segment reveals about its flow's endpoint.
 
     Attributes:
-        advanced: The client has received something new.
-        repeated: The client sent again what it had sent before.
+        advanced: The client has received new data, or has completed a
+            handshake.
+        repeated: The client retransmitted data.
         request: The client sent new data.
-        waited_s: How long the client had waited for what it received.
-        received: Bytes of an answer that the client acknowledged first.
+        waited_s: How long the client waited for the data that it now
+            acknowledges, or None if it was not waiting.
+        received: Number of bytes in the first acknowledgement of an answer.
     """
 
     advanced: bool = False
@@ -78,7 +85,7 @@
 
 
 class FlowTable:
-    """The flows that passed by lately, by key and by endpoint."""
+    """The flows seen recently, indexed by key and by endpoint."""
 
     def __init__(self):
         self._flows: dict[FlowKey, Flow] = {}
@@ -88,19 +95,22 @@
         return len(self._flows)
 
     def get(self, key: FlowKey) -> Flow | None:
-        """Returns the flow, if its packets passed by."""
+        """Returns the flow, or None if it is not known here."""
         return self._flows.get(key)
 
     def at(self, endpoint: str) -> list[Flow]:
-        """Returns the flows to an endpoint."""
+        """Returns the flows of an endpoint."""
         return list(self._by_endpoint.get(endpoint, {}).values())
 
     def count(self, endpoint: str) -> int:
-        """Returns how many flows go to an endpoint."""
+        """Returns the number of flows of an endpoint."""
         return len(self._by_endpoint.get(endpoint, ()))
 
     def bind(self, key: FlowKey, endpoint: str, now: float) -> Flow:
-        """Returns the flow, which from now on goes to this endpoint."""
+        """Assigns a flow to an endpoint, adding the flow if it is new.
+
+        A full table drops the flow that was added first.
+        """
         flow = self._flows.get(key)
         if flow is None:
             if len(self._flows) >= MOST_FLOWS:
@@ -114,13 +124,13 @@
         return flow
 
     def forget(self, key: FlowKey) -> None:
-        """Forgets a flow, known or not."""
+        """Removes a flow; does nothing if it is not known."""
         flow = self._flows.pop(key, None)
         if flow is not None:
             self._leave(flow)
 
     def expire(self, now: float) -> None:
-        """Forgets the flows without a packet for long."""
+        """Removes the flows that have been idle for too long."""
         old = now - FORGET_S
         stale = [key for key, f in self._flows.items() if f.seen_at < old]
         for key in stale:
@@ -135,7 +145,7 @@
 
 
 def note(flow: Flow, segment: Segment, now: float) -> Progress:
-    """Takes a segment that is no SYN into its flow's state."""
+    """Updates a flow's state from a segment that is not a SYN."""
     waited, since, received = None, flow.waiting_since, 0
     first = flow.next_sequence is None
     moved = not first and advanced(segment.acknowledged, flow.acknowledged)
@@ -161,6 +171,6 @@
         and began is not None
         and now - began >= REPEAT_S
     )
-    # The handshake's last packet answers the endpoint's SYN+ACK.
+    # The last packet of the handshake shows that the SYN+ACK arrived.
     alive = moved or (opening and bool(flow.tried))
     return Progress(alive, repeated, request, waited, received)
--- a/src/pollenmast/steering/_health.py
+++ b/src/pollenmast/steering/_health.py
@@ -1,21 +1,23 @@
-"""Whether an endpoint answers, from what passes by this VM.
+"""Passive health detection: whether an endpoint answers, from its traffic.
 
-Load pattern: an endpoint dies, hangs or is cut off while the directory still
-lists it, for seconds. Its answers go straight to the clients, so a VM sees
-none of them. Without own evidence each request on a flow to it waits out its
-deadline, and new flows go on being placed there.
+Load pattern: an endpoint dies, hangs or is cut off from the network while the
+directory still lists it, for seconds. Its answers go directly to the clients,
+so a VM sees none of them. Without evidence of its own, the VM would go on
+placing new flows there, and each request on a flow to it would run into its
+deadline.
 
-A client that acknowledges more than before has received something: the
-endpoint lives. The signs of the opposite are
+A client that acknowledges more than before has received something, so the
+endpoint is alive. The signs of a failure are:
 
-- a client that sends a SYN or data again: it has received nothing;
-- a client that does not go on after its SYN: where no process listens, its
+- A client retransmits a SYN or data: it has received nothing.
+- A client sends nothing after its SYN: where no process listens, the endpoint's
   machine resets each SYN at once, and the client uses up its tries within
-  milliseconds;
-- a request, and no client of the endpoint that advances for a while after it.
+  milliseconds.
+- A request is followed by no progress of any of the endpoint's clients for a
+  while.
 
-Each may be chance, so it only asks for a health check and keeps new flows
-away until that has answered; the check decides.
+Each of these may be chance. It therefore only triggers a health check and keeps
+new flows away until the check has completed; the check decides.
 """
 
 import enum
@@ -26,60 +28,74 @@
 from pollenmast.steering._model import FlowKey
 
 CALM_S = 0.15
-"""A repeat counts only where no other flow of the endpoint has advanced for
-so long: three quarters of the clients' first retransmission time of 0.2 s, so
-that a single lost packet of a busy endpoint costs no check."""
+"""Time without progress after which a retransmission triggers a check.
+
+In seconds, counted over all flows of the endpoint. It is three quarters of the
+clients' first retransmission timeout of 0.2 s, so that a single lost packet of
+a busy endpoint causes no check.
+"""
 
 FAILED_CHECKS = 3
-"""Unanswered health checks in a row that make an endpoint down. On a link
-that loses a twentieth of its packets one check in ten fails, and three in a
-row one time in a thousand."""
+"""Consecutive unanswered health checks after which an endpoint is down. On a
+link that loses a twentieth of its packets one check in ten fails, and three in
+a row one time in a thousand."""
 
 RECHECK_S = 0.5
-"""Between two checks of an endpoint that is down. Its return is seen within
-this; half a second is a tenth of the shortest usual outage."""
+"""Initial interval in seconds between checks of an endpoint that is down. Its
+return is noticed within this time; half a second is a tenth of the shortest
+usual outage."""
 
 RECHECK_MOST_S = 1.0
-"""The longest such pause; it doubles up to here, as each check has a cost. A
-cut of some seconds hides a service for at most this much longer."""
+"""Maximum interval in seconds between checks of an endpoint that is down.
+
+The interval doubles up to this value, as each check has a cost. After a network
+cut of some seconds a service stays hidden for at most this much longer.
+"""
 
 
 OPEN_S = 0.04
-"""How long the client's next packet may take after its SYN: two ways to the
-client and the endpoint are about 10 ms, the endpoint's turn some more."""
+"""How long the client's next packet may take after its SYN, in seconds. The
+paths to the client and to the endpoint take about 10 ms both ways; the
+endpoint's own turn takes some more."""
 
 SILENT_S = 0.12
-"""How long an endpoint may show no life after a request. Nine of ten requests
-take less, and of a busy endpoint's clients some other one advances meanwhile;
-waiting for the client's repeat would take 0.2 s."""
+"""Shortest time without progress after a request that triggers a check.
+
+In seconds. Nine of ten requests take less, and on a busy endpoint some other
+client makes progress meanwhile. Waiting for the client's retransmission would
+take 0.2 s.
+"""
 
 SILENT_FACTOR = 4.0
-"""The same in usual answer times, if that is more. When all endpoints are
-busy, each late answer would else cause a check, which takes a slot and makes
-the next answer later."""
+"""The same limit as a multiple of the usual answer time; the larger applies.
+Otherwise, when all endpoints are busy, each late answer would cause a check,
+which takes a slot and delays the next answer further."""
 
 AVOID_S = 1.5
-"""How long another VM's finding counts: three of its reports."""
+"""How long a report by another VM that an endpoint is down is valid, in
+seconds: three of its report intervals."""
 
 MOST_DEFER_S = 5.0
-"""The longest between two looks of this VM at an endpoint that is down, while
-a reader reports it so. VMs that took each other for readers would otherwise
-wait for each other for good."""
+"""Maximum time in seconds between this VM's own checks of an endpoint that a
+reader reports as down. Without a maximum, VMs that took each other for readers
+would wait for each other for ever."""
 
 TRUST_S = 0.5
-"""After an answered check no other is asked for by silence: while the VMs in
-rotation change, a flow's next packet may pass by another VM."""
+"""How long after an answered check silence triggers no other, in seconds. While
+the set of VMs in rotation changes, a flow's next packet may pass through
+another VM."""
 
 MOST_PENDING = 256
-"""SYNs awaited for one endpoint; beyond that the oldest is given up."""
+"""Maximum number of unanswered SYNs tracked per endpoint; beyond it the oldest
+is dropped."""
 
 
 class CheckResult(str, enum.Enum):
-    """What a health check showed."""
+    """The result of a health check."""
 
     ANSWERED = "answered"
     UNHEALTHY = "unhealthy"
-    """It answered that it takes no work; the process lives."""
+    """It answered that it accepts no work; the process is alive."""
 
     OTHER = "other"
     """Another process answered at its address."""
@@ -94,7 +110,7 @@
 
 
 class Health:
-    """What one VM has seen of one endpoint."""
+    """One VM's view of the health of one endpoint."""
 
     def __init__(self):
         self._advanced_at = float("-inf")
@@ -113,7 +129,7 @@
 
     @property
     def look_at(self) -> float:
-        """When it needs the next look, infinite while none is needed."""
+        """When `look` or a check is next due, infinite if none is."""
         if self._check_at is not None:
             return self._check_at
         at = math.inf
@@ -126,50 +142,50 @@
 
     @property
     def down(self) -> bool:
-        """Whether it counts as dead or out of reach."""
+        """Whether the endpoint is considered dead or unreachable."""
         return self._down
 
     @property
     def doubted(self) -> bool:
-        """Whether a check is due or under way."""
+        """Whether a check is scheduled or in progress."""
         return self._check_at is not None
 
     @property
     def check_reason(self) -> CheckReason:
-        """Why the check is due, or the last one was."""
+        """The reason for the scheduled check, or for the last one."""
         return self._check_reason
 
     @property
     def failing(self) -> bool:
-        """Whether further unanswered checks make it down."""
+        """Whether the last checks failed, though too few to mark it down."""
         return not self._down and self._failed > 0
 
     @property
     def advanced_at(self) -> float:
-        """When it last showed life."""
+        """When it last showed that it is alive, in seconds."""
         return self._advanced_at
 
     def notify(self, on_expect: Callable[[], None]) -> None:
-        """Sets what is called when something comes to be expected."""
+        """Sets the callback for when `look_at` may have become earlier."""
         self._on_expect = on_expect
 
     def on_syn(self, flow: FlowKey, now: float) -> None:
-        """A flow's SYN was sent to it."""
+        """Handles a flow's SYN that was forwarded to the endpoint."""
         if len(self._pending) >= MOST_PENDING:
             del self._pending[next(iter(self._pending))]
         self._pending.setdefault(flow, now)
         self._on_expect()
 
     def on_open(self, flow: FlowKey) -> None:
-        """A client has gone on after its SYN, or has given the flow up."""
+        """Handles a client's first packet after its SYN, a reset included."""
         self._pending.pop(flow, None)
 
     def on_request(self, now: float, usual_s: float = 0.0) -> None:
-        """A client's request was sent to it.
+        """Handles a request that was forwarded to the endpoint.
 
         Args:
             now: The runtime's clock in seconds.
-            usual_s: How long answers take at present.
+            usual_s: The usual answer time at present, in seconds.
         """
         if self._asked_at is None:
             self._asked_at = now
@@ -177,7 +193,7 @@
             self._on_expect()
 
     def look(self, now: float) -> None:
-        """Asks for a check if it has been silent for too long."""
+        """Schedules a check if the endpoint has been silent for too long."""
         reason = None
         if self._unopened(now):
             reason = CheckReason.UNOPENED
@@ -202,14 +218,15 @@
         return True
 
     def on_advance(self, now: float) -> None:
-        """A client has received something from it: it lives.
+        """Handles progress of a client, which shows that the endpoint is alive.
 
-        Where every endpoint of a service is down, new flows try one all the
-        same. The first that opens is better evidence than the failed checks;
-        a reset after it would cut a flow that works.
+        When every endpoint of a service is down, new flows still try one. The
+        first flow that opens is better evidence than the failed checks;
+        resetting it would break a working flow.
 
-        An endpoint that is full may leave checks unanswered and still serve
-        its queue. Between its answers no three checks in a row fail.
+        A full endpoint may leave checks unanswered while it serves its queue.
+        Progress resets the count of failed checks, so that no three fail in a
+        row between its answers.
         """
         self._advanced_at = now
         self._asked_at = None
@@ -219,22 +236,25 @@
             self._expect_check(now, CheckReason.REVIVED)
 
     def on_repeat(self, now: float) -> None:
-        """A client has sent something to it again."""
+        """Handles a client's retransmission to the endpoint."""
         if now - self._advanced_at >= CALM_S and self._check_at is None:
             self._expect_check(now, CheckReason.REPEATED)
 
     def ask(self, now: float, reason: CheckReason) -> None:
-        """Has it checked, whatever passed by."""
+        """Schedules a check now, regardless of the traffic seen."""
         if self._check_at is None:
             self._expect_check(now, reason)
 
     def ask_again(self, now: float, reason: CheckReason) -> None:
-        """Has it checked, unless it has answered a check just now."""
+        """Schedules a check unless one was answered recently."""
         if now - self._checked_at >= RECHECK_MOST_S:
             self.ask(now, reason)
 
     def forget(self) -> None:
-        """Nothing is believed or expected of it any more."""
+        """Marks the endpoint as up and cancels its check.
+
+        SYNs and requests without an answer are forgotten too.
+        """
         self._failed = 0
         self._down = False
         self._check_at = None
@@ -243,34 +263,37 @@
         self._asked_at = None
 
     def postpone(self, now: float) -> None:
-        """A check said nothing, by this VM's own fault: not again at once."""
+        """Repeats a check later that failed because of this VM itself."""
         self._failed = 0
         self._expect_check(now + RECHECK_S, CheckReason.UNSURE)
 
     def avoid(self, now: float) -> None:
-        """Another VM finds it down: new flows had better go elsewhere."""
+        """Keeps new flows away because another VM reports the endpoint down."""
         self._avoided_until = now + AVOID_S
 
     def defer(self, now: float) -> None:
-        """A reader finds it down as well, and looks whether it is back."""
+        """Delays the next check because a reader also finds it down.
+
+        The reader checks whether the endpoint is back.
+        """
         if self._down and self._check_at is not None:
             at = min(now + AVOID_S, self._tried_at + MOST_DEFER_S)
             self._expect_check(max(at, self._check_at), CheckReason.DOWN)
 
     def is_avoided(self, now: float) -> bool:
-        """Whether another VM has found it down lately."""
+        """Whether another VM recently reported the endpoint down."""
         return now < self._avoided_until
 
     def is_sure(self, now: float) -> bool:
-        """Whether nothing speaks against new flows."""
+        """Whether nothing speaks against placing new flows here."""
         return not self.doubted and not self.is_avoided(now)
 
     def due(self, now: float) -> bool:
-        """Whether a check is to be made now."""
+        """Whether a check is due now."""
         return self._check_at is not None and now >= self._check_at
 
     def on_check(self, result: CheckResult, now: float) -> bool:
-        """Takes in a check; returns whether the belief has changed."""
+        """Records a check's result; returns whether `down` has changed."""
         self._tried_at = now
         if result in (CheckResult.ANSWERED, CheckResult.UNHEALTHY):
             return self._on_answered(now)
--- a/src/pollenmast/steering/_learning.py
+++ b/src/pollenmast/steering/_learning.py
@@ -1,7 +1,7 @@
-"""What a VM learns from the segments that pass by.
+"""Infers the state of endpoints from client segments.
 
-It sees no answer: that an endpoint lives, how long it takes and how much it
-says is learned from what its clients acknowledge.
+A VM does not see answers. Whether an endpoint is alive, how long its answers
+take and how long they are is inferred from what its clients acknowledge.
 """
 
 from pollenmast import counters as c
@@ -16,11 +16,12 @@
 from pollenmast.steering._waiting import Waiting
 
 WAIT_WEIGHT = 0.05
-"""Weight of one answer in the usual answer time: about the last twenty."""
+"""Weight of one answer in the moving average of the answer time; it covers
+about the last twenty answers."""
 
 
 class Learner:
-    """Takes each segment into what is believed of its flow and endpoint."""
+    """Updates the state of flows and endpoints from each segment."""
 
     def __init__(
         self,
@@ -40,7 +41,7 @@
         self._usual_wait_s = 0.0
 
     def on_segment(self, segment: Segment, record: Record, now: float) -> None:
-        """Takes in a segment of an open flow, which goes to an endpoint."""
+        """Processes a segment of an open flow to an endpoint."""
         if self._flows.get(segment.flow) is None:
             self._doubts.on_arrival(record, now)
         flow = self._flows.bind(segment.flow, record.endpoint.name, now)
@@ -50,7 +51,7 @@
         if progress.waited_s is not None:
             self._on_answer(progress.waited_s)
             self._on_length(segment.flow, record, progress.received, now)
-        # A request acknowledges the answer before it: it advances first.
+        # A request also acknowledges the previous answer: handle that first.
         if progress.advanced:
             record.health.on_advance(now)
             self._waiting.end(segment.flow)
@@ -64,12 +65,12 @@
             self.forget(segment.flow)
 
     def forget(self, flow: FlowKey) -> None:
-        """A flow has ended."""
+        """Removes a flow that has ended."""
         self._flows.forget(flow)
         self._waiting.end(flow)
 
     def look(self, now: float) -> None:
-        """Notes which requests have become late."""
+        """Records the requests that have become late since the last call."""
         for endpoint in self._waiting.take_late(now):
             self._load.on_late(endpoint, now)
             self._outliers.on_failed(endpoint, now)
--- a/src/pollenmast/steering/_lengths.py
+++ b/src/pollenmast/steering/_lengths.py
@@ -1,39 +1,42 @@
-"""Which answers are far shorter than usual.
+"""Detects answers that are far shorter than usual.
 
-A VM sees no answer. A client's acknowledgements tell how long it is: that an
-endpoint failed, or had no room, is said in fewer bytes than what was asked for.
+A VM does not see answers, but a client's acknowledgements show how long they
+are. An endpoint that failed, or had no room, says so in fewer bytes than the
+requested content has.
 """
 
 import collections
 
 MOST_ROUTES = 256
-"""Routes whose answers are known; the oldest one gives way."""
+"""Maximum number of routes tracked; the one added first is dropped."""
 
 LEAST_ANSWERS = 8
-"""Answers of a route before any of them is judged."""
+"""Number of answers of a route before any of them is judged."""
 
 MOST_ANSWERS = 400
-"""Answers that count; beyond them the weight of all is halved."""
+"""Number of answers of a route beyond which all counts are halved, so that
+older answers lose weight."""
 
 USUAL_PART = 0.25
-"""The part of answers that may be shorter than what is usual. Where more of
-them fail, short answers are usual, and say nothing of one endpoint."""
+"""Share of answers that may be shorter than the usual size, which is this
+quantile. Where more answers fail, short ones are usual and say nothing about a
+single endpoint."""
 
 SHORTER_BITS = 2
-"""How many powers of two shorter an answer has to be."""
+"""Number of powers of two by which a short answer is below the usual size."""
 
 RouteKey = tuple[str, str, int]
 """Service, address and port."""
 
 
 class AnswerLengths:
-    """How long the answers of each route are, as powers of two."""
+    """Distribution of each route's answer lengths, as powers of two."""
 
     def __init__(self):
         self._counts: dict[RouteKey, collections.Counter[int]] = {}
 
     def is_short(self, route: RouteKey, length: int) -> bool:
-        """Takes in an answer; returns whether it is unusually short."""
+        """Records an answer; returns whether it is unusually short."""
         counts = self._counts.get(route)
         if counts is None:
             if len(self._counts) >= MOST_ROUTES:
--- a/src/pollenmast/steering/_load.py
+++ b/src/pollenmast/steering/_load.py
@@ -1,15 +1,16 @@
-"""How much work each endpoint gets, from all VMs together.
-
-Load pattern: each zone's endpoints are shared by several VMs, and zones have
-unlike numbers of clients and endpoints. A VM that counts only its own
-requests cannot see that its zone's last two endpoints are full while another
-zone's stand idle: requests are turned away by the queue of two slots although
-there was room.
-
-Each request passes exactly one VM, so the VMs' counts add up. Readers hear
-them from their zone's VMs and from other zones as one sum each; the other VMs
-are told the total, in which they replace their own part by what they know to
-have sent since. So what a VM has to hear does not grow with the fleet.
+"""The load of each endpoint, summed over all VMs.
+
+Load pattern: each zone's endpoints are shared by several VMs, and zones differ
+in their numbers of clients and endpoints. A VM that counts only its own
+requests cannot see that its zone's last two endpoints are full while those of
+another zone are idle. The queues of these two then turn requests away although
+there is room elsewhere.
+
+Each request passes through exactly one VM, so the VMs' counts can be added up.
+Readers receive them from the VMs of their zone, and from each other zone as one
+sum. The other VMs receive the total; each of them replaces its own share in it
+by its current count. So the amount that a VM has to receive does not grow with
+the fleet.
 """
 
 import collections
@@ -19,29 +20,31 @@
 from pollenmast.steering._meter import Meter
 
 WINDOW_S = 2.0
-"""Over which requests are counted: long enough for a steady count, short
-enough to follow flows that move within seconds."""
+"""Length in seconds of the window in which requests are counted: long enough
+for a steady count, short enough to follow flows that move within seconds."""
 
 REPORT_LIFE_S = 4.0
-"""A report older than this no longer counts: eight of them were missed."""
+"""Age in seconds after which a report no longer counts; eight newer reports
+have then been missed."""
 
 BETTER_S = 1.5
-"""For so long a sum over more VMs is kept against one over fewer: a VM that
-has just become a reader has heard from few yet."""
+"""How long a sum over more VMs is preferred to a newer one over fewer, in
+seconds. A VM that has just become a reader has received few reports yet."""
 
 SETTLED_S = 4.0
-"""How long a VM has to hear from others before it compares zones: when a fleet
-starts at once, its zones hear of their own load first."""
+"""How long a VM has to receive reports before it compares zones, in seconds.
+When a whole fleet starts, each zone learns of its own load first."""
 
 LATE_WINDOW_S = 6.0
-"""For how long a late request counts: the usual length of such a trouble."""
+"""How long a late request counts, in seconds: the usual duration of such a
+fault."""
 
 LATE_RATE = 5.0
-"""Requests a second that one late request counts for. A single late one, which
-any endpoint has now and then, moves few flows; several keep new ones away."""
+"""Load of one late request, in requests per second. A single one, which any
+endpoint has now and then, moves few flows; several keep new flows away."""
 
 Rates = dict[int, float]
-"""Requests a second by endpoint number."""
+"""Requests per second by endpoint number."""
 
 
 @attrs.frozen
@@ -58,7 +61,7 @@
 
 
 class LoadBook:
-    """What one VM knows of all endpoints' load."""
+    """One VM's view of the load of all endpoints."""
 
     def __init__(self, zone: str):
         self._zone = zone
@@ -72,20 +75,20 @@
         self._heard_at = float("-inf")
 
     def on_work(self, endpoint: int, now: float) -> None:
-        """This VM sent a request, or a new flow, to an endpoint."""
+        """Counts a request, or a new flow, that this VM sent to an endpoint."""
         self._meters.setdefault(endpoint, Meter(WINDOW_S)).add(now)
 
     def on_late(self, endpoint: int, now: float) -> None:
-        """A request that this VM sent to an endpoint has become late."""
+        """Counts a late request that this VM had sent to an endpoint."""
         self._late.setdefault(endpoint, Meter(LATE_WINDOW_S)).add(now)
 
     def on_mate(self, vm: str, rates: Rates, now: float) -> None:
-        """A VM of the same zone told what it sends."""
+        """Handles a report by a VM of the same zone of what it sends."""
         self._on_heard(now)
         self._mates[vm] = _Report(now, rates)
 
     def on_zone(self, zone: str, rates: Rates, vms: int, now: float) -> None:
-        """A reader of another zone told what its zone's VMs send."""
+        """Handles a report by another zone's reader of what its VMs send."""
         self._on_heard(now)
         report = _Report(now, rates, vms)
         if report.replaces(self._zones.get(zone)):
@@ -94,16 +97,17 @@
     def on_total(
         self, rates: Rates, vms: int, now: float, floor: float = 0.0
     ) -> None:
-        """A reader of this zone told what all VMs send.
+        """Handles a report by this zone's reader of what all VMs send.
 
-        Load pattern: a fleet has more endpoints than one report names. Taken
-        for idle, those left out would draw flows away from every zone.
+        Load pattern: a fleet has more endpoints than one report names. If those
+        left out counted as idle, they would attract flows from every zone.
 
         Args:
-            rates: The total, of the busiest endpoints.
-            vms: How many VMs of this zone it has heard from.
+            rates: The total rates of the busiest endpoints.
+            vms: Number of VMs of this zone that the reader receives reports
+                from.
             now: The runtime's clock in seconds.
-            floor: What an endpoint counts for that is not named.
+            floor: The rate to assume for endpoints that are not named.
         """
         self._on_heard(now)
         report = _Report(now, rates, vms, floor)
@@ -111,7 +115,7 @@
             self._told = report
 
     def report(self, now: float) -> Rates:
-        """Returns what this VM sends, to be told to a reader."""
+        """Returns what this VM sends, for its report to a reader."""
         self._reported = self.own(now)
         return self._reported
 
@@ -126,24 +130,25 @@
         return _total([self.own(now), *_fresh(self._mates, now)])
 
     def vms(self, now: float) -> int:
-        """Returns how many VMs of the zone this one hears from, and itself."""
+        """Returns how many of the zone's VMs this VM's own sum covers."""
         return len(_fresh(self._mates, now)) + 1
 
     def gathered(self, now: float) -> Rates:
-        """Returns what all VMs send, by what this one has gathered itself.
+        """Returns what all VMs send, from the reports received here.
 
-        Only this is told to others: two VMs that told each other what they
-        were told would keep the load of the dead alive.
+        Only this is passed on. If two VMs reported to each other the totals
+        that they had been sent, the load of VMs that died would circulate for
+        ever.
         """
         return _total([self.zone(now), *_fresh(self._zones, now)])
 
     def is_settled(self, now: float) -> bool:
         """Whether the zones' loads can be compared.
 
-        A VM hears of its own zone's load before it hears of the others', and
-        of those from few VMs first. While all VMs start, each zone would take
-        the others for idle and place most flows there, and a cut of a zone then
-        breaks them.
+        A VM learns of its own zone's load before that of the others, which at
+        first covers few VMs. While all VMs start, each zone would consider the
+        others idle and place most flows there; a cut between zones would then
+        break them.
         """
         if now - self._heard_at > REPORT_LIFE_S:
             return False
@@ -155,28 +160,33 @@
         self._heard_at = now
 
     def rate(self, endpoint: int, now: float) -> float:
-        """Returns what all VMs send to an endpoint, in requests a second.
+        """Returns what all VMs send to an endpoint, in requests per second.
 
-        The sum of whoever has heard from more VMs counts. A flow is placed by
-        the rates of a few endpoints: adding up those of all took most of the
-        time of placing it.
+        It comes from the reader's total or from this VM's own sum, whichever
+        covers more VMs. Only this endpoint's rates are added up: a flow is
+        placed by the rates of a few endpoints, and adding up those of all took
+        most of the time of a placement.
         """
         own = self.own_rate(endpoint, now)
         if self.told_vms(now) <= self.vms(now):
             reports = [*_fresh(self._mates, now), *_fresh(self._zones, now)]
             return own + sum(rates.get(endpoint, 0.0) for rates in reports)
         told = self._told.rates.get(endpoint, self._told.floor)
-        # The part that the told sum has of this VM is older than its own.
+        # Replace this VM's last report in the total by its current rate.
         return max(0.0, told + own - self._reported.get(endpoint, 0.0))
 
     def own_rate(self, endpoint: int, now: float) -> float:
-        """Returns what this VM sends to an endpoint, in requests a second."""
+        """Returns what this VM sends to an endpoint, in requests per second."""
         meter, late = self._meters.get(endpoint), self._late.get(endpoint)
         rate = meter.count(now) / WINDOW_S if meter is not None else 0.0
         return rate + (LATE_RATE * late.count(now) if late is not None else 0.0)
 
     def told_vms(self, now: float) -> int:
-        """Returns how many VMs of the zone a reader hears from, 0 if untold."""
+        """Returns how many of the zone's VMs the reader's total covers.
+
+        Returns:
+            The number of VMs, 0 if there is no current total.
+        """
         told = self._told
         if told is None or now - told.at > REPORT_LIFE_S:
             return 0
--- a/src/pollenmast/steering/_outcomes.py
+++ b/src/pollenmast/steering/_outcomes.py
@@ -1,4 +1,4 @@
-"""What becomes of a client's segment."""
+"""The possible decisions about a client's segment."""
 
 import attrs
 
@@ -8,11 +8,11 @@
 
 @attrs.frozen
 class Forward:
-    """The segment goes to an endpoint.
+    """The segment is forwarded to an endpoint.
 
     Attributes:
         endpoint: The endpoint.
-        placed: Why it was chosen, for a segment that opens a flow.
+        placed: Why the endpoint was chosen, if the segment opens a flow.
     """
 
     endpoint: Endpoint
@@ -21,13 +21,13 @@
 
 @attrs.frozen
 class Reset:
-    """The client is told that its flow has ended.
+    """The client is sent a reset that ends its flow.
 
     Attributes:
         flow: The flow.
-        sequence: A number that the client takes for the flow's.
-        reason: Why, for counters and log.
-        endpoint: The flow's endpoint, or empty.
+        sequence: A sequence number that the client accepts for the flow.
+        reason: The reason, for counters and the log.
+        endpoint: The name of the flow's endpoint, or empty.
     """
 
     flow: FlowKey
@@ -38,10 +38,10 @@
 
 @attrs.frozen
 class Drop:
-    """The segment is thrown away without an answer.
+    """The segment is discarded without an answer.
 
     Attributes:
-        reason: Why.
+        reason: The reason, for counters.
     """
 
     reason: DropReason
--- a/src/pollenmast/steering/_outliers.py
+++ b/src/pollenmast/steering/_outliers.py
@@ -1,14 +1,15 @@
-"""Endpoints that fail requests although their health check is good.
+"""Outlier ejection: endpoints that fail requests but pass health checks.
 
-Load pattern: one endpoint of a service answers everything with an error, at
-once, or leaves requests hanging. Its health check is good, it looks idle, and
-it draws new flows away from those that work.
+Load pattern: one endpoint of a service answers every request with an error at
+once, or leaves requests hanging. It passes its health checks and looks idle, so
+it attracts new flows from the endpoints that work.
 
 So failures are counted: answers that are unusually short, and requests that
-became late. One VM sees too few of them; a zone's readers add up what all its
-VMs saw, and find the endpoints that fail far more than others of their service.
-They get no new flows for a while. Open flows are left alone: what fails and
-why is not certain, and a flow that is reset may lose a request.
+became late. One VM sees too few of them. A zone's readers add up the counts of
+all its VMs and look for endpoints that fail far more often than others of their
+service. Such endpoints get no new flows for a while. Open flows continue,
+because neither the fault nor its cause is certain, and a reset may lose a
+request.
 """
 
 import math
@@ -22,29 +23,32 @@
 from pollenmast.steering._record import Presence, Record
 
 WINDOW_S = 2.0
-"""Over which failures are counted."""
+"""Length in seconds of the window in which failures are counted."""
 
 REPORT_LIFE_S = 2.0
-"""For how long what another VM told counts."""
+"""Age in seconds after which another VM's report no longer counts."""
 
 LEAST_FAILED = 4
-"""Failures of a zone's VMs within the window that make an outlier."""
+"""Minimum number of failures, over a zone's VMs within the window, that make an
+endpoint an outlier."""
 
 FACTOR = 3
-"""How many times the service's median is added to that: where all endpoints
-are full, all fail alike, and none is worth avoiding."""
+"""Multiple of the service's median number of failures added to this minimum.
+Where all endpoints are full, all fail alike, and none is worth avoiding."""
 
 EJECT_S = 4.0
-"""For how long an outlier gets no new flows; then it is tried again."""
+"""How long an outlier gets no new flows before it is tried again, in
+seconds."""
 
 MOST_PART = 0.2
-"""Share of a service's endpoints that is kept away at the same time."""
+"""Maximum share of a service's endpoints that is ejected at the same time."""
 
 MOST_TOLD = 64
-"""Endpoints that one VM tells of, those with the most failures."""
+"""Maximum number of endpoints in one VM's report; those with the most failures
+are named."""
 
 Failures = dict[int, int]
-"""Failed requests by endpoint number."""
+"""Number of failed requests by endpoint number."""
 
 
 @attrs.frozen
@@ -54,7 +58,7 @@
 
 
 class Outliers:
-    """What one VM knows of endpoints that fail."""
+    """One VM's view of endpoints that fail requests."""
 
     def __init__(self, catalog: Catalog):
         self._catalog = catalog
@@ -64,19 +68,23 @@
         self._on_ejected: Callable[[Record, int], None] = _nothing
 
     def notify(self, on_ejected: Callable[[Record, int], None]) -> None:
-        """Sets what is called with an outlier and how often it failed."""
+        """Sets the callback for an ejection.
+
+        Args:
+            on_ejected: Called with the outlier and its number of failures.
+        """
         self._on_ejected = on_ejected
 
     def on_failed(self, endpoint: int, now: float) -> None:
-        """A request that this VM sent to an endpoint has failed."""
+        """Counts a failed request that this VM had sent to an endpoint."""
         self._meters.setdefault(endpoint, Meter(WINDOW_S)).add(now)
 
     def on_mate(self, vm: str, failures: Failures, now: float) -> None:
-        """A VM of the same zone told what failed."""
+        """Handles a report of failures by a VM of the same zone."""
         self._mates[vm] = _Report(now, failures)
 
     def own(self, now: float) -> Failures:
-        """Returns what failed for this VM, to be told to a reader."""
+        """Returns this VM's failures, for its report to a reader."""
         failures = {}
         for endpoint, meter in list(self._meters.items()):
             count = meter.count(now)
@@ -88,7 +96,11 @@
         return {each: failures[each] for each in worst[:MOST_TOLD]}
 
     def eject(self, now: float) -> list[int]:
-        """Returns the outliers that a reader finds, and keeps flows away."""
+        """Finds outliers as a reader and keeps new flows away from them.
+
+        Returns:
+            The numbers of all endpoints that are ejected at present.
+        """
         self._ejected = {n: u for n, u in self._ejected.items() if now < u}
         totals = self._totals(now)
         for number in self._found(totals):
@@ -98,7 +110,7 @@
         return list(self._ejected)
 
     def on_told(self, ejected: Iterable[int], now: float) -> None:
-        """Keeps new flows away from outliers that a reader has found."""
+        """Keeps new flows away from the outliers that a reader reports."""
         for number in ejected:
             record = self._catalog.by_number(number)
             if record is not None:
@@ -118,7 +130,7 @@
         return found
 
     def _of_service(self, members: list[int], totals: Failures) -> list[int]:
-        """Returns a service's outliers, the worst first."""
+        """Returns a service's new outliers, those with most failures first."""
         if len(members) < 2:
             return []
         counts = [totals.get(each, 0) for each in members]
--- a/src/pollenmast/steering/_reach.py
+++ b/src/pollenmast/steering/_reach.py
@@ -1,45 +1,46 @@
-"""Whether a VM whose own zone takes no new flows reaches another one.
+"""Whether a VM of a drained zone can reach the endpoints of other zones.
 
-Load pattern: a zone is drained and then cut off from the others. Its VMs go on
-getting its clients' packets and reach no endpoint that may be used. Callers
-would wait until their deadlines, although VMs of other zones could carry them.
-So such a VM says that it is not ready until it reaches an endpoint again.
+Load pattern: a zone is drained and then cut off from the others. Its VMs still
+receive its clients' packets but can reach no endpoint that may be used. Callers
+would wait for their deadlines although VMs of other zones could carry their
+flows. So such a VM reports that it is not ready until it reaches an endpoint
+again.
 """
 
 from pollenmast.steering._catalog import Catalog
 from pollenmast.steering._record import Presence, Record
 
 QUIET_S = 0.5
-"""How long no client may go on before the paths are tried: a few usual answer
-times."""
+"""Time in seconds without progress of any client before the paths are probed: a
+few usual answer times."""
 
 FAILED_PROBES = 2
-"""Rounds in a row without a connection after which a VM is cut off. Of some
-endpoints in as many zones not all connections are lost by chance, but a link
+"""Consecutive probe rounds without a connection after which a VM is cut off.
+Connections to endpoints in several zones are not all lost by chance, but a link
 may be full for some tenths of a second."""
 
 
 class Reach:
-    """What one VM knows of its paths to other zones."""
+    """Whether one VM has working paths to other zones."""
 
     def __init__(self, zone: str, catalog: Catalog):
         self._zone = zone
         self._catalog = catalog
-        # A VM that starts reaches nobody until it has: one that is ready in a
-        # zone that is cut off would draw all of its clients back.
+        # A VM that starts counts as cut off until a probe succeeds: if it were
+        # ready in a cut-off zone, it would attract all of the zone's clients.
         self._failed = FAILED_PROBES
 
     @property
     def cut_off(self) -> bool:
-        """Whether this VM reaches no endpoint that may be used."""
+        """Whether this VM can reach no endpoint that may be used."""
         drained = self._catalog.drains.is_drained(self._zone)
         return drained and self._failed >= FAILED_PROBES
 
     def targets(self, now: float) -> list[Record]:
-        """Returns the endpoints to connect to now, one a zone.
+        """Returns the endpoints to probe now by connecting, one per zone.
 
-        There are none while the own zone is used, or another one has shown
-        life just now.
+        There are none while the VM's own zone is in use, or while an endpoint
+        has recently shown that it is alive.
         """
         if not self._catalog.records:
             return []
@@ -48,11 +49,11 @@
             return []
         usable = self._usable()
         if not usable:
-            # Nothing is out of reach: new flows are refused at once.
+            # There is nothing to reach: new flows are refused at once.
             self._failed = 0
             return []
-        # Clients that other VMs have carried meanwhile show life as well, so
-        # it does not end a cut.
+        # Once cut off, progress does not count: it may come from clients that
+        # other VMs have served meanwhile.
         latest = max(record.health.advanced_at for record in usable)
         if not self.cut_off and now - latest < QUIET_S:
             self._failed = 0
@@ -63,7 +64,7 @@
         return list(by_zone.values())
 
     def on_probed(self, reached: bool) -> None:
-        """Takes in whether one of the targets was reached."""
+        """Records whether at least one of the targets was reached."""
         self._failed = 0 if reached else self._failed + 1
 
     def _usable(self) -> list[Record]:
--- a/src/pollenmast/steering/_waiting.py
+++ b/src/pollenmast/steering/_waiting.py
@@ -1,38 +1,38 @@
-"""Requests that wait for their endpoint, and those that wait too long.
+"""Unanswered requests, and which of them are late.
 
-Load pattern: an endpoint answers its health checks and leaves a part of its
-requests hanging, or has turned many times slower. Its clients give their
-flows up, so it gets few requests and looks idle: by rates alone every new
+Load pattern: an endpoint passes its health checks but leaves some of its
+requests hanging, or has become many times slower. Its clients give up their
+flows, so it gets few requests and looks idle: by request rates alone every new
 flow would go there, and hang too.
 
-An answer passes no VM, but the client's next segment acknowledges it. A
-request without that for a while is late, and says that its endpoint has less
-room than its rate shows.
+Answers do not pass through a VM, but the client's next segment acknowledges
+them. A request that is not acknowledged for a while is late, and shows that its
+endpoint has less capacity than its request rate suggests.
 """
 
 from pollenmast.steering._model import FlowKey
 
 LATE_S = 0.3
-"""From when on a request is late: several usual answer times, or one and the
-time after which a lost packet is sent again."""
+"""Age in seconds from which an unanswered request is late: several usual answer
+times, or one plus the time after which a lost packet is retransmitted."""
 
 
 class Waiting:
-    """Unanswered requests of the flows that pass by, oldest first."""
+    """Unanswered requests of the flows seen here, oldest first."""
 
     def __init__(self):
         self._since: dict[FlowKey, tuple[float, int]] = {}
 
     def begin(self, flow: FlowKey, endpoint: int, now: float) -> None:
-        """A request was sent to an endpoint."""
+        """Records a request that was sent to an endpoint."""
         self._since.setdefault(flow, (now, endpoint))
 
     def end(self, flow: FlowKey) -> None:
-        """The client has received something, or has gone."""
+        """Removes a flow's request: it was answered, or the flow has ended."""
         self._since.pop(flow, None)
 
     def take_late(self, now: float) -> list[int]:
-        """Returns the endpoint of each request that has become late."""
+        """Removes the late requests; returns the endpoint of each."""
         late = []
         for flow, (since, endpoint) in list(self._since.items()):
             if now - since < LATE_S:
