--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -25,11 +25,11 @@
     ZoneRestored,
 )
 from pollenmast.steering._cold_limit import ColdAllowance, ColdLimit
-from pollenmast.steering._doubts import Doubts
-from pollenmast.steering._flows import REPEAT_S, FlowTable
+from pollenmast.steering._doubts import CheckPolicy
+from pollenmast.steering._flows import MIN_RETRANSMIT_S, FlowTable
 from pollenmast.steering._health import CheckResult
 from pollenmast.steering._journal import Journal
-from pollenmast.steering._learning import Learner
+from pollenmast.steering._learning import TrafficObserver
 from pollenmast.steering._load import LoadBook
 from pollenmast.steering._model import FlowKey, Route, RouteTable, Segment
 from pollenmast.steering._outcomes import Drop, Forward, Outcome, Reset
@@ -40,7 +40,7 @@
 from pollenmast.steering._record import Presence, Record
 from pollenmast.steering._routes import RouteBook
 
-CURRENT_S = 2.5
+MAX_VIEW_AGE_S = 2.5
 """Maximum age in seconds of a view used to conclude that a route is missing.
 
 The same holds for endpoints. A view's age counts from the directory's last
@@ -48,7 +48,7 @@
 be served; while the directory is reachable, its watch answers every second.
 """
 
-SETTLE_S = 3.0
+DIRECTORY_SETTLE_S = 3.0
 """How long the directory's list may be incomplete after the directory returns
 from an outage, in seconds. Missing entries are back within about two."""
 
@@ -83,11 +83,11 @@
         self._counters = counters
         self._catalog = Catalog()
         self._flows = FlowTable()
-        self._doubts = Doubts(self._catalog, self._flows)
+        self._doubts = CheckPolicy(self._catalog, self._flows)
         self._load = LoadBook(zone)
         self._cold_limit = ColdLimit(zone, allowance)
         self._outliers = Outliers(self._catalog)
-        self._learner = Learner(
+        self._observer = TrafficObserver(
             self._flows,
             self._doubts,
             self._load,
@@ -115,7 +115,7 @@
         return self._flows
 
     @property
-    def doubts(self) -> Doubts:
+    def doubts(self) -> CheckPolicy:
         """The policy that selects the endpoints this VM health-checks."""
         return self._doubts
 
@@ -225,15 +225,15 @@
         table = self.table if self.table is not before else None
         if table is not None:
             self._placement.set_warmups(table.warmups)
-        self._cool(zones, now)
+        self._mark_cold(zones, now)
         records = self._catalog.apply(update, now)
         lapsed = [r for r in records if r.presence is Presence.LAPSED]
         self._doubts.on_lapsed(lapsed, now)
         if update.position > self._position:
             implied = [zone for zone in zones if zone not in update.changes]
-            told = tuple(c for c in (*changes, *implied) if c is not None)
-            kept = Update(told, update.revision, update.whole)
-            self._journal.add(kept, self._position.revision)
+            applied = tuple(c for c in (*changes, *implied) if c is not None)
+            effective = Update(applied, update.revision, update.whole)
+            self._journal.add(effective, self._position.revision)
             self._position = update.position
         return Applied(records, table, zones)
 
@@ -243,7 +243,7 @@
         See `Catalog.settle`.
         """
         records, zones = self._catalog.settle(now)
-        self._cool(zones, now)
+        self._mark_cold(zones, now)
         return Applied(records, None, list(zones))
 
     def on_segment(self, segment: Segment, now: float) -> Outcome:
@@ -274,19 +274,23 @@
 
     def due_checks(self, now: float) -> list[Record]:
         """Returns the endpoints to health-check now."""
-        self._doubts.ask_overdue(now)
+        self._doubts.check_overdue(now)
         due = self._catalog.watchlist.look(now)
-        return [record for record in due if not self._doubts.drop(record)]
+        return [
+            record
+            for record in due
+            if not self._doubts.cancel_if_unused(record)
+        ]
 
     def tick(self, now: float) -> None:
         """Expires old state and schedules checks of endpoints still missing."""
         self._flows.expire(now)
         self._catalog.expire(now)
         self._cold_limit.expire(now)
-        self._doubts.ask_overdue(now)
-        self._learner.look(now)
+        self._doubts.check_overdue(now)
+        self._observer.collect_late(now)
 
-    def _cool(
+    def _mark_cold(
         self, zones: Sequence[ZoneDrained | ZoneRestored], now: float
     ) -> None:
         if self.table is not None:
@@ -294,42 +298,42 @@
 
     def _decide(self, segment: Segment, now: float) -> Outcome:
         if segment.syn:
-            return self._open(segment, now)
+            return self._open_flow(segment, now)
         record = self._catalog.by_token(segment.token)
         if record is None:
             return Drop(DropReason.UNKNOWN_TOKEN)
         record.health.on_open(segment.flow)
         if segment.rst:
-            self._learner.forget(segment.flow)
+            self._observer.forget(segment.flow)
             return Forward(record.endpoint)
-        self._learner.on_segment(segment, record, now)
-        ended = self._ended(record)
-        if ended is not None:
-            self._learner.forget(segment.flow)
-            return self._reset(segment, ended, record.endpoint.name)
+        self._observer.on_segment(segment, record, now)
+        reset_reason = self._reset_reason(record)
+        if reset_reason is not None:
+            self._observer.forget(segment.flow)
+            return self._reset(segment, reset_reason, record.endpoint.name)
         return Forward(record.endpoint)
 
     @staticmethod
-    def _ended(record: Record) -> ResetReason | None:
+    def _reset_reason(record: Record) -> ResetReason | None:
         if record.presence is Presence.GONE:
             return ResetReason.ENDPOINT_GONE
         if record.health.down:
             return ResetReason.ENDPOINT_DOWN
         return None
 
-    def _open(self, segment: Segment, now: float) -> Outcome:
+    def _open_flow(self, segment: Segment, now: float) -> Outcome:
         route = self._route(segment)
-        current = self.age_s(now) < CURRENT_S
+        current = self.age_s(now) < MAX_VIEW_AGE_S
         if route is None:
             if self.table is None or not current:
                 return Drop(DropReason.NO_ROUTE_YET)
             return self._reset(segment, ResetReason.NO_ROUTE)
         flow = self._flows.get(segment.flow)
         tried = flow.tried if flow is not None and not flow.opened else ()
-        if tried and now - flow.syn_at < REPEAT_S:
+        if tried and now - flow.syn_sent_at < MIN_RETRANSMIT_S:
             return Drop(DropReason.DUPLICATE_SYN)
         for name in tried[-1:]:
-            self._doubt(name, now)
+            self._on_syn_repeated(name, now)
         self._catalog.watchlist.look(now)
         placed = self._place(route, segment.flow, tried, now)
         if placed is None or isinstance(placed, Unplaced):
@@ -338,7 +342,7 @@
         flow = self._flows.bind(segment.flow, endpoint.name, now)
         flow.tried = (*tried, endpoint.name)
         flow.opened = False
-        flow.syn_at = now
+        flow.syn_sent_at = now
         placed.record.health.on_syn(segment.flow, now)
         self._placement.on_opened(placed.record, now)
         # Count the flow now rather than with its first request: otherwise
@@ -372,8 +376,8 @@
             return self._reset(segment, ResetReason.ZONE_DRAINED)
         if reason is Unplaced.WARMING_UP:
             return self._reset(segment, ResetReason.WARMING_UP)
-        current = self.age_s(now) < CURRENT_S
-        settled = now - self._returned_at >= SETTLE_S
+        current = self.age_s(now) < MAX_VIEW_AGE_S
+        settled = now - self._returned_at >= DIRECTORY_SETTLE_S
         if current and settled:
             return self._reset(segment, ResetReason.NO_ENDPOINT)
         return Drop(DropReason.NO_ENDPOINT_YET)
@@ -384,7 +388,7 @@
         flow = segment.flow
         return self.table.routes.get((flow.service_host, flow.service_port))
 
-    def _doubt(self, name: str, now: float) -> None:
+    def _on_syn_repeated(self, name: str, now: float) -> None:
         record = self._catalog.get(name)
         if record is not None:
             record.health.on_repeat(now)
@@ -402,7 +406,7 @@
         )
         resets = []
         for flow in self._flows.at(record.endpoint.name):
-            self._learner.forget(flow.key)
+            self._observer.forget(flow.key)
             if flow.opened:
                 self._counters.add(c.RESETS, reason)
                 name = record.endpoint.name
--- a/src/pollenmast/steering/_doubts.py
+++ b/src/pollenmast/steering/_doubts.py
@@ -18,7 +18,7 @@
 from pollenmast.steering._record import Presence, Record
 
 
-class Doubts:
+class CheckPolicy:
     """Decides which endpoints one VM health-checks."""
 
     def __init__(self, catalog: Catalog, flows: FlowTable):
@@ -36,13 +36,13 @@
 
     def on_lapsed(self, records: list[Record], now: float) -> None:
         """Schedules checks of endpoints whose directory entries disappeared."""
-        for record in self._concerning(records):
+        for record in self._to_check(records):
             record.health.ask(now, CheckReason.LAPSED)
 
-    def ask_overdue(self, now: float) -> None:
+    def check_overdue(self, now: float) -> None:
         """Schedules checks of endpoints whose entries did not come back."""
-        for record in self._concerning(self._catalog.overdue()):
-            record.health.ask_again(now, CheckReason.MISSING)
+        for record in self._to_check(self._catalog.overdue()):
+            record.health.ask_unless_recent(now, CheckReason.MISSING)
 
     def on_reported_down(self, number: int, now: float) -> None:
         """Handles another VM's report to this reader that an endpoint is down.
@@ -67,13 +67,13 @@
         if record is None:
             return
         if record.health.down:
-            record.health.defer(now)
+            record.health.defer_recheck(now)
             return
         record.health.avoid(now)
         if self._flows.count(record.endpoint.name):
-            record.health.ask_again(now, CheckReason.TOLD)
+            record.health.ask_unless_recent(now, CheckReason.TOLD)
 
-    def drop(self, record: Record) -> bool:
+    def cancel_if_unused(self, record: Record) -> bool:
         """Cancels a check that nobody needs; returns whether it did.
 
         Endpoints of a drained zone get no new flows, so only clients with open
@@ -84,15 +84,15 @@
         record.health.forget()
         return True
 
-    def on_arrival(self, record: Record, now: float) -> None:
+    def on_flow_moved(self, record: Record, now: float) -> None:
         """Schedules a check for a flow that moved here from another VM.
 
         This VM may not have checked the flow's endpoint yet.
         """
         if record.presence is Presence.LAPSED:
-            record.health.ask_again(now, CheckReason.LAPSED)
+            record.health.ask_unless_recent(now, CheckReason.LAPSED)
         elif record.health.is_avoided(now):
-            record.health.ask_again(now, CheckReason.TOLD)
+            record.health.ask_unless_recent(now, CheckReason.TOLD)
 
     def controls(self, but: Record, most: int) -> list[Record]:
         """Returns endpoints to check for comparison with an unresponsive one.
@@ -114,13 +114,13 @@
             and not record.health.down
             and not self._catalog.is_drained(record)
         ]
-        known.sort(key=lambda record: -record.health.advanced_at)
+        known.sort(key=lambda record: -record.health.last_alive_at)
         by_zone: dict[str, Record] = {}
         for record in known:
             by_zone.setdefault(record.endpoint.zone, record)
         return list(by_zone.values())[:most]
 
-    def _concerning(self, records: list[Record]) -> list[Record]:
+    def _to_check(self, records: list[Record]) -> list[Record]:
         """Returns those of the missing endpoints that this VM checks."""
         if self._is_reader():
             return [r for r in records if not self._is_unused(r)]
--- a/src/pollenmast/steering/_flows.py
+++ b/src/pollenmast/steering/_flows.py
@@ -10,28 +10,28 @@
 
 from pollenmast.steering._model import FlowKey, Segment
 
-FORGET_S = 15.0
+IDLE_TIMEOUT_S = 15.0
 """Idle time in seconds after which a flow is forgotten. Clients pause for
 seconds between requests, and idle flows end after about this long."""
 
-MOST_FLOWS = 40_000
+MAX_FLOWS = 40_000
 """Maximum number of flows remembered, at about 300 bytes each. This is twice a
 VM's share of the 24 million flows that the users expect over 1,400 VMs."""
 
-REPEAT_S = 0.1
+MIN_RETRANSMIT_S = 0.1
 """Minimum delay in seconds for a retransmission to count as one.
 
 Clients wait at least 0.2 s before they retransmit. A copy that arrives sooner
 after the first one seen here had waited in a buffer together with it.
 """
 
-_HALF = 1 << 31
-_WHOLE = 1 << 32
+_HALF_SEQUENCE_SPACE = 1 << 31
+_SEQUENCE_SPACE = 1 << 32
 
 
-def advanced(new: int, old: int) -> bool:
+def is_after(new: int, old: int) -> bool:
     """Whether a 32-bit sequence number is after another, with wraparound."""
-    return 0 < (new - old) % _WHOLE < _HALF
+    return 0 < (new - old) % _SEQUENCE_SPACE < _HALF_SEQUENCE_SPACE
 
 
 @attrs.define(eq=False)
@@ -41,7 +41,7 @@
     Attributes:
         key: Its addresses and ports.
         endpoint: The name of its endpoint.
-        seen_at: When its last packet arrived, in seconds.
+        last_seen_at: When its last packet arrived, in seconds.
         acknowledged: The client's latest acknowledgement number.
         next_sequence: The sequence number after the last data that the client
             sent, or None before its first segment.
@@ -49,18 +49,18 @@
         waiting_since: When the client sent the oldest data not yet answered, or
             None.
         tried: Names of the endpoints that copies of its SYN were sent to.
-        syn_at: When its last SYN was forwarded, in seconds.
+        syn_sent_at: When its last SYN was forwarded, in seconds.
     """
 
     key: FlowKey
     endpoint: str
-    seen_at: float
+    last_seen_at: float
     acknowledged: int = 0
     next_sequence: int | None = None
     opened: bool = False
     waiting_since: float | None = None
     tried: tuple[str, ...] = ()
-    syn_at: float = float("-inf")
+    syn_sent_at: float = float("-inf")
 
 
 @attrs.frozen
@@ -72,16 +72,16 @@
             handshake.
         repeated: The client retransmitted data.
         request: The client sent new data.
-        waited_s: How long the client waited for the data that it now
+        answer_time_s: How long the client waited for the data that it now
             acknowledges, or None if it was not waiting.
-        received: Number of bytes in the first acknowledgement of an answer.
+        answer_bytes: Number of bytes in the first acknowledgement of an answer.
     """
 
     advanced: bool = False
     repeated: bool = False
     request: bool = False
-    waited_s: float | None = None
-    received: int = 0
+    answer_time_s: float | None = None
+    answer_bytes: int = 0
 
 
 class FlowTable:
@@ -113,30 +113,30 @@
         """
         flow = self._flows.get(key)
         if flow is None:
-            if len(self._flows) >= MOST_FLOWS:
+            if len(self._flows) >= MAX_FLOWS:
                 self.forget(next(iter(self._flows)))
             flow = self._flows[key] = Flow(key, endpoint, now)
         elif flow.endpoint != endpoint:
-            self._leave(flow)
+            self._unlink(flow)
             flow.endpoint = endpoint
         self._by_endpoint.setdefault(endpoint, {})[key] = flow
-        flow.seen_at = now
+        flow.last_seen_at = now
         return flow
 
     def forget(self, key: FlowKey) -> None:
         """Removes a flow; does nothing if it is not known."""
         flow = self._flows.pop(key, None)
         if flow is not None:
-            self._leave(flow)
+            self._unlink(flow)
 
     def expire(self, now: float) -> None:
         """Removes the flows that have been idle for too long."""
-        old = now - FORGET_S
-        stale = [key for key, f in self._flows.items() if f.seen_at < old]
+        old = now - IDLE_TIMEOUT_S
+        stale = [key for key, f in self._flows.items() if f.last_seen_at < old]
         for key in stale:
             self.forget(key)
 
-    def _leave(self, flow: Flow) -> None:
+    def _unlink(self, flow: Flow) -> None:
         flows = self._by_endpoint.get(flow.endpoint)
         if flows is not None:
             flows.pop(flow.key, None)
@@ -144,33 +144,35 @@
                 del self._by_endpoint[flow.endpoint]
 
 
-def note(flow: Flow, segment: Segment, now: float) -> Progress:
+def update_flow(flow: Flow, segment: Segment, now: float) -> Progress:
     """Updates a flow's state from a segment that is not a SYN."""
-    waited, since, received = None, flow.waiting_since, 0
+    answer_time_s, since, answer_bytes = None, flow.waiting_since, 0
     first = flow.next_sequence is None
-    moved = not first and advanced(segment.acknowledged, flow.acknowledged)
-    opening = not flow.opened
+    acked_new = not first and is_after(segment.acknowledged, flow.acknowledged)
+    was_opening = not flow.opened
     flow.opened = True
-    if moved and since is not None:
-        received = (segment.acknowledged - flow.acknowledged) % _WHOLE
-    if first or moved:
+    if acked_new and since is not None:
+        answer_bytes = (
+            segment.acknowledged - flow.acknowledged
+        ) % _SEQUENCE_SPACE
+    if first or acked_new:
         flow.acknowledged = segment.acknowledged
-    if moved and since is not None:
-        waited, flow.waiting_since = now - since, None
-    end = (segment.sequence + segment.length) % _WHOLE
-    fresh = first or advanced(end, flow.next_sequence)
-    if fresh:
+    if acked_new and since is not None:
+        answer_time_s, flow.waiting_since = now - since, None
+    end = (segment.sequence + segment.length) % _SEQUENCE_SPACE
+    sent_new = first or is_after(end, flow.next_sequence)
+    if sent_new:
         flow.next_sequence = end
-    request = segment.length > 0 and fresh
+    request = segment.length > 0 and sent_new
     if request and flow.waiting_since is None:
         flow.waiting_since = now
-    began = flow.waiting_since
+    waiting_since = flow.waiting_since
     repeated = (
         segment.length > 0
-        and not fresh
-        and began is not None
-        and now - began >= REPEAT_S
+        and not sent_new
+        and waiting_since is not None
+        and now - waiting_since >= MIN_RETRANSMIT_S
     )
     # The last packet of the handshake shows that the SYN+ACK arrived.
-    alive = moved or (opening and bool(flow.tried))
-    return Progress(alive, repeated, request, waited, received)
+    advanced = acked_new or (was_opening and bool(flow.tried))
+    return Progress(advanced, repeated, request, answer_time_s, answer_bytes)
--- a/src/pollenmast/steering/_health.py
+++ b/src/pollenmast/steering/_health.py
@@ -27,7 +27,7 @@
 from pollenmast.counters import CheckReason
 from pollenmast.steering._model import FlowKey
 
-CALM_S = 0.15
+REPEAT_GRACE_S = 0.15
 """Time without progress after which a retransmission triggers a check.
 
 In seconds, counted over all flows of the endpoint. It is three quarters of the
@@ -40,12 +40,12 @@
 link that loses a twentieth of its packets one check in ten fails, and three in
 a row one time in a thousand."""
 
-RECHECK_S = 0.5
+RECHECK_MIN_S = 0.5
 """Initial interval in seconds between checks of an endpoint that is down. Its
 return is noticed within this time; half a second is a tenth of the shortest
 usual outage."""
 
-RECHECK_MOST_S = 1.0
+RECHECK_MAX_S = 1.0
 """Maximum interval in seconds between checks of an endpoint that is down.
 
 The interval doubles up to this value, as each check has a cost. After a network
@@ -53,12 +53,12 @@
 """
 
 
-OPEN_S = 0.04
+SYN_FOLLOWUP_TIMEOUT_S = 0.04
 """How long the client's next packet may take after its SYN, in seconds. The
 paths to the client and to the endpoint take about 10 ms both ways; the
 endpoint's own turn takes some more."""
 
-SILENT_S = 0.12
+SILENCE_TIMEOUT_S = 0.12
 """Shortest time without progress after a request that triggers a check.
 
 In seconds. Nine of ten requests take less, and on a busy endpoint some other
@@ -66,26 +66,26 @@
 take 0.2 s.
 """
 
-SILENT_FACTOR = 4.0
+SILENCE_FACTOR = 4.0
 """The same limit as a multiple of the usual answer time; the larger applies.
 Otherwise, when all endpoints are busy, each late answer would cause a check,
 which takes a slot and delays the next answer further."""
 
-AVOID_S = 1.5
+REPORTED_DOWN_S = 1.5
 """How long a report by another VM that an endpoint is down is valid, in
 seconds: three of its report intervals."""
 
-MOST_DEFER_S = 5.0
+MAX_DEFER_S = 5.0
 """Maximum time in seconds between this VM's own checks of an endpoint that a
 reader reports as down. Without a maximum, VMs that took each other for readers
 would wait for each other for ever."""
 
-TRUST_S = 0.5
+ANSWER_VALID_S = 0.5
 """How long after an answered check silence triggers no other, in seconds. While
 the set of VMs in rotation changes, a flow's next packet may pass through
 another VM."""
 
-MOST_PENDING = 256
+MAX_PENDING_SYNS = 256
 """Maximum number of unanswered SYNs tracked per endpoint; beyond it the oldest
 is dropped."""
 
@@ -106,26 +106,26 @@
     TIMEOUT = "timeout"
 
 
-_CERTAIN = (CheckResult.OTHER, CheckResult.REFUSED)
+_CONCLUSIVE_FAILURES = (CheckResult.OTHER, CheckResult.REFUSED)
 
 
 class Health:
     """One VM's view of the health of one endpoint."""
 
     def __init__(self):
-        self._advanced_at = float("-inf")
-        self._failed = 0
+        self._last_alive_at = float("-inf")
+        self._failed_checks = 0
         self._down = False
         self._check_at: float | None = None
         self._check_reason = CheckReason.REPEATED
-        self._pause_s = RECHECK_S
-        self._checked_at = float("-inf")
-        self._tried_at = float("-inf")
-        self._pending: dict[FlowKey, float] = {}
-        self._asked_at: float | None = None
-        self._silent_s = SILENT_S
-        self._avoided_until = float("-inf")
-        self._on_expect: Callable[[], None] = _nothing
+        self._recheck_interval_s = RECHECK_MIN_S
+        self._answered_at = float("-inf")
+        self._last_check_at = float("-inf")
+        self._pending_syns: dict[FlowKey, float] = {}
+        self._request_at: float | None = None
+        self._silence_timeout_s = SILENCE_TIMEOUT_S
+        self._reported_down_until = float("-inf")
+        self._on_schedule: Callable[[], None] = _nothing
 
     @property
     def look_at(self) -> float:
@@ -133,11 +133,11 @@
         if self._check_at is not None:
             return self._check_at
         at = math.inf
-        if self._asked_at is not None:
-            at = self._asked_at + self._silent_s
-        if self._pending:
-            oldest = next(iter(self._pending.values()))
-            at = min(at, oldest + OPEN_S)
+        if self._request_at is not None:
+            at = self._request_at + self._silence_timeout_s
+        if self._pending_syns:
+            oldest = next(iter(self._pending_syns.values()))
+            at = min(at, oldest + SYN_FOLLOWUP_TIMEOUT_S)
         return at
 
     @property
@@ -158,27 +158,27 @@
     @property
     def failing(self) -> bool:
         """Whether the last checks failed, though too few to mark it down."""
-        return not self._down and self._failed > 0
+        return not self._down and self._failed_checks > 0
 
     @property
-    def advanced_at(self) -> float:
+    def last_alive_at(self) -> float:
         """When it last showed that it is alive, in seconds."""
-        return self._advanced_at
+        return self._last_alive_at
 
-    def notify(self, on_expect: Callable[[], None]) -> None:
+    def notify(self, on_schedule: Callable[[], None]) -> None:
         """Sets the callback for when `look_at` may have become earlier."""
-        self._on_expect = on_expect
+        self._on_schedule = on_schedule
 
     def on_syn(self, flow: FlowKey, now: float) -> None:
         """Handles a flow's SYN that was forwarded to the endpoint."""
-        if len(self._pending) >= MOST_PENDING:
-            del self._pending[next(iter(self._pending))]
-        self._pending.setdefault(flow, now)
-        self._on_expect()
+        if len(self._pending_syns) >= MAX_PENDING_SYNS:
+            del self._pending_syns[next(iter(self._pending_syns))]
+        self._pending_syns.setdefault(flow, now)
+        self._on_schedule()
 
     def on_open(self, flow: FlowKey) -> None:
         """Handles a client's first packet after its SYN, a reset included."""
-        self._pending.pop(flow, None)
+        self._pending_syns.pop(flow, None)
 
     def on_request(self, now: float, usual_s: float = 0.0) -> None:
         """Handles a request that was forwarded to the endpoint.
@@ -187,34 +187,41 @@
             now: The runtime's clock in seconds.
             usual_s: The usual answer time at present, in seconds.
         """
-        if self._asked_at is None:
-            self._asked_at = now
-            self._silent_s = max(SILENT_S, SILENT_FACTOR * usual_s)
-            self._on_expect()
+        if self._request_at is None:
+            self._request_at = now
+            self._silence_timeout_s = max(
+                SILENCE_TIMEOUT_S, SILENCE_FACTOR * usual_s
+            )
+            self._on_schedule()
 
     def look(self, now: float) -> None:
         """Schedules a check if the endpoint has been silent for too long."""
         reason = None
-        if self._unopened(now):
+        if self._syn_timed_out(now):
             reason = CheckReason.UNOPENED
-        elif self._unanswered(now):
+        elif self._request_timed_out(now):
             reason = CheckReason.SILENT
-        if reason is not None and now - self._checked_at >= TRUST_S:
+        if reason is not None and now - self._answered_at >= ANSWER_VALID_S:
             self.ask(now, reason)
 
-    def _unopened(self, now: float) -> bool:
-        oldest = next(iter(self._pending.values()), now)
-        if now - oldest < OPEN_S:
+    def _syn_timed_out(self, now: float) -> bool:
+        oldest = next(iter(self._pending_syns.values()), now)
+        if now - oldest < SYN_FOLLOWUP_TIMEOUT_S:
             return False
-        self._pending = {
-            flow: at for flow, at in self._pending.items() if now - at < OPEN_S
+        self._pending_syns = {
+            flow: at
+            for flow, at in self._pending_syns.items()
+            if now - at < SYN_FOLLOWUP_TIMEOUT_S
         }
-        return self._advanced_at < oldest
+        return self._last_alive_at < oldest
 
-    def _unanswered(self, now: float) -> bool:
-        if self._asked_at is None or now - self._asked_at < self._silent_s:
+    def _request_timed_out(self, now: float) -> bool:
+        if (
+            self._request_at is None
+            or now - self._request_at < self._silence_timeout_s
+        ):
             return False
-        self._asked_at = None
+        self._request_at = None
         return True
 
     def on_advance(self, now: float) -> None:
@@ -228,26 +235,29 @@
         Progress resets the count of failed checks, so that no three fail in a
         row between its answers.
         """
-        self._advanced_at = now
-        self._asked_at = None
-        self._failed = 0
+        self._last_alive_at = now
+        self._request_at = None
+        self._failed_checks = 0
         if self._down:
             self._down = False
-            self._expect_check(now, CheckReason.REVIVED)
+            self._schedule_check(now, CheckReason.REVIVED)
 
     def on_repeat(self, now: float) -> None:
         """Handles a client's retransmission to the endpoint."""
-        if now - self._advanced_at >= CALM_S and self._check_at is None:
-            self._expect_check(now, CheckReason.REPEATED)
+        if (
+            now - self._last_alive_at >= REPEAT_GRACE_S
+            and self._check_at is None
+        ):
+            self._schedule_check(now, CheckReason.REPEATED)
 
     def ask(self, now: float, reason: CheckReason) -> None:
         """Schedules a check now, regardless of the traffic seen."""
         if self._check_at is None:
-            self._expect_check(now, reason)
+            self._schedule_check(now, reason)
 
-    def ask_again(self, now: float, reason: CheckReason) -> None:
+    def ask_unless_recent(self, now: float, reason: CheckReason) -> None:
         """Schedules a check unless one was answered recently."""
-        if now - self._checked_at >= RECHECK_MOST_S:
+        if now - self._answered_at >= RECHECK_MAX_S:
             self.ask(now, reason)
 
     def forget(self) -> None:
@@ -255,34 +265,34 @@
 
         SYNs and requests without an answer are forgotten too.
         """
-        self._failed = 0
+        self._failed_checks = 0
         self._down = False
         self._check_at = None
-        self._pause_s = RECHECK_S
-        self._pending.clear()
-        self._asked_at = None
+        self._recheck_interval_s = RECHECK_MIN_S
+        self._pending_syns.clear()
+        self._request_at = None
 
     def postpone(self, now: float) -> None:
         """Repeats a check later that failed because of this VM itself."""
-        self._failed = 0
-        self._expect_check(now + RECHECK_S, CheckReason.UNSURE)
+        self._failed_checks = 0
+        self._schedule_check(now + RECHECK_MIN_S, CheckReason.UNSURE)
 
     def avoid(self, now: float) -> None:
         """Keeps new flows away because another VM reports the endpoint down."""
-        self._avoided_until = now + AVOID_S
+        self._reported_down_until = now + REPORTED_DOWN_S
 
-    def defer(self, now: float) -> None:
+    def defer_recheck(self, now: float) -> None:
         """Delays the next check because a reader also finds it down.
 
         The reader checks whether the endpoint is back.
         """
         if self._down and self._check_at is not None:
-            at = min(now + AVOID_S, self._tried_at + MOST_DEFER_S)
-            self._expect_check(max(at, self._check_at), CheckReason.DOWN)
+            at = min(now + REPORTED_DOWN_S, self._last_check_at + MAX_DEFER_S)
+            self._schedule_check(max(at, self._check_at), CheckReason.DOWN)
 
     def is_avoided(self, now: float) -> bool:
         """Whether another VM recently reported the endpoint down."""
-        return now < self._avoided_until
+        return now < self._reported_down_until
 
     def is_sure(self, now: float) -> bool:
         """Whether nothing speaks against placing new flows here."""
@@ -294,32 +304,37 @@
 
     def on_check(self, result: CheckResult, now: float) -> bool:
         """Records a check's result; returns whether `down` has changed."""
-        self._tried_at = now
+        self._last_check_at = now
         if result in (CheckResult.ANSWERED, CheckResult.UNHEALTHY):
             return self._on_answered(now)
-        self._failed += 1
-        if result not in _CERTAIN and self._failed < FAILED_CHECKS:
-            self._expect_check(now, CheckReason.UNANSWERED)
+        self._failed_checks += 1
+        if (
+            result not in _CONCLUSIVE_FAILURES
+            and self._failed_checks < FAILED_CHECKS
+        ):
+            self._schedule_check(now, CheckReason.UNANSWERED)
             return False
-        self._expect_check(now + self._pause_s, CheckReason.DOWN)
-        self._pause_s = min(2.0 * self._pause_s, RECHECK_MOST_S)
+        self._schedule_check(now + self._recheck_interval_s, CheckReason.DOWN)
+        self._recheck_interval_s = min(
+            2.0 * self._recheck_interval_s, RECHECK_MAX_S
+        )
         changed = not self._down
         self._down = True
         return changed
 
-    def _expect_check(self, at: float, reason: CheckReason) -> None:
+    def _schedule_check(self, at: float, reason: CheckReason) -> None:
         self._check_at = at
         self._check_reason = reason
-        self._on_expect()
+        self._on_schedule()
 
     def _on_answered(self, now: float) -> bool:
         changed = self._down
         self._down = False
-        self._failed = 0
+        self._failed_checks = 0
         self._check_at = None
-        self._pause_s = RECHECK_S
-        self._advanced_at = now
-        self._checked_at = now
+        self._recheck_interval_s = RECHECK_MIN_S
+        self._last_alive_at = now
+        self._answered_at = now
         return changed
 
 
--- a/src/pollenmast/steering/_learning.py
+++ b/src/pollenmast/steering/_learning.py
@@ -6,27 +6,27 @@
 
 from pollenmast import counters as c
 from pollenmast.counters import Histograms
-from pollenmast.steering._doubts import Doubts
-from pollenmast.steering._flows import FlowTable, note
+from pollenmast.steering._doubts import CheckPolicy
+from pollenmast.steering._flows import FlowTable, update_flow
 from pollenmast.steering._lengths import AnswerLengths
 from pollenmast.steering._load import LoadBook
 from pollenmast.steering._model import FlowKey, Segment
 from pollenmast.steering._outliers import Outliers
 from pollenmast.steering._record import Record
-from pollenmast.steering._waiting import Waiting
+from pollenmast.steering._waiting import PendingRequests
 
-WAIT_WEIGHT = 0.05
+ANSWER_TIME_WEIGHT = 0.05
 """Weight of one answer in the moving average of the answer time; it covers
 about the last twenty answers."""
 
 
-class Learner:
+class TrafficObserver:
     """Updates the state of flows and endpoints from each segment."""
 
     def __init__(
         self,
         flows: FlowTable,
-        doubts: Doubts,
+        doubts: CheckPolicy,
         load: LoadBook,
         outliers: Outliers,
         histograms: Histograms,
@@ -36,29 +36,31 @@
         self._load = load
         self._outliers = outliers
         self._histograms = histograms
-        self._waiting = Waiting()
+        self._pending = PendingRequests()
         self._lengths = AnswerLengths()
-        self._usual_wait_s = 0.0
+        self._usual_answer_s = 0.0
 
     def on_segment(self, segment: Segment, record: Record, now: float) -> None:
         """Processes a segment of an open flow to an endpoint."""
         if self._flows.get(segment.flow) is None:
-            self._doubts.on_arrival(record, now)
+            self._doubts.on_flow_moved(record, now)
         flow = self._flows.bind(segment.flow, record.endpoint.name, now)
         if not flow.opened and flow.tried:
-            self._histograms.observe(c.OPEN_WAIT, now - flow.syn_at)
-        progress = note(flow, segment, now)
-        if progress.waited_s is not None:
-            self._on_answer(progress.waited_s)
-            self._on_length(segment.flow, record, progress.received, now)
+            self._histograms.observe(c.OPEN_WAIT, now - flow.syn_sent_at)
+        progress = update_flow(flow, segment, now)
+        if progress.answer_time_s is not None:
+            self._observe_time(progress.answer_time_s)
+            self._observe_length(
+                segment.flow, record, progress.answer_bytes, now
+            )
         # A request also acknowledges the previous answer: handle that first.
         if progress.advanced:
             record.health.on_advance(now)
-            self._waiting.end(segment.flow)
+            self._pending.end(segment.flow)
         if progress.request:
             self._load.on_work(record.endpoint.number, now)
-            record.health.on_request(now, self._usual_wait_s)
-            self._waiting.begin(segment.flow, record.endpoint.number, now)
+            record.health.on_request(now, self._usual_answer_s)
+            self._pending.begin(segment.flow, record.endpoint.number, now)
         if progress.repeated:
             record.health.on_repeat(now)
         if segment.fin:
@@ -67,22 +69,22 @@
     def forget(self, flow: FlowKey) -> None:
         """Removes a flow that has ended."""
         self._flows.forget(flow)
-        self._waiting.end(flow)
+        self._pending.end(flow)
 
-    def look(self, now: float) -> None:
+    def collect_late(self, now: float) -> None:
         """Records the requests that have become late since the last call."""
-        for endpoint in self._waiting.take_late(now):
+        for endpoint in self._pending.pop_late(now):
             self._load.on_late(endpoint, now)
             self._outliers.on_failed(endpoint, now)
 
-    def _on_answer(self, waited_s: float) -> None:
-        self._histograms.observe(c.ANSWER_WAIT, waited_s)
-        change_s = waited_s - self._usual_wait_s
-        self._usual_wait_s += WAIT_WEIGHT * change_s
+    def _observe_time(self, answer_time_s: float) -> None:
+        self._histograms.observe(c.ANSWER_WAIT, answer_time_s)
+        change_s = answer_time_s - self._usual_answer_s
+        self._usual_answer_s += ANSWER_TIME_WEIGHT * change_s
 
-    def _on_length(
+    def _observe_length(
         self, flow: FlowKey, record: Record, length: int, now: float
     ) -> None:
         route = record.endpoint.service, flow.service_host, flow.service_port
-        if self._lengths.is_short(route, length):
+        if self._lengths.observe(route, length):
             self._outliers.on_failed(record.endpoint.number, now)
--- a/src/pollenmast/steering/_lengths.py
+++ b/src/pollenmast/steering/_lengths.py
@@ -7,17 +7,17 @@
 
 import collections
 
-MOST_ROUTES = 256
+MAX_ROUTES = 256
 """Maximum number of routes tracked; the one added first is dropped."""
 
-LEAST_ANSWERS = 8
+MIN_ANSWERS = 8
 """Number of answers of a route before any of them is judged."""
 
-MOST_ANSWERS = 400
+MAX_ANSWERS = 400
 """Number of answers of a route beyond which all counts are halved, so that
 older answers lose weight."""
 
-USUAL_PART = 0.25
+USUAL_QUANTILE = 0.25
 """Share of answers that may be shorter than the usual size, which is this
 quantile. Where more answers fail, short ones are usual and say nothing about a
 single endpoint."""
@@ -35,27 +35,27 @@
     def __init__(self):
         self._counts: dict[RouteKey, collections.Counter[int]] = {}
 
-    def is_short(self, route: RouteKey, length: int) -> bool:
+    def observe(self, route: RouteKey, length: int) -> bool:
         """Records an answer; returns whether it is unusually short."""
         counts = self._counts.get(route)
         if counts is None:
-            if len(self._counts) >= MOST_ROUTES:
+            if len(self._counts) >= MAX_ROUTES:
                 del self._counts[next(iter(self._counts))]
             counts = self._counts[route] = collections.Counter()
         size = max(0, length).bit_length()
-        usual = _usual(counts)
+        usual = _usual_size(counts)
         counts[size] += 1
-        if counts.total() > MOST_ANSWERS:
+        if counts.total() > MAX_ANSWERS:
             for each in list(counts):
                 counts[each] //= 2
         return usual is not None and size <= usual - SHORTER_BITS
 
 
-def _usual(counts: collections.Counter[int]) -> int | None:
+def _usual_size(counts: collections.Counter[int]) -> int | None:
     total = counts.total()
-    if total < LEAST_ANSWERS:
+    if total < MIN_ANSWERS:
         return None
-    left = USUAL_PART * total
+    left = USUAL_QUANTILE * total
     for size in sorted(counts):
         left -= counts[size]
         if left < 0:
--- a/src/pollenmast/steering/_load.py
+++ b/src/pollenmast/steering/_load.py
@@ -27,11 +27,11 @@
 """Age in seconds after which a report no longer counts; eight newer reports
 have then been missed."""
 
-BETTER_S = 1.5
+PREFER_LARGER_SUM_S = 1.5
 """How long a sum over more VMs is preferred to a newer one over fewer, in
 seconds. A VM that has just become a reader has received few reports yet."""
 
-SETTLED_S = 4.0
+ZONES_SETTLE_S = 4.0
 """How long a VM has to receive reports before it compares zones, in seconds.
 When a whole fleet starts, each zone learns of its own load first."""
 
@@ -57,7 +57,7 @@
     def replaces(self, other: "_Report | None") -> bool:
         if other is None or self.vms >= other.vms:
             return True
-        return self.at - other.at >= BETTER_S
+        return self.at - other.at >= PREFER_LARGER_SUM_S
 
 
 class LoadBook:
@@ -66,13 +66,13 @@
     def __init__(self, zone: str):
         self._zone = zone
         self._meters: dict[int, Meter] = {}
-        self._late: dict[int, Meter] = {}
-        self._mates: dict[str, _Report] = {}
-        self._zones: dict[str, _Report] = {}
-        self._told: _Report | None = None
-        self._reported: Rates = {}
-        self._heard_since = float("-inf")
-        self._heard_at = float("-inf")
+        self._late_meters: dict[int, Meter] = {}
+        self._peer_reports: dict[str, _Report] = {}
+        self._zone_reports: dict[str, _Report] = {}
+        self._total_report: _Report | None = None
+        self._own_report: Rates = {}
+        self._receiving_since = float("-inf")
+        self._last_received_at = float("-inf")
 
     def on_work(self, endpoint: int, now: float) -> None:
         """Counts a request, or a new flow, that this VM sent to an endpoint."""
@@ -80,19 +80,19 @@
 
     def on_late(self, endpoint: int, now: float) -> None:
         """Counts a late request that this VM had sent to an endpoint."""
-        self._late.setdefault(endpoint, Meter(LATE_WINDOW_S)).add(now)
+        self._late_meters.setdefault(endpoint, Meter(LATE_WINDOW_S)).add(now)
 
     def on_mate(self, vm: str, rates: Rates, now: float) -> None:
         """Handles a report by a VM of the same zone of what it sends."""
-        self._on_heard(now)
-        self._mates[vm] = _Report(now, rates)
+        self._on_report_received(now)
+        self._peer_reports[vm] = _Report(now, rates)
 
     def on_zone(self, zone: str, rates: Rates, vms: int, now: float) -> None:
         """Handles a report by another zone's reader of what its VMs send."""
-        self._on_heard(now)
+        self._on_report_received(now)
         report = _Report(now, rates, vms)
-        if report.replaces(self._zones.get(zone)):
-            self._zones[zone] = report
+        if report.replaces(self._zone_reports.get(zone)):
+            self._zone_reports[zone] = report
 
     def on_total(
         self, rates: Rates, vms: int, now: float, floor: float = 0.0
@@ -109,29 +109,31 @@
             now: The runtime's clock in seconds.
             floor: The rate to assume for endpoints that are not named.
         """
-        self._on_heard(now)
+        self._on_report_received(now)
         report = _Report(now, rates, vms, floor)
-        if report.replaces(self._told):
-            self._told = report
+        if report.replaces(self._total_report):
+            self._total_report = report
 
     def report(self, now: float) -> Rates:
         """Returns what this VM sends, for its report to a reader."""
-        self._reported = self.own(now)
-        return self._reported
+        self._own_report = self.own(now)
+        return self._own_report
 
     def own(self, now: float) -> Rates:
         """Returns what this VM sends; idle endpoints are left out."""
-        rates = _rates(self._meters, 1.0 / WINDOW_S, now)
-        late = _rates(self._late, LATE_RATE, now)
-        return _total([rates, late]) if late else rates
+        rates = _meter_rates(self._meters, 1.0 / WINDOW_S, now)
+        late = _meter_rates(self._late_meters, LATE_RATE, now)
+        return _sum_rates([rates, late]) if late else rates
 
     def zone(self, now: float) -> Rates:
         """Returns what this zone's VMs send."""
-        return _total([self.own(now), *_fresh(self._mates, now)])
+        return _sum_rates(
+            [self.own(now), *_fresh_rates(self._peer_reports, now)]
+        )
 
     def vms(self, now: float) -> int:
         """Returns how many of the zone's VMs this VM's own sum covers."""
-        return len(_fresh(self._mates, now)) + 1
+        return len(_fresh_rates(self._peer_reports, now)) + 1
 
     def gathered(self, now: float) -> Rates:
         """Returns what all VMs send, from the reports received here.
@@ -140,7 +142,9 @@
         that they had been sent, the load of VMs that died would circulate for
         ever.
         """
-        return _total([self.zone(now), *_fresh(self._zones, now)])
+        return _sum_rates(
+            [self.zone(now), *_fresh_rates(self._zone_reports, now)]
+        )
 
     def is_settled(self, now: float) -> bool:
         """Whether the zones' loads can be compared.
@@ -150,14 +154,14 @@
         others idle and place most flows there; a cut between zones would then
         break them.
         """
-        if now - self._heard_at > REPORT_LIFE_S:
+        if now - self._last_received_at > REPORT_LIFE_S:
             return False
-        return now - self._heard_since >= SETTLED_S
+        return now - self._receiving_since >= ZONES_SETTLE_S
 
-    def _on_heard(self, now: float) -> None:
-        if now - self._heard_at > REPORT_LIFE_S:
-            self._heard_since = now
-        self._heard_at = now
+    def _on_report_received(self, now: float) -> None:
+        if now - self._last_received_at > REPORT_LIFE_S:
+            self._receiving_since = now
+        self._last_received_at = now
 
     def rate(self, endpoint: int, now: float) -> float:
         """Returns what all VMs send to an endpoint, in requests per second.
@@ -169,15 +173,21 @@
         """
         own = self.own_rate(endpoint, now)
         if self.told_vms(now) <= self.vms(now):
-            reports = [*_fresh(self._mates, now), *_fresh(self._zones, now)]
+            reports = [
+                *_fresh_rates(self._peer_reports, now),
+                *_fresh_rates(self._zone_reports, now),
+            ]
             return own + sum(rates.get(endpoint, 0.0) for rates in reports)
-        told = self._told.rates.get(endpoint, self._told.floor)
+        total = self._total_report.rates.get(endpoint, self._total_report.floor)
         # Replace this VM's last report in the total by its current rate.
-        return max(0.0, told + own - self._reported.get(endpoint, 0.0))
+        return max(0.0, total + own - self._own_report.get(endpoint, 0.0))
 
     def own_rate(self, endpoint: int, now: float) -> float:
         """Returns what this VM sends to an endpoint, in requests per second."""
-        meter, late = self._meters.get(endpoint), self._late.get(endpoint)
+        meter, late = (
+            self._meters.get(endpoint),
+            self._late_meters.get(endpoint),
+        )
         rate = meter.count(now) / WINDOW_S if meter is not None else 0.0
         return rate + (LATE_RATE * late.count(now) if late is not None else 0.0)
 
@@ -187,13 +197,13 @@
         Returns:
             The number of VMs, 0 if there is no current total.
         """
-        told = self._told
-        if told is None or now - told.at > REPORT_LIFE_S:
+        total = self._total_report
+        if total is None or now - total.at > REPORT_LIFE_S:
             return 0
-        return told.vms
+        return total.vms
 
 
-def _rates(meters: dict[int, Meter], weight: float, now: float) -> Rates:
+def _meter_rates(meters: dict[int, Meter], weight: float, now: float) -> Rates:
     rates = {}
     for endpoint, meter in list(meters.items()):
         count = meter.count(now)
@@ -204,14 +214,14 @@
     return rates
 
 
-def _fresh(reports: dict[str, _Report], now: float) -> list[Rates]:
+def _fresh_rates(reports: dict[str, _Report], now: float) -> list[Rates]:
     for name, report in list(reports.items()):
         if now - report.at > REPORT_LIFE_S:
             del reports[name]
     return [report.rates for report in reports.values()]
 
 
-def _total(parts: list[Rates]) -> Rates:
+def _sum_rates(parts: list[Rates]) -> Rates:
     total: Rates = collections.defaultdict(float)
     for rates in parts:
         for endpoint, rate in rates.items():
--- a/src/pollenmast/steering/_outliers.py
+++ b/src/pollenmast/steering/_outliers.py
@@ -28,22 +28,22 @@
 REPORT_LIFE_S = 2.0
 """Age in seconds after which another VM's report no longer counts."""
 
-LEAST_FAILED = 4
+MIN_FAILURES = 4
 """Minimum number of failures, over a zone's VMs within the window, that make an
 endpoint an outlier."""
 
-FACTOR = 3
+MEDIAN_FACTOR = 3
 """Multiple of the service's median number of failures added to this minimum.
 Where all endpoints are full, all fail alike, and none is worth avoiding."""
 
-EJECT_S = 4.0
+EJECTION_S = 4.0
 """How long an outlier gets no new flows before it is tried again, in
 seconds."""
 
-MOST_PART = 0.2
+MAX_EJECTED_SHARE = 0.2
 """Maximum share of a service's endpoints that is ejected at the same time."""
 
-MOST_TOLD = 64
+MAX_REPORTED = 64
 """Maximum number of endpoints in one VM's report; those with the most failures
 are named."""
 
@@ -63,8 +63,8 @@
     def __init__(self, catalog: Catalog):
         self._catalog = catalog
         self._meters: dict[int, Meter] = {}
-        self._mates: dict[str, _Report] = {}
-        self._ejected: dict[int, float] = {}
+        self._peer_reports: dict[str, _Report] = {}
+        self._ejected_until: dict[int, float] = {}
         self._on_ejected: Callable[[Record, int], None] = _nothing
 
     def notify(self, on_ejected: Callable[[Record, int], None]) -> None:
@@ -81,7 +81,7 @@
 
     def on_mate(self, vm: str, failures: Failures, now: float) -> None:
         """Handles a report of failures by a VM of the same zone."""
-        self._mates[vm] = _Report(now, failures)
+        self._peer_reports[vm] = _Report(now, failures)
 
     def own(self, now: float) -> Failures:
         """Returns this VM's failures, for its report to a reader."""
@@ -93,7 +93,7 @@
             else:
                 del self._meters[endpoint]
         worst = sorted(failures, key=lambda each: -failures[each])
-        return {each: failures[each] for each in worst[:MOST_TOLD]}
+        return {each: failures[each] for each in worst[:MAX_REPORTED]}
 
     def eject(self, now: float) -> list[int]:
         """Finds outliers as a reader and keeps new flows away from them.
@@ -101,13 +101,15 @@
         Returns:
             The numbers of all endpoints that are ejected at present.
         """
-        self._ejected = {n: u for n, u in self._ejected.items() if now < u}
+        self._ejected_until = {
+            n: u for n, u in self._ejected_until.items() if now < u
+        }
         totals = self._totals(now)
-        for number in self._found(totals):
-            self._ejected[number] = now + EJECT_S
-            self._tell(number, totals[number])
-        self.on_told(self._ejected, now)
-        return list(self._ejected)
+        for number in self._find_outliers(totals):
+            self._ejected_until[number] = now + EJECTION_S
+            self._notify_ejected(number, totals[number])
+        self.on_told(self._ejected_until, now)
+        return list(self._ejected_until)
 
     def on_told(self, ejected: Iterable[int], now: float) -> None:
         """Keeps new flows away from the outliers that a reader reports."""
@@ -116,30 +118,32 @@
             if record is not None:
                 record.health.avoid(now)
 
-    def _tell(self, number: int, failed: int) -> None:
+    def _notify_ejected(self, number: int, failed: int) -> None:
         record = self._catalog.by_number(number)
         if record is not None:
             self._on_ejected(record, failed)
 
-    def _found(self, totals: Failures) -> list[int]:
-        if max(totals.values(), default=0) < LEAST_FAILED:
+    def _find_outliers(self, totals: Failures) -> list[int]:
+        if max(totals.values(), default=0) < MIN_FAILURES:
             return []
         found = []
         for members in self._services().values():
-            found += self._of_service(members, totals)
+            found += self._service_outliers(members, totals)
         return found
 
-    def _of_service(self, members: list[int], totals: Failures) -> list[int]:
+    def _service_outliers(
+        self, members: list[int], totals: Failures
+    ) -> list[int]:
         """Returns a service's new outliers, those with most failures first."""
         if len(members) < 2:
             return []
         counts = [totals.get(each, 0) for each in members]
-        least = LEAST_FAILED + FACTOR * statistics.median_low(counts)
+        least = MIN_FAILURES + MEDIAN_FACTOR * statistics.median_low(counts)
         outliers = [each for each in members if totals.get(each, 0) >= least]
         outliers.sort(key=lambda each: -totals[each])
-        away = sum(each in self._ejected for each in members)
-        room = max(1, math.floor(MOST_PART * len(members))) - away
-        fresh = [each for each in outliers if each not in self._ejected]
+        away = sum(each in self._ejected_until for each in members)
+        room = max(1, math.floor(MAX_EJECTED_SHARE * len(members))) - away
+        fresh = [each for each in outliers if each not in self._ejected_until]
         return fresh[: max(0, room)]
 
     def _services(self) -> dict[str, list[int]]:
@@ -152,11 +156,11 @@
         return services
 
     def _totals(self, now: float) -> Failures:
-        for vm, report in list(self._mates.items()):
+        for vm, report in list(self._peer_reports.items()):
             if now - report.at > REPORT_LIFE_S:
-                del self._mates[vm]
+                del self._peer_reports[vm]
         totals = self.own(now)
-        for report in self._mates.values():
+        for report in self._peer_reports.values():
             for endpoint, count in report.failures.items():
                 totals[endpoint] = totals.get(endpoint, 0) + count
         return totals
--- a/src/pollenmast/steering/_reach.py
+++ b/src/pollenmast/steering/_reach.py
@@ -28,13 +28,13 @@
         self._catalog = catalog
         # A VM that starts counts as cut off until a probe succeeds: if it were
         # ready in a cut-off zone, it would attract all of the zone's clients.
-        self._failed = FAILED_PROBES
+        self._failed_rounds = FAILED_PROBES
 
     @property
     def cut_off(self) -> bool:
         """Whether this VM can reach no endpoint that may be used."""
         drained = self._catalog.drains.is_drained(self._zone)
-        return drained and self._failed >= FAILED_PROBES
+        return drained and self._failed_rounds >= FAILED_PROBES
 
     def targets(self, now: float) -> list[Record]:
         """Returns the endpoints to probe now by connecting, one per zone.
@@ -45,27 +45,27 @@
         if not self._catalog.records:
             return []
         if not self._catalog.drains.is_drained(self._zone):
-            self._failed = 0
+            self._failed_rounds = 0
             return []
         usable = self._usable()
         if not usable:
             # There is nothing to reach: new flows are refused at once.
-            self._failed = 0
+            self._failed_rounds = 0
             return []
         # Once cut off, progress does not count: it may come from clients that
         # other VMs have served meanwhile.
-        latest = max(record.health.advanced_at for record in usable)
+        latest = max(record.health.last_alive_at for record in usable)
         if not self.cut_off and now - latest < QUIET_S:
-            self._failed = 0
+            self._failed_rounds = 0
             return []
         by_zone: dict[str, Record] = {}
-        for record in sorted(usable, key=_advanced_last):
+        for record in sorted(usable, key=_last_alive_at):
             by_zone[record.endpoint.zone] = record
         return list(by_zone.values())
 
     def on_probed(self, reached: bool) -> None:
         """Records whether at least one of the targets was reached."""
-        self._failed = 0 if reached else self._failed + 1
+        self._failed_rounds = 0 if reached else self._failed_rounds + 1
 
     def _usable(self) -> list[Record]:
         return [
@@ -77,5 +77,5 @@
         ]
 
 
-def _advanced_last(record: Record) -> float:
-    return record.health.advanced_at
+def _last_alive_at(record: Record) -> float:
+    return record.health.last_alive_at
--- a/src/pollenmast/steering/_waiting.py
+++ b/src/pollenmast/steering/_waiting.py
@@ -12,12 +12,12 @@
 
 from pollenmast.steering._model import FlowKey
 
-LATE_S = 0.3
+LATE_AFTER_S = 0.3
 """Age in seconds from which an unanswered request is late: several usual answer
 times, or one plus the time after which a lost packet is retransmitted."""
 
 
-class Waiting:
+class PendingRequests:
     """Unanswered requests of the flows seen here, oldest first."""
 
     def __init__(self):
@@ -31,11 +31,11 @@
         """Removes a flow's request: it was answered, or the flow has ended."""
         self._since.pop(flow, None)
 
-    def take_late(self, now: float) -> list[int]:
+    def pop_late(self, now: float) -> list[int]:
         """Removes the late requests; returns the endpoint of each."""
         late = []
         for flow, (since, endpoint) in list(self._since.items()):
-            if now - since < LATE_S:
+            if now - since < LATE_AFTER_S:
                 break
             late.append(endpoint)
             del self._since[flow]
--- a/tests/steering_core_test.py
+++ b/tests/steering_core_test.py
@@ -17,7 +17,7 @@
     Update,
 )
 from pollenmast.steering._catalog import FORGET_S, LAPSE_S
-from pollenmast.steering._core import CURRENT_S, SETTLE_S
+from pollenmast.steering._core import DIRECTORY_SETTLE_S, MAX_VIEW_AGE_S
 from tests import steering_group as group
 
 FIRST = group.endpoint(1)
@@ -113,7 +113,7 @@
     @parameterized.expand(
         [
             ("current", 1.0, Reset),
-            ("old_view", CURRENT_S + 0.1, Drop),
+            ("old_view", MAX_VIEW_AGE_S + 0.1, Drop),
         ]
     )
     def test_unknown_route(self, _, now, kind):
@@ -125,7 +125,9 @@
         key = FlowKey("100.64.0.7", 1024, group.VIP, 9999)
         self.assertIsInstance(core.on_segment(group.syn(key), now), kind)
 
-    @parameterized.expand([("settled", SETTLE_S, Reset), ("back", 0.5, Drop)])
+    @parameterized.expand(
+        [("settled", DIRECTORY_SETTLE_S, Reset), ("back", 0.5, Drop)]
+    )
     def test_no_endpoint(self, _, since_return, kind):
         """A service without endpoints refuses at once, if that is sure.
 
--- a/tests/steering_doubts_test.py
+++ b/tests/steering_doubts_test.py
@@ -14,9 +14,9 @@
 )
 from pollenmast.steering._catalog import FORGET_S, LAPSE_S
 from pollenmast.steering._health import (
-    AVOID_S,
-    MOST_DEFER_S,
-    RECHECK_MOST_S,
+    MAX_DEFER_S,
+    RECHECK_MAX_S,
+    REPORTED_DOWN_S,
 )
 from tests import steering_group as group
 
@@ -177,7 +177,7 @@
         """
         core, record = self._down()
         times = self._checks(core, record, 11.0, 11.0)
-        self.assertLessEqual(len(times), 1 + int(10.0 / MOST_DEFER_S))
+        self.assertLessEqual(len(times), 1 + int(10.0 / MAX_DEFER_S))
 
     def test_readers_fall_silent(self):
         """The readers die: the VM looks for itself again, as often as before.
@@ -187,9 +187,9 @@
         core, record = self._down()
         times = self._checks(core, record, 3.0, 8.0)
         after = [at for at in times if at >= 3.0]
-        self.assertLessEqual(after[0], 3.0 + AVOID_S)
+        self.assertLessEqual(after[0], 3.0 + REPORTED_DOWN_S)
         gaps = [b - a for a, b in zip(after, after[1:], strict=False)]
-        self.assertLessEqual(max(gaps), RECHECK_MOST_S + 0.1)
+        self.assertLessEqual(max(gaps), RECHECK_MAX_S + 0.1)
 
     def test_nobody_told(self):
         """This VM alone reaches an endpoint no more; it looks for itself."""
--- a/tests/steering_health_test.py
+++ b/tests/steering_health_test.py
@@ -5,16 +5,16 @@
 
 from pollenmast.counters import CheckReason
 from pollenmast.steering._health import (
-    AVOID_S,
-    CALM_S,
+    ANSWER_VALID_S,
     FAILED_CHECKS,
-    MOST_PENDING,
-    OPEN_S,
-    RECHECK_MOST_S,
-    RECHECK_S,
-    SILENT_FACTOR,
-    SILENT_S,
-    TRUST_S,
+    MAX_PENDING_SYNS,
+    RECHECK_MAX_S,
+    RECHECK_MIN_S,
+    REPEAT_GRACE_S,
+    REPORTED_DOWN_S,
+    SILENCE_FACTOR,
+    SILENCE_TIMEOUT_S,
+    SYN_FOLLOWUP_TIMEOUT_S,
     CheckResult,
     Health,
 )
@@ -40,7 +40,7 @@
         """
         health = Health()
         health.on_advance(1.0)
-        health.on_repeat(1.0 + CALM_S / 2)
+        health.on_repeat(1.0 + REPEAT_GRACE_S / 2)
         self.assertFalse(health.due(2.0))
 
 
@@ -55,8 +55,8 @@
         """
         health = Health()
         health.on_syn(group.flow(), 1.0)
-        health.look(1.0 + OPEN_S)
-        self.assertTrue(health.due(1.0 + OPEN_S))
+        health.look(1.0 + SYN_FOLLOWUP_TIMEOUT_S)
+        self.assertTrue(health.due(1.0 + SYN_FOLLOWUP_TIMEOUT_S))
 
     @parameterized.expand(
         [
@@ -69,7 +69,7 @@
         health = Health()
         health.on_syn(group.flow(), 1.0)
         happens(health)
-        health.look(1.0 + OPEN_S)
+        health.look(1.0 + SYN_FOLLOWUP_TIMEOUT_S)
         self.assertFalse(health.doubted)
 
     def test_rotation_changes(self):
@@ -81,18 +81,18 @@
         health.ask(1.0, CheckReason.REPORTED)
         health.on_check(CheckResult.ANSWERED, 1.0)
         health.on_syn(group.flow(), 1.1)
-        health.look(1.1 + OPEN_S)
+        health.look(1.1 + SYN_FOLLOWUP_TIMEOUT_S)
         self.assertFalse(health.doubted)
-        health.on_syn(group.flow(), 1.0 + TRUST_S)
-        health.look(1.0 + TRUST_S + OPEN_S)
+        health.on_syn(group.flow(), 1.0 + ANSWER_VALID_S)
+        health.look(1.0 + ANSWER_VALID_S + SYN_FOLLOWUP_TIMEOUT_S)
         self.assertTrue(health.doubted)
 
     def test_flood(self):
         """SYNs that nobody follows up do not fill the VM's memory."""
         health = Health()
-        for number in range(2 * MOST_PENDING):
+        for number in range(2 * MAX_PENDING_SYNS):
             health.on_syn(group.flow(number), 1.0)
-        self.assertEqual(MOST_PENDING, len(health._pending))
+        self.assertEqual(MAX_PENDING_SYNS, len(health._pending_syns))
 
 
 class SilenceTest(TestCase):
@@ -106,17 +106,17 @@
         """
         health = Health()
         health.on_request(1.0)
-        health.look(1.0 + SILENT_S / 2)
+        health.look(1.0 + SILENCE_TIMEOUT_S / 2)
         self.assertFalse(health.doubted)
-        health.look(1.0 + SILENT_S)
-        self.assertTrue(health.due(1.0 + SILENT_S))
+        health.look(1.0 + SILENCE_TIMEOUT_S)
+        self.assertTrue(health.due(1.0 + SILENCE_TIMEOUT_S))
 
     def test_long_request(self):
         """One request takes long while others of the endpoint advance."""
         health = Health()
         health.on_request(1.0)
         health.on_advance(1.05)
-        health.look(1.0 + SILENT_S)
+        health.look(1.0 + SILENCE_TIMEOUT_S)
         self.assertFalse(health.doubted)
 
     def test_slow_service(self):
@@ -133,7 +133,7 @@
             if health.due(now):
                 checks += 1
                 health.on_check(CheckResult.ANSWERED, now)
-        self.assertLessEqual(checks, 5.0 / TRUST_S + 1)
+        self.assertLessEqual(checks, 5.0 / ANSWER_VALID_S + 1)
 
 
 class BusyTest(TestCase):
@@ -146,9 +146,9 @@
         """
         health = Health()
         health.on_request(1.0, 0.1)
-        health.look(1.0 + 0.9 * SILENT_FACTOR * 0.1)
+        health.look(1.0 + 0.9 * SILENCE_FACTOR * 0.1)
         self.assertFalse(health.due(2.0))
-        health.look(1.0 + 1.01 * SILENT_FACTOR * 0.1)
+        health.look(1.0 + 1.01 * SILENCE_FACTOR * 0.1)
         self.assertTrue(health.due(2.0))
 
     def test_avoided(self):
@@ -156,8 +156,8 @@
         health = Health()
         self.assertTrue(health.is_sure(1.0))
         health.avoid(1.0)
-        self.assertFalse(health.is_sure(1.0 + AVOID_S / 2))
-        self.assertTrue(health.is_sure(1.0 + AVOID_S))
+        self.assertFalse(health.is_sure(1.0 + REPORTED_DOWN_S / 2))
+        self.assertTrue(health.is_sure(1.0 + REPORTED_DOWN_S))
 
 
 class CheckTest(TestCase):
@@ -215,8 +215,8 @@
         """A cut ends; the endpoint takes flows again within a check."""
         health = Health()
         health.on_check(CheckResult.REFUSED, 1.0)
-        self.assertFalse(health.due(1.0 + RECHECK_S / 2))
-        self.assertTrue(health.due(1.0 + RECHECK_S))
+        self.assertFalse(health.due(1.0 + RECHECK_MIN_S / 2))
+        self.assertTrue(health.due(1.0 + RECHECK_MIN_S))
         self.assertTrue(health.on_check(CheckResult.ANSWERED, 1.6))
         self.assertFalse(health.down)
         self.assertFalse(health.doubted)
@@ -226,4 +226,4 @@
         health, now = Health(), 0.0
         for _ in range(10):
             health.on_check(CheckResult.REFUSED, now)
-        self.assertTrue(health.due(now + RECHECK_MOST_S))
+        self.assertTrue(health.due(now + RECHECK_MAX_S))
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -8,7 +8,7 @@
 
 from pollenmast.counters import PlacementReason
 from pollenmast.steering import Catalog, LoadBook
-from pollenmast.steering._load import REPORT_LIFE_S, SETTLED_S, WINDOW_S
+from pollenmast.steering._load import REPORT_LIFE_S, WINDOW_S, ZONES_SETTLE_S
 from pollenmast.steering._placement import (
     ZONE_ADVANTAGE,
     ZONE_FACTOR,
@@ -98,7 +98,7 @@
         catalog = Catalog()
         catalog.apply(group.listing(*endpoints), 0.0)
         load = LoadBook(group.ZONE)
-        load.on_zone(group.OTHER_ZONE, rates, 1, 100.0 - SETTLED_S)
+        load.on_zone(group.OTHER_ZONE, rates, 1, 100.0 - ZONES_SETTLE_S)
         load.on_zone(group.OTHER_ZONE, rates, 1, 100.0)
         for number, requests in (own or {}).items():
             for _ in range(requests):
--- a/tests/steering_outliers_test.py
+++ b/tests/steering_outliers_test.py
@@ -15,14 +15,14 @@
     Steering,
 )
 from pollenmast.steering._lengths import (
-    LEAST_ANSWERS,
-    MOST_ROUTES,
+    MAX_ROUTES,
+    MIN_ANSWERS,
     AnswerLengths,
 )
 from pollenmast.steering._outliers import (
-    EJECT_S,
-    LEAST_FAILED,
-    MOST_PART,
+    EJECTION_S,
+    MAX_EJECTED_SHARE,
+    MIN_FAILURES,
     WINDOW_S,
 )
 from tests import steering_group as group
@@ -47,9 +47,9 @@
 
     def _lengths(self, *usual: int) -> AnswerLengths:
         lengths = AnswerLengths()
-        for _ in range(LEAST_ANSWERS):
+        for _ in range(MIN_ANSWERS):
             for each in usual:
-                lengths.is_short(self.ROUTE, each)
+                lengths.observe(self.ROUTE, each)
         return lengths
 
     @parameterized.expand(
@@ -66,21 +66,21 @@
     def test_short(self, _, usual, length, short):
         """An error is told from an answer by the route's usual lengths."""
         lengths = self._lengths(*usual)
-        self.assertEqual(short, lengths.is_short(self.ROUTE, length))
+        self.assertEqual(short, lengths.observe(self.ROUTE, length))
 
     def test_unknown(self):
         """A route that was hardly asked has no usual length."""
-        self.assertFalse(AnswerLengths().is_short(self.ROUTE, 1))
+        self.assertFalse(AnswerLengths().observe(self.ROUTE, 1))
 
     def test_most_fail(self):
         """Where a third of the answers are errors, errors are usual."""
         lengths = self._lengths(1200, 1200, 187)
-        self.assertFalse(lengths.is_short(self.ROUTE, 187))
+        self.assertFalse(lengths.observe(self.ROUTE, 187))
 
     def test_change(self):
         """A route's answers become shorter for good: it is learned."""
         lengths = self._lengths(80_000)
-        shorts = [lengths.is_short(self.ROUTE, 900) for _ in range(600)]
+        shorts = [lengths.observe(self.ROUTE, 900) for _ in range(600)]
         self.assertTrue(shorts[0])
         self.assertFalse(shorts[-1])
 
@@ -90,14 +90,14 @@
         """No acknowledgement raises anything."""
         lengths = AnswerLengths()
         for each in received:
-            lengths.is_short(self.ROUTE, each)
+            lengths.observe(self.ROUTE, each)
 
     def test_memory(self):
         """Routes that come and go do not fill the memory."""
         lengths = AnswerLengths()
-        for port in range(3 * MOST_ROUTES):
-            lengths.is_short(("registry", "198.18.0.1", port), 9)
-        self.assertLessEqual(len(lengths._counts), MOST_ROUTES)
+        for port in range(3 * MAX_ROUTES):
+            lengths.observe(("registry", "198.18.0.1", port), 9)
+        self.assertLessEqual(len(lengths._counts), MAX_ROUTES)
 
 
 def _vm(number: int) -> Steering:
@@ -210,7 +210,7 @@
             for _ in range(100 - number):
                 zone.vms[0].outliers.on_failed(number, 1.0)
         ejected = zone.vms[0].outliers.eject(1.0)
-        self.assertLessEqual(len(ejected), MOST_PART * ENDPOINTS)
+        self.assertLessEqual(len(ejected), MAX_EJECTED_SHARE * ENDPOINTS)
 
     def test_one_endpoint(self):
         """A service's only endpoint is used, whatever it does."""
@@ -222,13 +222,13 @@
     def test_tried_again(self):
         """An endpoint that works again is back after its time."""
         core = group.steering(group.endpoint(1), group.endpoint(2))
-        for _ in range(LEAST_FAILED):
+        for _ in range(MIN_FAILURES):
             core.outliers.on_failed(1, 1.0)
         self.assertEqual([1], core.outliers.eject(1.0))
         health = core.catalog.get(group.endpoint(1).name).health
         self.assertTrue(health.is_avoided(1.1))
-        self.assertEqual([], core.outliers.eject(1.0 + WINDOW_S + EJECT_S))
-        self.assertFalse(health.is_avoided(1.0 + WINDOW_S + EJECT_S))
+        self.assertEqual([], core.outliers.eject(1.0 + WINDOW_S + EJECTION_S))
+        self.assertFalse(health.is_avoided(1.0 + WINDOW_S + EJECTION_S))
 
     def test_unknown(self):
         """A peer names endpoints that this VM does not know."""
--- a/tests/steering_waiting_test.py
+++ b/tests/steering_waiting_test.py
@@ -9,7 +9,7 @@
 
 from pollenmast.steering import CheckResult
 from pollenmast.steering import _load as load
-from pollenmast.steering._waiting import LATE_S, Waiting
+from pollenmast.steering._waiting import LATE_AFTER_S, PendingRequests
 from tests import steering_group as group
 
 MANY = 1_000_000
@@ -26,19 +26,19 @@
 
     def test_late_once(self):
         """A request that hangs is late once, not at each look."""
-        waiting = Waiting()
+        waiting = PendingRequests()
         waiting.begin(group.flow(1), 7, 1.0)
-        self.assertEqual([], waiting.take_late(1.0 + LATE_S / 2))
-        self.assertEqual([7], waiting.take_late(1.0 + LATE_S))
-        self.assertEqual([], waiting.take_late(2.0 + LATE_S))
+        self.assertEqual([], waiting.pop_late(1.0 + LATE_AFTER_S / 2))
+        self.assertEqual([7], waiting.pop_late(1.0 + LATE_AFTER_S))
+        self.assertEqual([], waiting.pop_late(2.0 + LATE_AFTER_S))
 
     def test_answered(self):
         """A request that was answered, or given up, is not late."""
-        waiting = Waiting()
+        waiting = PendingRequests()
         waiting.begin(group.flow(1), 7, 1.0)
         waiting.end(group.flow(1))
         waiting.end(group.flow(2))
-        self.assertEqual([], waiting.take_late(9.0))
+        self.assertEqual([], waiting.pop_late(9.0))
 
 
 @attrs.define
