--- a/tests/steering_core_test.py
+++ b/tests/steering_core_test.py
@@ -1,4 +1,4 @@
-"""Tests of steering._core: what becomes of segments."""
+"""Tests of steering._core: decisions about client segments."""
 
 from parameterized import parameterized
 from testtools import TestCase
@@ -26,7 +26,7 @@
 
 
 def _open(core, number: int, now: float):
-    """Opens a flow whose client goes on; returns its endpoint."""
+    """Opens a flow and completes its handshake; returns its endpoint."""
     key = group.flow(number)
     outcome = core.on_segment(group.syn(key), now)
     core.on_segment(group.segment(key, outcome.endpoint.token), now)
@@ -34,24 +34,25 @@
 
 
 class OpenTest(TestCase):
-    """Where SYNs go."""
+    """Placement of SYNs."""
 
     def test_own_zone(self):
-        """Flows stay in the VM's zone, so that no cut of others breaks them."""
+        """Flows stay in the VM's zone, so a cut between zones breaks none."""
         core = group.steering(FIRST, FAR)
         chosen = {_open(core, number, 1.0).name for number in range(8)}
         self.assertEqual({FIRST.name}, chosen)
 
-    def test_evenly(self):
-        """Flows are spread over the zone's endpoints."""
+    def test_even_spread(self):
+        """Flows are spread evenly over the zone's endpoints."""
         core = group.steering(FIRST, SECOND)
         chosen = [_open(core, number, 1.0).name for number in range(8)]
         self.assertEqual(4, chosen.count(FIRST.name))
 
-    def test_copy_goes_elsewhere(self):
-        """An endpoint does not answer a SYN; the client sends it again.
+    def test_retransmitted_syn(self):
+        """A retransmitted SYN goes to another endpoint than the first one.
 
-        Sent to the same endpoint, the client's whole try would be lost.
+        The first endpoint did not answer. If the copy went there too, the
+        client would have wasted its whole retry.
         """
         core = group.steering(FIRST, SECOND)
         key = group.flow()
@@ -60,10 +61,11 @@
         self.assertNotEqual(first.endpoint, copy.endpoint)
         self.assertEqual(PlacementReason.RETRY, copy.placed)
 
-    def test_copy_from_a_buffer(self):
-        """A VM starts late and finds a SYN and its copy in its socket.
+    def test_buffered_duplicate_syn(self):
+        """A SYN and its copy that waited in one buffer open only one flow.
 
-        Two endpoints would open the flow, and one of them for nobody.
+        A VM that starts late finds both in its socket. Two endpoints would open
+        the flow, one of them for nobody.
         """
         core = group.steering(FIRST, SECOND)
         key = group.flow()
@@ -71,10 +73,11 @@
         copy = core.on_segment(group.syn(key, 1), 1.001)
         self.assertEqual(Drop(DropReason.DUPLICATE_SYN), copy)
 
-    def test_refusing_machine_is_avoided(self):
-        """A process crashes and its machine resets each SYN at once.
+    def test_unanswered_syn(self):
+        """A client is not placed on an endpoint that left a SYN unanswered.
 
-        The second client is placed elsewhere, before any check has ended.
+        When a process crashes, its machine resets each SYN at once. The second
+        client must be placed elsewhere before any health check has completed.
         """
         core = group.steering(FIRST, SECOND)
         lost = core.on_segment(group.syn(group.flow(1)), 1.0).endpoint
@@ -84,10 +87,11 @@
             [lost.name], [r.endpoint.name for r in core.due_checks(1.1)]
         )
 
-    def test_never_emptied(self):
-        """A VM that is cut off finds every endpoint down.
+    def test_last_resort_when_all_down(self):
+        """An endpoint that is down is still tried if there is no other.
 
-        Refusing everybody would outlast the cut.
+        A VM that is cut off finds every endpoint down. Refusing all clients
+        would outlast the cut.
         """
         core = group.steering(FIRST)
         core.on_check(core.catalog.get(FIRST.name), CheckResult.REFUSED, 1.0)
@@ -95,10 +99,12 @@
         self.assertEqual(PlacementReason.LAST_RESORT, outcome.placed)
 
     def test_last_resort_opens(self):
-        """A zone was cut off from a service; the cut has just ended.
+        """A flow that opens as a last resort marks its endpoint as up.
 
-        A flow tried a doubted endpoint, and it opened. The client's request
-        was then reset by the VM, which still believed in the cut.
+        The failure: a zone was cut off from a service, and the cut had just
+        ended. A flow tried an endpoint that was marked down, and it opened. The
+        VM, which still considered the endpoint unreachable, reset the client's
+        request.
         """
         core = group.steering(FAR)
         record = core.catalog.get(FAR.name)
@@ -117,7 +123,7 @@
         ]
     )
     def test_unknown_route(self, _, now, kind):
-        """An address without a route is refused, if surely it has none.
+        """An address without a route is refused only if the view is recent.
 
         A VM whose view is old cannot know: the route may have been added.
         """
@@ -129,9 +135,9 @@
         [("settled", DIRECTORY_SETTLE_S, Reset), ("back", 0.5, Drop)]
     )
     def test_no_endpoint(self, _, since_return, kind):
-        """A service without endpoints refuses at once, if that is sure.
+        """A service without endpoints is refused only once that is certain.
 
-        Just after the directory's return entries are still missing.
+        Just after the directory's return some entries are still missing.
         """
         core = group.steering()
         core.on_return(10.0)
@@ -140,7 +146,7 @@
         self.assertIsInstance(outcome, kind)
 
     def test_draining(self):
-        """An endpoint that is leaving takes no new flows."""
+        """A draining endpoint gets no new flows."""
         core = group.steering(FIRST, SECOND)
         leaving = group.endpoint(1, draining=True)
         core.apply(Update((EndpointAnnounced(leaving, 11),), 11), 1.0)
@@ -148,11 +154,11 @@
         self.assertEqual({SECOND.name}, chosen)
 
 
-class CarryTest(TestCase):
-    """Where the packets of open flows go."""
+class ForwardTest(TestCase):
+    """Forwarding of packets of open flows."""
 
     def test_any_vm(self):
-        """A VM that never saw a flow carries its packets by their token."""
+        """A VM forwards packets of a flow it does not know by their token."""
         core = group.steering(FIRST, SECOND)
         outcome = core.on_segment(
             group.segment(group.flow(), SECOND.token, length=10), 1.0
@@ -160,16 +166,16 @@
         self.assertEqual(Forward(SECOND), outcome)
 
     def test_unknown_token(self):
-        """A packet for an unknown endpoint is dropped, never reset.
+        """A packet with an unknown token is dropped, never reset.
 
-        The endpoint may live and be listed again in a moment.
+        The endpoint may be alive and be listed again in a moment.
         """
         core = group.steering(FIRST)
         outcome = core.on_segment(group.segment(group.flow(), 77), 1.0)
         self.assertEqual(Drop(DropReason.UNKNOWN_TOKEN), outcome)
 
     def test_draining_endpoint_keeps_flows(self):
-        """Long sessions outlive the announcement that an endpoint leaves."""
+        """Open flows of an endpoint continue after it starts draining."""
         core = group.steering(FIRST)
         _open(core, 1, 1.0)
         leaving = group.endpoint(1, draining=True)
@@ -180,9 +186,10 @@
         self.assertEqual(Forward(leaving), outcome)
 
     def test_down_ends_flows(self):
-        """An endpoint dies; its clients are told before they ask again.
+        """Flows of an endpoint that goes down are reset at once.
 
-        A request that may not be repeated, sent into silence, is lost.
+        The clients have to know before their next request: a request that may
+        not be repeated is lost if the endpoint does not answer it.
         """
         core = group.steering(FIRST, SECOND)
         endpoint = _open(core, 1, 1.0)
@@ -197,12 +204,13 @@
 
 
 class LapseTest(TestCase):
-    """Entries vanish, and mostly come back."""
+    """Directory entries that disappear, most of which come back."""
 
     def test_entries_come_back(self):
-        """The directory was down and forgot an entry; its endpoint lives.
+        """A missing entry does not end the flows of an endpoint that lives.
 
-        Ended at once, every flow to it would be cut for nothing.
+        The directory lost the entry while it was down. If flows were ended at
+        once, every flow to the endpoint would be cut for nothing.
         """
         core = group.steering(FIRST)
         _open(core, 1, 1.0)
@@ -215,11 +223,12 @@
         outcome = core.on_segment(group.syn(group.flow(2)), 3.0)
         self.assertEqual(PlacementReason.OWN_ZONE, outcome.placed)
 
-    def test_away_again(self):
-        """The directory forgot its entries, and is away before they are back.
+    def test_directory_away_again(self):
+        """An endpoint is not gone while the directory cannot list it again.
 
-        Its endpoints live, and nobody can say so; counted as gone they would
-        leave a service without any for as long as the outage lasts.
+        The directory lost its entries and became unavailable again before they
+        were back. If the endpoints counted as gone, a service would have none
+        for the rest of the outage.
         """
         core = group.steering(FIRST)
         core.on_confirmed(2.0)
@@ -230,10 +239,11 @@
         self.assertEqual(PlacementReason.LAST_RESORT, outcome.placed)
 
     def test_missing_but_alive(self):
-        """An entry stays missing while its endpoint still answers.
+        """An endpoint whose entry stays missing gets no new flows.
 
-        It is leaving: a new flow there, even as the last resort, would be cut
-        when it ends. Its open flows go on, and it is not asked without pause.
+        It still answers but is leaving: a new flow there, even as a last
+        resort, would be cut when it ends. Its open flows continue, and it is
+        not checked in a tight loop.
         """
         core = group.steering(FIRST)
         core.apply(Update((EndpointRemoved(FIRST.name, 11),), 11), 2.0)
@@ -256,7 +266,10 @@
         self.assertLessEqual(checks, 6)
 
     def test_gone(self):
-        """An endpoint left for good; what still names it is reset."""
+        """Flows of an endpoint that is gone are reset.
+
+        Its record is removed some time later.
+        """
         core = group.steering(FIRST)
         core.apply(Update((EndpointRemoved(FIRST.name, 11),), 11), 2.0)
         record = core.catalog.get(FIRST.name)
@@ -272,14 +285,17 @@
         core.tick(later + FORGET_S)
         self.assertIsNone(core.catalog.get(FIRST.name))
 
-    def test_missing_from_a_list(self):
-        """History was dropped; the new list lacks an endpoint."""
+    def test_missing_from_full_list(self):
+        """An endpoint that a new complete list lacks counts as lapsed.
+
+        The directory sends such a list after its history was dropped.
+        """
         core = group.steering(FIRST, SECOND)
         core.apply(group.listing(FIRST, revision=20), 2.0)
         self.assertIs(Presence.LAPSED, core.catalog.get(SECOND.name).presence)
 
-    def test_older_news(self):
-        """A peer that is behind does not undo what is known."""
+    def test_outdated_list(self):
+        """A complete list from a peer that is behind changes nothing."""
         core = group.steering(FIRST)
         leaving = group.endpoint(1, draining=True)
         core.apply(Update((EndpointAnnounced(leaving, 11),), 11), 1.0)
@@ -294,7 +310,7 @@
 
     @parameterized.expand([("newer", 2, 2), ("older", 0, 1)])
     def test_version(self, _, offered, in_force):
-        """A configuration never goes back to an older one."""
+        """A configuration is never replaced by an older one."""
         core = group.steering(FIRST)
         published = RoutesPublished(group.table(offered), 99)
         core.apply(Update((published,), 99), 1.0)
--- a/tests/steering_doubts_test.py
+++ b/tests/steering_doubts_test.py
@@ -1,4 +1,4 @@
-"""Tests of steering: which VMs ask a doubted endpoint, and how often."""
+"""Tests of steering: which VMs check an endpoint, and how often."""
 
 from parameterized import parameterized
 from testtools import TestCase
@@ -23,8 +23,8 @@
 FIRST = group.endpoint(1)
 SECOND = group.endpoint(2)
 
-READERS, OTHERS = 2, 30
-"""VMs of the zone in a played fault."""
+READERS, VMS = 2, 30
+"""Readers among the zone's VMs in a simulated fault, and all its VMs."""
 
 
 def _core(*endpoints, reads: bool = False) -> Steering:
@@ -33,20 +33,20 @@
     return core
 
 
-def _vanish(core: Steering, endpoint, now: float) -> None:
+def _remove_entry(core: Steering, endpoint, now: float) -> None:
     revision = core.revision + 1
     removed = EndpointRemoved(endpoint.name, revision)
     core.apply(Update((removed,), revision), now)
 
 
-def _carry(core: Steering, number: int, endpoint, now: float):
+def _forward(core: Steering, number: int, endpoint, now: float):
     key = group.flow(number)
     segment = group.segment(key, endpoint.token, length=10)
     return core.on_segment(segment, now)
 
 
 class LapseTest(TestCase):
-    """An entry vanishes: who asks the endpoint."""
+    """Which VMs check an endpoint whose directory entry disappeared."""
 
     @parameterized.expand(
         [
@@ -55,43 +55,44 @@
             ("without", False, 0, 0),
         ]
     )
-    def test_asked_by(self, _, reads, flows, checks):
-        """A service is released: hundreds of entries vanish in seconds.
+    def test_checked_by(self, _, reads, flows, checks):
+        """Only readers and VMs with flows check a missing endpoint.
 
-        If every VM asked each of them, an endpoint of two slots would get
-        hundreds of checks, and the more the larger the fleet is.
+        When a service is released, hundreds of entries disappear within
+        seconds. If every VM checked each of them, an endpoint of two slots
+        would get hundreds of checks, and more in a larger fleet.
         """
         core = _core(FIRST, SECOND, reads=reads)
         for number in range(flows):
-            _carry(core, number, FIRST, 1.0)
-        _vanish(core, FIRST, 1.5)
+            _forward(core, number, FIRST, 1.0)
+        _remove_entry(core, FIRST, 1.5)
         due = core.due_checks(1.5)
         self.assertEqual(checks, len(due))
         for record in due:
             self.assertIs(CheckReason.LAPSED, record.health.check_reason)
 
     def test_flow_arrives_later(self):
-        """A flow to a vanished endpoint moves here as the routers change.
+        """A flow that moves to this VM triggers a check of its endpoint.
 
-        Nobody here has asked the endpoint yet; without a check its client
-        would wait until the silence is noticed.
+        The endpoint's entry is missing, and this VM has not checked it yet.
+        Without a check the client would wait until the silence is noticed.
         """
         core = _core(FIRST, SECOND)
-        _vanish(core, FIRST, 1.0)
+        _remove_entry(core, FIRST, 1.0)
         self.assertEqual([], core.due_checks(1.0))
-        _carry(core, 1, FIRST, 1.2)
+        _forward(core, 1, FIRST, 1.2)
         record = core.catalog.get(FIRST.name)
         self.assertEqual([record], core.due_checks(1.2))
         resets = core.on_check(record, CheckResult.REFUSED, 1.21)
         self.assertEqual([group.flow(1)], [reset.flow for reset in resets])
 
     def test_missing_for_good(self):
-        """An endpoint that nobody here asked about is forgotten in time.
+        """A missing endpoint that this VM never checked is removed in time.
 
-        Kept for ever, the list would grow with each release.
+        Otherwise the list would grow with each release.
         """
         core = _core(FIRST, SECOND)
-        _vanish(core, FIRST, 1.0)
+        _remove_entry(core, FIRST, 1.0)
         core.on_confirmed(1.0 + LAPSE_S)
         core.tick(1.0 + LAPSE_S)
         self.assertEqual([], core.due_checks(1.0 + LAPSE_S))
@@ -102,12 +103,13 @@
         self.assertIsNone(core.catalog.get(FIRST.name))
 
     def test_forgotten_while_alive(self):
-        """An endpoint leaves but answers on for minutes; it is forgotten.
+        """A missing endpoint that still answers is removed in time.
 
-        A reader that kept it on its list would ask it every second for ever.
+        An endpoint may leave and still answer for minutes. A reader that kept
+        it on its list would check it every second for ever.
         """
         core = _core(FIRST, SECOND, reads=True)
-        _vanish(core, FIRST, 1.0)
+        _remove_entry(core, FIRST, 1.0)
         now = 1.0
         while now < 2.0 + FORGET_S:
             core.on_confirmed(now)
@@ -119,9 +121,9 @@
         self.assertEqual([], core.catalog.overdue())
 
     def test_entry_returns(self):
-        """The entry is back: the endpoint takes flows, without a check."""
+        """An endpoint whose entry returns gets flows again without a check."""
         core = _core(FIRST)
-        _vanish(core, FIRST, 1.0)
+        _remove_entry(core, FIRST, 1.0)
         revision = core.revision + 1
         back = EndpointAnnounced(FIRST, revision)
         core.apply(Update((back,), revision), 2.0)
@@ -131,14 +133,15 @@
         self.assertIs(Presence.LISTED, core.catalog.get(FIRST.name).presence)
 
     def test_last_resort(self):
-        """All entries of a service vanish, and half of its endpoints died.
+        """Endpoints that a reader reports down are avoided as last resort.
 
-        A VM that has asked none of them goes by what a reader tells: half of
-        its new flows would otherwise open nowhere.
+        All entries of a service disappear, and half of its endpoints died. A VM
+        that has checked none of them relies on the reader's report: otherwise
+        half of its new flows would not open.
         """
         core = _core(FIRST, SECOND)
         for endpoint in (FIRST, SECOND):
-            _vanish(core, endpoint, 1.0)
+            _remove_entry(core, endpoint, 1.0)
         core.doubts.on_told_down(FIRST.number, 1.1)
         chosen = set()
         for number in range(8):
@@ -149,7 +152,7 @@
 
 
 class DownTest(TestCase):
-    """An endpoint is down: who looks whether it is back."""
+    """Which VMs check whether a down endpoint is back."""
 
     def _down(self) -> tuple[Steering, object]:
         core = _core(FIRST, SECOND)
@@ -157,32 +160,41 @@
         core.on_check(record, CheckResult.REFUSED, 1.0)
         return core, record
 
-    def _checks(self, core, record, told_until: float, until: float) -> list:
-        """Returns when it was checked, by a reader's reports until then."""
+    def _checks(self, core, record, reports_until: float, until: float) -> list:
+        """Returns the times of its checks, with reader reports for a while.
+
+        Args:
+            core: The VM.
+            record: The endpoint that is down.
+            reports_until: When the reader's reports end, in seconds.
+            until: When the simulation ends, in seconds.
+        """
         times, now = [], 1.0
         while now < until:
             now = round(now + 0.05, 2)
-            if now < told_until and round(now * 100) % 50 == 0:
+            if now < reports_until and round(now * 100) % 50 == 0:
                 core.doubts.on_told_down(FIRST.number, now)
             for due in core.due_checks(now):
                 times.append(now)
                 core.on_check(due, CheckResult.REFUSED, now)
         return times
 
-    def test_readers_look(self):
-        """A zone is cut off for some seconds; its endpoints are down.
+    def test_reader_rechecks(self):
+        """A VM leaves rechecks to a reader that reports the endpoint down.
 
-        A reader looks whether they are back. If every VM did, they would get
-        hundreds of checks a second at the moment when they return.
+        When a zone is cut off for some seconds, its endpoints are down. If
+        every VM rechecked them, they would get hundreds of checks a second at
+        the moment when they return.
         """
         core, record = self._down()
         times = self._checks(core, record, 11.0, 11.0)
         self.assertLessEqual(len(times), 1 + int(10.0 / MAX_DEFER_S))
 
-    def test_readers_fall_silent(self):
-        """The readers die: the VM looks for itself again, as often as before.
+    def test_readers_die(self):
+        """A VM rechecks as often as before once the readers' reports end.
 
-        Otherwise it would keep its clients from an endpoint that is back.
+        If it still waited for readers that died, it would keep its clients from
+        an endpoint that is back.
         """
         core, record = self._down()
         times = self._checks(core, record, 3.0, 8.0)
@@ -191,43 +203,45 @@
         gaps = [b - a for a, b in zip(after, after[1:], strict=False)]
         self.assertLessEqual(max(gaps), RECHECK_MAX_S + 0.1)
 
-    def test_nobody_told(self):
-        """This VM alone reaches an endpoint no more; it looks for itself."""
+    def test_no_reader_report(self):
+        """A VM that alone finds an endpoint down rechecks it itself."""
         core, record = self._down()
         self.assertGreaterEqual(len(self._checks(core, record, 0.0, 6.0)), 4)
 
     def test_flow_arrives(self):
-        """A flow to an endpoint that a reader finds down moves here.
+        """A flow that moves here triggers a check of a reported endpoint.
 
-        Its request goes into silence; the reader's word is reason enough to
-        ask at once.
+        Its request gets no answer; the reader's report is reason enough to
+        check at once.
         """
         core = _core(FIRST, SECOND)
         core.doubts.on_told_down(FIRST.number, 1.0)
         self.assertEqual([], core.due_checks(1.0))
-        _carry(core, 1, FIRST, 1.2)
+        _forward(core, 1, FIRST, 1.2)
         due = core.due_checks(1.2)
         self.assertEqual([FIRST], [record.endpoint for record in due])
 
 
 class FleetTest(TestCase):
-    """A zone's checks of what is gone, counted over its VMs."""
+    """The number of health checks over all VMs of a zone."""
 
-    def _play(self, others: int, endpoints: int) -> int:
-        """Returns the checks of ten seconds in which endpoints go dark."""
+    def _simulate(self, vm_count: int, endpoints: int) -> int:
+        """Returns the number of checks in ten seconds without any answers."""
         known = [group.endpoint(number + 1) for number in range(endpoints)]
-        vms = [_core(*known, reads=index < READERS) for index in range(others)]
+        vms = [
+            _core(*known, reads=index < READERS) for index in range(vm_count)
+        ]
         for index, core in enumerate(vms):
-            _carry(core, index, known[index % endpoints], 0.9)
+            _forward(core, index, known[index % endpoints], 0.9)
         for core in vms:
             for endpoint in known:
-                _vanish(core, endpoint, 1.0)
+                _remove_entry(core, endpoint, 1.0)
         checks, now = 0, 1.0
         while now < 11.0:
             now = round(now + 0.05, 2)
-            tells = round(now * 100) % 50 == 0
+            reports = round(now * 100) % 50 == 0
             for index, core in enumerate(vms):
-                if tells and index >= READERS:
+                if reports and index >= READERS:
                     for record in vms[index % READERS].catalog.records:
                         if record.health.down:
                             core.doubts.on_told_down(
@@ -238,12 +252,13 @@
                     core.on_check(due, CheckResult.TIMEOUT, now)
         return checks
 
-    def test_growth(self):
-        """Twice the VMs and twice the endpoints: twice the checks, not four.
+    def test_linear_growth(self):
+        """Checks grow linearly: twice the fleet makes twice the checks.
 
-        Each VM has one flow. When all asked about all, the checks grew with
-        the product, on endpoints that had just lost their neighbours.
+        Each VM has one flow, and both VMs and endpoints are doubled. When all
+        VMs checked all endpoints, the checks grew with the product, on
+        endpoints that had just lost vm_count of their service.
         """
-        small = self._play(OTHERS, 10)
-        large = self._play(2 * OTHERS, 20)
+        small = self._simulate(VMS, 10)
+        large = self._simulate(2 * VMS, 20)
         self.assertLessEqual(large, 2.2 * small)
--- a/tests/steering_health_test.py
+++ b/tests/steering_health_test.py
@@ -21,22 +21,23 @@
 from tests import steering_group as group
 
 
-class RepeatTest(TestCase):
-    """What clients send again asks for a health check."""
+class RetransmissionTest(TestCase):
+    """Retransmissions by clients trigger health checks."""
 
-    def test_silent_endpoint(self):
-        """An endpoint died silently and its client sends its data again.
+    def test_retransmission(self):
+        """A retransmission to an endpoint without progress triggers a check.
 
-        Without a check every client of the endpoint waits out its deadline.
+        The endpoint died without a reset. Without a check every client of it
+        would wait for its deadline.
         """
         health = Health()
         health.on_repeat(1.0)
         self.assertTrue(health.due(1.0))
 
     def test_lost_packet(self):
-        """One packet was lost on the way while other clients are served.
+        """A single lost packet triggers no check while others make progress.
 
-        A check for each would take the slots of a healthy endpoint.
+        Such checks would take up the slots of a healthy endpoint.
         """
         health = Health()
         health.on_advance(1.0)
@@ -45,13 +46,14 @@
 
 
 class SynTest(TestCase):
-    """A client that does not go on after its SYN asks for a check."""
+    """SYNs that the client does not follow up trigger health checks."""
 
-    def test_machine_refuses(self):
-        """An endpoint's process crashed and its machine resets each SYN.
+    def test_syn_not_followed_up(self):
+        """A SYN without a following packet triggers a check.
 
-        The client uses up its tries within milliseconds and nothing that
-        passes by the VM says so; the next client would fare the same.
+        The endpoint's process crashed and its machine resets each SYN. The
+        client uses up its tries within milliseconds, and no packet through the
+        VM shows it; the next client would fare the same.
         """
         health = Health()
         health.on_syn(group.flow(), 1.0)
@@ -65,7 +67,7 @@
         ]
     )
     def test_no_check(self, _, happens):
-        """A flow that opens, or another that advances, calls none."""
+        """No check follows if the flow opens or another one progresses."""
         health = Health()
         health.on_syn(group.flow(), 1.0)
         happens(health)
@@ -73,9 +75,11 @@
         self.assertFalse(health.doubted)
 
     def test_rotation_changes(self):
-        """While VMs change, second packets pass by other VMs.
+        """No check follows a SYN shortly after an answered check.
 
-        Each such flow would otherwise cost a check of a healthy endpoint.
+        While the set of VMs in rotation changes, a flow's second packet may
+        pass through another VM. Each such flow would otherwise cost a check of
+        a healthy endpoint.
         """
         health = Health()
         health.ask(1.0, CheckReason.REPORTED)
@@ -87,8 +91,8 @@
         health.look(1.0 + ANSWER_VALID_S + SYN_FOLLOWUP_TIMEOUT_S)
         self.assertTrue(health.doubted)
 
-    def test_flood(self):
-        """SYNs that nobody follows up do not fill the VM's memory."""
+    def test_pending_syns_bounded(self):
+        """SYNs that are never followed up take a bounded amount of memory."""
         health = Health()
         for number in range(2 * MAX_PENDING_SYNS):
             health.on_syn(group.flow(number), 1.0)
@@ -96,13 +100,14 @@
 
 
 class SilenceTest(TestCase):
-    """Requests without any sign of life ask for a check."""
+    """Requests without any progress trigger health checks."""
 
-    def test_silent_death(self):
-        """An endpoint's machine lost power while requests were under way.
+    def test_no_progress(self):
+        """A request without progress triggers a check before a retransmission.
 
-        Its clients send again only after 0.2 s, and a short deadline has
-        passed by the time that checks after that have failed.
+        The endpoint's machine lost power while requests were in progress. Its
+        clients retransmit only after 0.2 s, and by the time that checks after
+        that have failed, a short deadline has passed.
         """
         health = Health()
         health.on_request(1.0)
@@ -112,7 +117,7 @@
         self.assertTrue(health.due(1.0 + SILENCE_TIMEOUT_S))
 
     def test_long_request(self):
-        """One request takes long while others of the endpoint advance."""
+        """A long request triggers no check while others make progress."""
         health = Health()
         health.on_request(1.0)
         health.on_advance(1.05)
@@ -120,9 +125,9 @@
         self.assertFalse(health.doubted)
 
     def test_slow_service(self):
-        """Every request of a service takes long; its endpoints live.
+        """Slow requests of a healthy service cause a bounded number of checks.
 
-        Checks are bounded: each takes a slot for a moment.
+        Each check takes a slot for a moment.
         """
         health = Health()
         checks = 0
@@ -137,12 +142,13 @@
 
 
 class BusyTest(TestCase):
-    """When answers take long everywhere, silence says less."""
+    """Silence means less when answers are slow everywhere."""
 
     def test_usual_answer(self):
-        """A rush makes every endpoint slow; none is checked for it.
+        """The silence timeout grows with the usual answer time.
 
-        Each check takes a slot and makes the next answer later still.
+        Under heavy load every endpoint is slow. Each check would take a slot
+        and delay the next answer further.
         """
         health = Health()
         health.on_request(1.0, 0.1)
@@ -152,7 +158,7 @@
         self.assertTrue(health.due(2.0))
 
     def test_avoided(self):
-        """What another VM finds down takes no new flows for a while."""
+        """An endpoint reported down by another VM is avoided for a while."""
         health = Health()
         self.assertTrue(health.is_sure(1.0))
         health.avoid(1.0)
@@ -161,7 +167,7 @@
 
 
 class CheckTest(TestCase):
-    """What health checks make of an endpoint."""
+    """How results of health checks change an endpoint's state."""
 
     @parameterized.expand(
         [
@@ -171,7 +177,7 @@
         ]
     )
     def test_down(self, _, result, checks):
-        """A certain failure counts at once, a silent one the second time."""
+        """A conclusive failure counts at once, a timeout only when repeated."""
         health = Health()
         for _ in range(checks):
             self.assertFalse(health.down)
@@ -179,9 +185,9 @@
         self.assertTrue(health.down)
 
     def test_busy_endpoint(self):
-        """An endpoint that is full answers that it takes no work.
+        """A full endpoint that answers as unhealthy is not marked down.
 
-        To end its flows would cut requests that it is working on.
+        Ending its flows would cut requests that it is working on.
         """
         health = Health()
         for _ in range(3):
@@ -190,12 +196,13 @@
 
     @parameterized.expand([("full", 0.04, False), ("dead", None, True)])
     def test_full_endpoint(self, _, answer_s, down):
-        """An endpoint of 2 slots and a queue of 8 is full for a second.
+        """A full endpoint stays up despite timeouts; a dead one goes down.
 
-        Its machine leaves checks unanswered, while its clients are answered
-        one after the other. Taken for dead, its open flows would be reset,
-        and requests cut that it is working on. A dead one's are reset within
-        0.2 s.
+        An endpoint with 2 slots and a queue of 8 is full for a second. Its
+        machine leaves checks unanswered while its clients are answered one
+        after the other. If it were marked down, its open flows would be reset,
+        and with them requests in progress. The flows of a dead endpoint are
+        reset within 0.2 s.
         """
         health, down_at = Health(), None
         health.ask(1.0, CheckReason.REPORTED)
@@ -212,7 +219,7 @@
             self.assertLess(down_at, 1.2)
 
     def test_return(self):
-        """A cut ends; the endpoint takes flows again within a check."""
+        """An endpoint is up again after the first check that it answers."""
         health = Health()
         health.on_check(CheckResult.REFUSED, 1.0)
         self.assertFalse(health.due(1.0 + RECHECK_MIN_S / 2))
@@ -221,8 +228,8 @@
         self.assertFalse(health.down)
         self.assertFalse(health.doubted)
 
-    def test_pause_is_bounded(self):
-        """An endpoint that stays down is asked ever less, up to a bound."""
+    def test_recheck_interval_bounded(self):
+        """The interval between checks of a down endpoint grows to a maximum."""
         health, now = Health(), 0.0
         for _ in range(10):
             health.on_check(CheckResult.REFUSED, now)
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -1,4 +1,4 @@
-"""Tests of steering._load and of placement by it."""
+"""Tests of steering._load and of placement by load."""
 
 import collections
 import random
@@ -17,7 +17,8 @@
 from tests import steering_group as group
 
 SLOTS, ROOM, WORK_S = 2, 10, 0.05
-"""Of an endpoint: requests at once, with its queue, and time of each."""
+"""Concurrent requests of an endpoint, the same with its queue, and the duration
+of a request in seconds."""
 
 FIRST = group.endpoint(1)
 SECOND = group.endpoint(2)
@@ -30,10 +31,10 @@
 
 
 class LoadBookTest(TestCase):
-    """The VMs' counts add up to an endpoint's load."""
+    """Summing the VMs' counts into the load of endpoints."""
 
     def test_window(self):
-        """Requests count for two seconds, then no more."""
+        """A request counts for two seconds."""
         book = LoadBook(group.ZONE)
         for _ in range(10):
             book.on_work(1, 5.0)
@@ -41,7 +42,7 @@
         self.assertEqual({}, book.own(5.0 + WINDOW_S + 0.5))
 
     def test_sums(self):
-        """Own requests, the zone's other VMs and the other zones add up."""
+        """Own requests, those of the zone's VMs and of other zones add up."""
         book = LoadBook(group.ZONE)
         book.on_work(1, 5.0)
         book.on_mate("vm-2", {1: 3.0}, 5.0)
@@ -49,10 +50,10 @@
         self.assertEqual(3.5, book.zone(5.0)[1])
         self.assertEqual([7.5, 0.0, 9.0], _rates(book, 5.0))
 
-    def test_told_total(self):
-        """A reader told the total; what was sent since counts on top.
+    def test_reader_total(self):
+        """Requests sent since a reader's total count in addition to it.
 
-        Flows that arrive between two reports would else all find the same
+        Otherwise flows that arrive between two reports would all find the same
         endpoint idle.
         """
         book = LoadBook(group.ZONE)
@@ -64,9 +65,10 @@
         self.assertEqual({1: 0.5, 2: 0.5}, dict(book.gathered(5.2)))
 
     def test_new_reader(self):
-        """A VM has just become a reader and has heard from two others.
+        """A total over many VMs is kept against one over few.
 
-        Its own sum would make busy endpoints look idle.
+        A VM that has just become a reader has received reports from two others
+        only. Its own sum would make busy endpoints look idle.
         """
         book = LoadBook(group.ZONE)
         book.on_total({1: 30.0}, 25, 5.0)
@@ -79,8 +81,8 @@
         after = 5.1 + REPORT_LIFE_S
         self.assertEqual(0.0, book.rate(1, after))
 
-    def test_silent_vm(self):
-        """A VM dies; what it had sent no longer counts as load.
+    def test_expired_report(self):
+        """The load reported by a VM that died expires.
 
         Its endpoints would otherwise look busy and be left idle.
         """
@@ -94,7 +96,7 @@
     """Flows leave their zone only where that pays."""
 
     def _choose(self, rates: dict[int, float], *endpoints, tried=(), own=None):
-        """Returns a choice by what others send and by own requests."""
+        """Places a flow by the load from others and from own requests."""
         catalog = Catalog()
         catalog.apply(group.listing(*endpoints), 0.0)
         load = LoadBook(group.ZONE)
@@ -119,9 +121,10 @@
         ]
     )
     def test_full_zone(self, _, rates, reason):
-        """A zone lost an endpoint and the rest cannot keep up.
+        """A flow goes to another zone only if that has clearly less load.
 
-        Kept at home, its clients queue while another zone stands idle.
+        The failure: a zone lost an endpoint and the others cannot keep up.
+        Clients kept in the zone queue while another zone is idle.
         """
         self.assertEqual(reason, self._choose(rates, FIRST, FAR).reason)
 
@@ -134,11 +137,12 @@
         ]
     )
     def test_settled(self, _, heard_at, reason):
-        """All VMs start at once; each zone knows its own load first.
+        """Zones are compared only after a steady period of reports.
 
-        The other zones look idle, as few of their VMs were heard yet. Each
-        zone would send most of its new flows to the others, and a cut between
-        them would break all of these.
+        When all VMs start at once, each zone learns of its own load first. The
+        other zones look idle, as few of their VMs have reported yet. Each zone
+        would send most of its new flows to the others, and a cut between them
+        would break all of these.
         """
         catalog = Catalog()
         catalog.apply(group.listing(FIRST, FAR), 0.0)
@@ -152,27 +156,29 @@
 
     @parameterized.expand([("alone", {}), ("told_else", {1: 1.0, 2: 90.0})])
     def test_least_loaded(self, _, rates):
-        """Within the zone the endpoint with the least own work is chosen.
+        """Within the zone the endpoint with the least own load is chosen.
 
-        Whatever the other VMs sent until a second ago: all would follow it.
+        What other VMs sent until a second ago is ignored: all VMs would follow
+        it.
         """
         placed = self._choose(rates, FIRST, SECOND, own={1: 20, 2: 10})
         self.assertEqual(SECOND, placed.record.endpoint)
 
     @parameterized.expand([("little_less", 15, FIRST), ("idle", 2, None)])
     def test_cold_endpoint(self, _, requests, expected):
-        """A cold endpoint with a little less work is not preferred.
+        """A cold endpoint with slightly less load is not preferred.
 
-        It is slow yet; what it gets now it keeps for long.
+        It is still slow, and it keeps the flows that it gets now for long.
         """
         cold = group.endpoint(2, warm_in_s=1000.0)
         placed = self._choose({}, FIRST, cold, own={1: 20, 2: requests})
         self.assertEqual(expected or cold, placed.record.endpoint)
 
     def test_burst(self):
-        """Many flows arrive between two reports and are spread all the same.
+        """Flows that arrive between two reports are spread evenly.
 
-        All placed on the one that was idle, they would fill its queue.
+        If all were placed on the endpoint that was idle, they would fill its
+        queue.
         """
         core = group.steering(FIRST, SECOND)
         names = [
@@ -182,9 +188,10 @@
         self.assertEqual(10, names.count(FIRST.name))
 
     def test_shared_token(self):
-        """Two endpoints' names yield one token; only one takes new flows.
+        """Of two endpoints with the same token only one gets new flows.
 
-        Packets of the other's flows would go to the wrong process.
+        The names of both yield this token. Packets of the other's flows would
+        go to the wrong process.
         """
         twin = group.endpoint(2, token=FIRST.token)
         for _ in range(4):
@@ -192,8 +199,8 @@
             self.assertEqual(FIRST, placed.record.endpoint)
 
 
-class HerdTest(TestCase):
-    """Many VMs place by the same old total."""
+class StaleTotalTest(TestCase):
+    """Many VMs place flows by the same outdated total."""
 
     @parameterized.expand(
         [
@@ -203,13 +210,14 @@
             ("large_fleet", 195, 100, 1000),
         ]
     )
-    def test_newcomer(self, _, vms, endpoints, flows):
-        """An endpoint has just started, and no report names it yet.
-
-        Every VM takes it for the idlest. If each sent it all its new flows,
-        its two slots and its queue would be full within tenths of a second,
-        and most callers of that second would be turned away while the other
-        endpoints stand idle.
+    def test_new_endpoint(self, _, vms, endpoints, flows):
+        """A new endpoint is not flooded by all VMs at once.
+
+        An endpoint has just started, and no report names it yet, so every VM
+        considers it the least loaded. If each VM sent it all its new flows, its
+        two slots and its queue would be full within tenths of a second, and
+        most callers of that second would be refused while the other endpoints
+        are idle.
         """
         listed = [group.endpoint(n + 1) for n in range(endpoints)]
         catalog = Catalog()
@@ -229,27 +237,30 @@
 
 
 class _Endpoint:
-    """Two slots and a queue of eight; what finds no room is turned away."""
+    """An endpoint with two slots and a queue of eight that rejects the rest."""
 
     def __init__(self):
         self._ends: list[float] = []
-        self.turned_away = 0
+        self.rejected = 0
 
     def take(self, now: float, work_s: float) -> None:
         self._ends = [end for end in self._ends if end > now]
         if len(self._ends) >= ROOM:
-            self.turned_away += 1
+            self.rejected += 1
             return
         busy = sorted(self._ends)[-SLOTS:]
         free_at = now if len(busy) < SLOTS else max(now, busy[0])
         self._ends.append(free_at + work_s)
 
 
-def _turned_away(vms: int, endpoints: int, load_part: float) -> int:
-    """Plays ten seconds of requests, a flow each; returns who got no room.
+def _count_rejected(vms: int, endpoints: int, load_part: float) -> int:
+    """Simulates ten seconds of requests, a flow each.
+
+    Every half second all VMs receive the sum of what all have sent, a quarter
+    of a second old.
 
-    Every half second all VMs hear the sum of what all have sent, a quarter of
-    a second old.
+    Returns:
+        The number of requests that were rejected.
     """
     rng = random.Random(1)
     listed = [group.endpoint(n + 1) for n in range(endpoints)]
@@ -277,24 +288,26 @@
         placed = placements[vm].choose("registry", (), now).record.endpoint
         books[vm].on_work(placed.number, now)
         served[placed.name].take(now, rng.expovariate(1.0 / WORK_S))
-    return sum(each.turned_away for each in served.values())
+    return sum(each.rejected for each in served.values())
 
 
-class RushTest(TestCase):
-    """Every endpoint is nearly full, and what VMs hear is old."""
+class OverloadTest(TestCase):
+    """Placement when every endpoint is nearly full and reports are old."""
 
     @parameterized.expand(
         [("small_fleet", 9, 7), ("grown_fleet", 30, 25), ("large", 90, 60)]
     )
-    def test_rush(self, _, vms, endpoints):
-        """Three times the usual clients come, for seconds.
-
-        By the sum of all VMs, those endpoints that were busy a second ago are
-        left alone by everybody and the others overrun, and a second later the
-        other way round. Requests are turned away although there is room: 437,
-        1,620 and 3,554 of them, and 99, 510 and 1,066 by own requests.
+    def test_placement_by_own_load(self, _, vms, endpoints):
+        """Placing by own requests rejects less than half as many requests.
+
+        Three times the usual number of clients arrives for some seconds. If VMs
+        place by the sum of all VMs, all of them leave those endpoints alone
+        that were busy a second ago and overrun the others, and a second later
+        the other way round. Requests are rejected although there is room: 437,
+        1,620 and 3,554 of them, against 99, 510 and 1,066 when VMs place by own
+        requests.
         """
-        by_own = _turned_away(vms, endpoints, 0.9)
+        by_own = _count_rejected(vms, endpoints, 0.9)
         self.patch(Placement, "_own_cost", Placement._total_cost)
-        by_total = _turned_away(vms, endpoints, 0.9)
+        by_total = _count_rejected(vms, endpoints, 0.9)
         self.assertLess(by_own, 0.5 * by_total)
--- a/tests/steering_outliers_test.py
+++ b/tests/steering_outliers_test.py
@@ -1,4 +1,4 @@
-"""Tests of steering: endpoints that fail while their health check is good."""
+"""Tests of steering: endpoints that fail but pass their health checks."""
 
 import random
 
@@ -30,18 +30,18 @@
 VMS, ENDPOINTS = 20, 20
 FLOWS_PER_S = 120
 STEP_S = 0.05
-CALM_S = 3.0
-"""Seconds before the failures in which usual answers are seen."""
+BASELINE_S = 3.0
+"""Seconds before the failures in which only usual answers are seen."""
 
-TELL_EVERY = 10
-"""Steps between two reports."""
+REPORT_EVERY = 10
+"""Number of steps between two reports."""
 
-WHOLE, ERROR = 1200, 187
-"""Bytes that a client acknowledges first, of an answer and of an error."""
+ANSWER_BYTES, ERROR_BYTES = 1200, 187
+"""Bytes in the client's first acknowledgement of an answer and of an error."""
 
 
 class LengthTest(TestCase):
-    """Which answers count as failed."""
+    """Which answers count as failed by their length."""
 
     ROUTE = ("registry", "198.18.0.1", 443)
 
@@ -64,12 +64,12 @@
         ]
     )
     def test_short(self, _, usual, length, short):
-        """An error is told from an answer by the route's usual lengths."""
+        """An answer far below the route's usual length is short."""
         lengths = self._lengths(*usual)
         self.assertEqual(short, lengths.observe(self.ROUTE, length))
 
     def test_unknown(self):
-        """A route that was hardly asked has no usual length."""
+        """A route with few answers has no usual length."""
         self.assertFalse(AnswerLengths().observe(self.ROUTE, 1))
 
     def test_most_fail(self):
@@ -78,7 +78,7 @@
         self.assertFalse(lengths.observe(self.ROUTE, 187))
 
     def test_change(self):
-        """A route's answers become shorter for good: it is learned."""
+        """The usual length adapts when a route's answers become shorter."""
         lengths = self._lengths(80_000)
         shorts = [lengths.observe(self.ROUTE, 900) for _ in range(600)]
         self.assertTrue(shorts[0])
@@ -87,13 +87,13 @@
     @given(st.lists(st.integers(-1, 1 << 32), max_size=50))
     @settings(max_examples=100, deadline=None, derandomize=True)
     def test_any(self, received):
-        """No acknowledgement raises anything."""
+        """No length raises an exception."""
         lengths = AnswerLengths()
         for each in received:
             lengths.observe(self.ROUTE, each)
 
     def test_memory(self):
-        """Routes that come and go do not fill the memory."""
+        """The number of tracked routes is bounded."""
         lengths = AnswerLengths()
         for port in range(3 * MAX_ROUTES):
             lengths.observe(("registry", "198.18.0.1", port), 9)
@@ -103,35 +103,35 @@
 def _vm(number: int) -> Steering:
     core = Steering(group.ZONE, Counters(), random.Random(number))
     known = [group.endpoint(n + 1) for n in range(ENDPOINTS)]
-    core.apply(group.listing(*known), -CALM_S)
-    core.on_confirmed(-CALM_S)
+    core.apply(group.listing(*known), -BASELINE_S)
+    core.on_confirmed(-BASELINE_S)
     return core
 
 
 class _Zone:
-    """A zone's VMs, whose clients open a flow for each request."""
+    """Simulates a zone's VMs, whose clients open a flow for each request."""
 
-    def __init__(self, failing: dict[int, float], *, tells: bool = True):
+    def __init__(self, failing: dict[int, float], *, reports: bool = True):
         """Takes the share of requests that each endpoint fails."""
         self.vms = [_vm(number) for number in range(VMS)]
         self.failed = 0
         self.asked = 0
         self.asked_at: dict[int, int] = {}
         self._failing = failing
-        self._tells = tells
+        self._reports = reports
         self._rng = random.Random(1)
         self._flows = 0
 
-    def play(self, seconds: float) -> None:
-        """Lets clients ask for so long, and for a calm while before."""
-        for step in range(round(-CALM_S / STEP_S), round(seconds / STEP_S)):
+    def run(self, seconds: float) -> None:
+        """Simulates requests, after a period without failures."""
+        for step in range(round(-BASELINE_S / STEP_S), round(seconds / STEP_S)):
             now = step * STEP_S
             for _ in range(round(FLOWS_PER_S * STEP_S)):
                 self._ask(self._rng.choice(self.vms), now)
-            if self._tells and step % TELL_EVERY == 0:
-                self._tell(now)
+            if self._reports and step % REPORT_EVERY == 0:
+                self._exchange_reports(now)
 
-    def _tell(self, now: float) -> None:
+    def _exchange_reports(self, now: float) -> None:
         reader = self.vms[0].outliers
         for number, vm in enumerate(self.vms[1:]):
             reader.on_mate(f"vm{number}", vm.outliers.own(now), now)
@@ -158,20 +158,22 @@
             key,
             token,
             sequence=301,
-            acknowledged=1 + (ERROR if fails else WHOLE),
+            acknowledged=1 + (ERROR_BYTES if fails else ANSWER_BYTES),
             fin=True,
         )
         vm.on_segment(end, now + (0.006 if fails else 0.045))
 
 
 class EjectionTest(TestCase):
-    """What callers get while some endpoints fail."""
+    """What clients experience while some endpoints fail."""
 
     SECONDS = 7.0
 
-    def _play(self, failing: dict[int, float], *, tells: bool = True) -> _Zone:
-        zone = _Zone(failing, tells=tells)
-        zone.play(self.SECONDS)
+    def _run_zone(
+        self, failing: dict[int, float], *, reports: bool = True
+    ) -> _Zone:
+        zone = _Zone(failing, reports=reports)
+        zone.run(self.SECONDS)
         return zone
 
     @parameterized.expand(
@@ -182,26 +184,30 @@
         ]
     )
     def test_fewer_fail(self, _, failing):
-        """Endpoints answer errors at once; their health check is good."""
-        without = self._play(failing, tells=False)
-        zone = self._play(failing)
+        """Ejection reduces the number of failed requests.
+
+        The failing endpoints answer errors at once and pass their health
+        checks.
+        """
+        without = self._run_zone(failing, reports=False)
+        zone = self._run_zone(failing)
         self.assertGreater(without.failed, 10)
         self.assertLess(zone.failed, 0.6 * without.failed)
 
     def test_all_fail_alike(self):
-        """Every endpoint is full now and then: none is kept away."""
-        zone = self._play(dict.fromkeys(range(1, ENDPOINTS + 1), 0.2))
+        """No endpoint is ejected if all are full now and then."""
+        zone = self._run_zone(dict.fromkeys(range(1, ENDPOINTS + 1), 0.2))
         fewest = min(zone.asked_at.values())
         self.assertGreater(fewest, 0.4 * zone.asked / ENDPOINTS)
 
-    def test_calm(self):
-        """A lost answer now and then keeps nobody away."""
-        zone = self._play(dict.fromkeys(range(1, ENDPOINTS + 1), 0.01))
+    def test_occasional_failures(self):
+        """A lost answer now and then ejects no endpoint."""
+        zone = self._run_zone(dict.fromkeys(range(1, ENDPOINTS + 1), 0.01))
         fewest = min(zone.asked_at.values())
         self.assertGreater(fewest, 0.5 * zone.asked / ENDPOINTS)
 
-    def test_floor(self):
-        """Half of the endpoints fail: most of them stay in use.
+    def test_most_stay_in_use(self):
+        """Most endpoints stay in use even if half of them fail.
 
         The others could not bear the load of all.
         """
@@ -213,14 +219,14 @@
         self.assertLessEqual(len(ejected), MAX_EJECTED_SHARE * ENDPOINTS)
 
     def test_one_endpoint(self):
-        """A service's only endpoint is used, whatever it does."""
+        """A service's only endpoint is never ejected."""
         core = group.steering(group.endpoint(1))
         for _ in range(50):
             core.outliers.on_failed(1, 1.0)
         self.assertEqual([], core.outliers.eject(1.0))
 
     def test_tried_again(self):
-        """An endpoint that works again is back after its time."""
+        """An ejected endpoint gets flows again after the ejection time."""
         core = group.steering(group.endpoint(1), group.endpoint(2))
         for _ in range(MIN_FAILURES):
             core.outliers.on_failed(1, 1.0)
@@ -231,7 +237,7 @@
         self.assertFalse(health.is_avoided(1.0 + WINDOW_S + EJECTION_S))
 
     def test_unknown(self):
-        """A peer names endpoints that this VM does not know."""
+        """Reports that name unknown endpoints are ignored."""
         core = group.steering(group.endpoint(1), group.endpoint(2))
         core.outliers.on_mate("b", {99: 50}, 1.0)
         core.outliers.on_told([98], 1.0)
@@ -239,10 +245,10 @@
 
 
 class ReportTest(TestCase):
-    """How VMs tell each other."""
+    """Failures and ejections in reports between VMs."""
 
-    def test_told(self):
-        """Failures and outliers travel with reports."""
+    def test_round_trip(self):
+        """Failures and ejected endpoints survive encoding and decoding."""
         report = Report(
             Kind.ASK,
             "a",
@@ -262,8 +268,8 @@
             ("negative", {7: -5}, 0),
         ]
     )
-    def test_absurd(self, _, failures, believed):
-        """One VM is believed only so much."""
+    def test_clamped(self, _, failures, believed):
+        """A VM's reported failures are limited to a plausible range."""
         report = Report(
             Kind.ASK, "a", "z", Position(1, 5), 0.0, failures=failures
         )
@@ -271,7 +277,7 @@
         self.assertEqual({7: believed}, told.failures)
 
     def test_too_many(self):
-        """A report of thousands of failures is none."""
+        """A report with thousands of failures is rejected."""
         failures = dict.fromkeys(range(5000), 1)
         report = Report(
             Kind.ASK, "a", "z", Position(1, 5), 0.0, failures=failures
--- a/tests/steering_waiting_test.py
+++ b/tests/steering_waiting_test.py
@@ -12,8 +12,8 @@
 from pollenmast.steering._waiting import LATE_AFTER_S, PendingRequests
 from tests import steering_group as group
 
-MANY = 1_000_000
-"""Requests of a flow that lasts."""
+LASTING = 1_000_000
+"""Requests of a flow that lasts for the whole simulation."""
 
 TICK_S = 0.5
 ANSWER_S = 0.04
@@ -25,7 +25,7 @@
     """Which requests are late."""
 
     def test_late_once(self):
-        """A request that hangs is late once, not at each look."""
+        """A hanging request is returned as late only once."""
         waiting = PendingRequests()
         waiting.begin(group.flow(1), 7, 1.0)
         self.assertEqual([], waiting.pop_late(1.0 + LATE_AFTER_S / 2))
@@ -47,12 +47,12 @@
     hung: int = 0
 
 
-class _Played:
-    """Clients of one VM, whose endpoints leave some requests hanging.
+class _Simulation:
+    """Simulates the clients of one VM; endpoints leave some requests hanging.
 
-    A client sends a request, waits for its answer, pauses, and sends the
-    next on the same flow, up to a number of requests. Where no answer comes it
-    gives up at its deadline and goes on with a new flow.
+    A client sends a request, waits for its answer, pauses, and sends the next
+    one on the same flow, up to a number of requests. If no answer arrives, it
+    gives up at its deadline and continues with a new flow.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         endpoints: int,
         clients: int,
         hanging: dict[int, float],
-        flow_requests: int = MANY,
+        flow_requests: int = LASTING,
     ):
         self._known = [group.endpoint(n) for n in range(1, endpoints + 1)]
         self._core = group.steering(*self._known)
@@ -75,7 +75,7 @@
             heapq.heappush(self._due, (at, client, None, 0))
 
     def run(self, until_s: float) -> _Tally:
-        """Plays until this time."""
+        """Simulates until this time, in seconds."""
         tick = 1.0
         while self._due and self._due[0][0] < until_s:
             now, client, flow, sent = heapq.heappop(self._due)
@@ -101,7 +101,7 @@
         return key, placed
 
     def _close(self, now: float, flow, sent: int) -> None:
-        """The client acknowledges its last answer and ends the flow."""
+        """Acknowledges the client's last answer and ends its flow."""
         key, placed = flow
         last = group.segment(
             key, placed.token, sequence=sent, acknowledged=sent, fin=True
@@ -124,16 +124,16 @@
         heapq.heappush(self._due, again)
 
 
-class GreyTest(TestCase):
-    """An endpoint passes its health checks and hangs some requests."""
+class GreyFailureTest(TestCase):
+    """An endpoint passes its health checks but leaves requests hanging."""
 
     def _hung(self, part: float, flow_requests: int) -> dict[float, int]:
-        """Returns the hung requests by the weight of a late one."""
+        """Returns the number of hung requests by the value of `LATE_RATE`."""
         hung = {}
         for weight in (0.0, load.LATE_RATE):
             self.patch(load, "LATE_RATE", weight)
-            played = _Played(10, 40, {1: part}, flow_requests)
-            hung[weight] = played.run(20.0).hung
+            simulation = _Simulation(10, 40, {1: part}, flow_requests)
+            hung[weight] = simulation.run(20.0).hung
         return hung
 
     @parameterized.expand(
@@ -146,35 +146,36 @@
             ("most_of_ten", 0.9, 10),
         ]
     )
-    def test_kept_away(self, _, part, flow_requests):
-        """One of ten endpoints hangs; its clients' new flows go elsewhere.
+    def test_new_flows_avoid_endpoint(self, _, part, flow_requests):
+        """New flows avoid an endpoint that leaves requests hanging.
 
-        It gets fewer requests than the others, as its clients wait; by that
-        alone it would be the first choice, and each new flow would hang.
-        A client notices each hung request as seconds of silence.
+        One of ten endpoints hangs. It gets fewer requests than the others, as
+        its clients wait; by that alone it would be the first choice, and each
+        new flow would hang. A client experiences each hung request as seconds
+        of silence.
 
-        In 20 s of 40 clients 56 to 142 requests hung without it, 20 to 47
-        with it.
+        In 20 s of 40 clients 56 to 142 requests hung without the weight of late
+        requests, and 20 to 47 with it.
         """
         without, with_it = self._hung(part, flow_requests).values()
         self.assertLess(with_it, 0.5 * without)
 
     @parameterized.expand([("some", 0.4), ("most", 0.9)])
     def test_lasting_flows(self, _, part):
-        """Flows last as long as they are answered; few new ones are placed.
+        """Few requests hang when flows last as long as they are answered.
 
-        The first clients of the endpoint leave it when a request hangs, and
-        nearly none comes back to it.
+        Few new flows are placed. The first clients of the endpoint leave it
+        when a request hangs, and almost none comes back to it.
         """
-        without, with_it = self._hung(part, MANY).values()
+        without, with_it = self._hung(part, LASTING).values()
         self.assertLessEqual(with_it, without)
         self.assertLessEqual(with_it, 4)
 
     def test_lossy_links(self):
-        """All endpoints look late alike: the work stays spread evenly."""
+        """Load stays evenly spread if requests to all endpoints are late."""
         everywhere = dict.fromkeys(range(1, 11), 0.05)
-        played = _Played(10, 40, everywhere)
-        played.run(20.0)
-        rates = played._core.load.own(20.0)
+        simulation = _Simulation(10, 40, everywhere)
+        simulation.run(20.0)
+        rates = simulation._core.load.own(20.0)
         work = [rates.get(number, 0.0) for number in range(1, 11)]
         self.assertLess(max(work), 3.0 * sum(work) / len(work))
