--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -83,13 +83,13 @@
         self._counters = counters
         self._catalog = Catalog()
         self._flows = FlowTable()
-        self._doubts = CheckPolicy(self._catalog, self._flows)
+        self._check_policy = CheckPolicy(self._catalog, self._flows)
         self._load = LoadBook(zone)
         self._cold_limit = ColdLimit(zone, allowance)
         self._outliers = Outliers(self._catalog)
         self._observer = TrafficObserver(
             self._flows,
-            self._doubts,
+            self._check_policy,
             self._load,
             self._outliers,
             histograms or Histograms(),
@@ -117,7 +117,7 @@
     @property
     def doubts(self) -> CheckPolicy:
         """The policy that selects the endpoints this VM health-checks."""
-        return self._doubts
+        return self._check_policy
 
     @property
     def load(self) -> LoadBook:
@@ -228,7 +228,7 @@
         self._mark_cold(zones, now)
         records = self._catalog.apply(update, now)
         lapsed = [r for r in records if r.presence is Presence.LAPSED]
-        self._doubts.on_lapsed(lapsed, now)
+        self._check_policy.on_lapsed(lapsed, now)
         if update.position > self._position:
             implied = [zone for zone in zones if zone not in update.changes]
             applied = tuple(c for c in (*changes, *implied) if c is not None)
@@ -274,12 +274,12 @@
 
     def due_checks(self, now: float) -> list[Record]:
         """Returns the endpoints to health-check now."""
-        self._doubts.check_overdue(now)
+        self._check_policy.schedule_overdue(now)
         due = self._catalog.watchlist.look(now)
         return [
             record
             for record in due
-            if not self._doubts.cancel_if_unused(record)
+            if not self._check_policy.cancel_if_unused(record)
         ]
 
     def tick(self, now: float) -> None:
@@ -287,7 +287,7 @@
         self._flows.expire(now)
         self._catalog.expire(now)
         self._cold_limit.expire(now)
-        self._doubts.check_overdue(now)
+        self._check_policy.schedule_overdue(now)
         self._observer.collect_late(now)
 
     def _mark_cold(
@@ -359,7 +359,7 @@
 
         Returns:
             The placement. If no service has an endpoint, the reason given for
-                the first service; None if the route names no service.
+            the first service; None if the route names no service.
         """
         first = None
         for service in route.services(flow.digest):
--- a/src/pollenmast/steering/_doubts.py
+++ b/src/pollenmast/steering/_doubts.py
@@ -39,7 +39,7 @@
         for record in self._to_check(records):
             record.health.ask(now, CheckReason.LAPSED)
 
-    def check_overdue(self, now: float) -> None:
+    def schedule_overdue(self, now: float) -> None:
         """Schedules checks of endpoints whose entries did not come back."""
         for record in self._to_check(self._catalog.overdue()):
             record.health.ask_unless_recent(now, CheckReason.MISSING)
--- a/src/pollenmast/steering/_learning.py
+++ b/src/pollenmast/steering/_learning.py
@@ -26,13 +26,13 @@
     def __init__(
         self,
         flows: FlowTable,
-        doubts: CheckPolicy,
+        check_policy: CheckPolicy,
         load: LoadBook,
         outliers: Outliers,
         histograms: Histograms,
     ):
         self._flows = flows
-        self._doubts = doubts
+        self._check_policy = check_policy
         self._load = load
         self._outliers = outliers
         self._histograms = histograms
@@ -43,7 +43,7 @@
     def on_segment(self, segment: Segment, record: Record, now: float) -> None:
         """Processes a segment of an open flow to an endpoint."""
         if self._flows.get(segment.flow) is None:
-            self._doubts.on_flow_moved(record, now)
+            self._check_policy.on_flow_moved(record, now)
         flow = self._flows.bind(segment.flow, record.endpoint.name, now)
         if not flow.opened and flow.tried:
             self._histograms.observe(c.OPEN_WAIT, now - flow.syn_sent_at)
