--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -24,12 +24,11 @@
     ZoneDrained,
     ZoneRestored,
 )
+from pollenmast.steering._check_policy import CheckPolicy
 from pollenmast.steering._cold_limit import ColdAllowance, ColdLimit
-from pollenmast.steering._doubts import CheckPolicy
 from pollenmast.steering._flows import MIN_RETRANSMIT_S, FlowTable
 from pollenmast.steering._health import CheckResult
 from pollenmast.steering._journal import Journal
-from pollenmast.steering._learning import TrafficObserver
 from pollenmast.steering._load import LoadBook
 from pollenmast.steering._model import FlowKey, Route, RouteTable, Segment
 from pollenmast.steering._outcomes import Drop, Forward, Outcome, Reset
@@ -39,6 +38,7 @@
 from pollenmast.steering._reach import Reach
 from pollenmast.steering._record import Presence, Record
 from pollenmast.steering._routes import RouteBook
+from pollenmast.steering._traffic_observer import TrafficObserver
 
 MAX_VIEW_AGE_S = 2.5
 """Maximum age in seconds of a view used to conclude that a route is missing.
--- a/src/pollenmast/steering/_learning.py
+++ b/src/pollenmast/steering/_traffic_observer.py
@@ -6,7 +6,7 @@
 
 from pollenmast import counters as c
 from pollenmast.counters import Histograms
-from pollenmast.steering._doubts import CheckPolicy
+from pollenmast.steering._check_policy import CheckPolicy
 from pollenmast.steering._flows import FlowTable, update_flow
 from pollenmast.steering._lengths import AnswerLengths
 from pollenmast.steering._load import LoadBook
