--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -391,7 +391,7 @@
     def _on_syn_repeated(self, name: str, now: float) -> None:
         record = self._catalog.get(name)
         if record is not None:
-            record.health.on_repeat(now)
+            record.health.on_retransmission(now)
 
     def _end_flows(self, record: Record) -> list[Reset]:
         """Ends all known flows of an endpoint that is down or gone.
--- a/src/pollenmast/steering/_health.py
+++ b/src/pollenmast/steering/_health.py
@@ -146,7 +146,7 @@
         return self._down
 
     @property
-    def doubted(self) -> bool:
+    def check_pending(self) -> bool:
         """Whether a check is scheduled or in progress."""
         return self._check_at is not None
 
@@ -242,7 +242,7 @@
             self._down = False
             self._schedule_check(now, CheckReason.REVIVED)
 
-    def on_repeat(self, now: float) -> None:
+    def on_retransmission(self, now: float) -> None:
         """Handles a client's retransmission to the endpoint."""
         if (
             now - self._last_alive_at >= REPEAT_GRACE_S
@@ -296,7 +296,7 @@
 
     def is_sure(self, now: float) -> bool:
         """Whether nothing speaks against placing new flows here."""
-        return not self.doubted and not self.is_avoided(now)
+        return not self.check_pending and not self.is_avoided(now)
 
     def due(self, now: float) -> bool:
         """Whether a check is due now."""
--- a/src/pollenmast/steering/_traffic_observer.py
+++ b/src/pollenmast/steering/_traffic_observer.py
@@ -62,7 +62,7 @@
             record.health.on_request(now, self._usual_answer_s)
             self._pending.begin(segment.flow, record.endpoint.number, now)
         if progress.repeated:
-            record.health.on_repeat(now)
+            record.health.on_retransmission(now)
         if segment.fin:
             self.forget(segment.flow)
 
--- a/tests/steering_check_policy_test.py
+++ b/tests/steering_check_policy_test.py
@@ -27,9 +27,9 @@
 """Readers among the zone's VMs in a simulated fault, and all its VMs."""
 
 
-def _core(*endpoints, reads: bool = False) -> Steering:
+def _core(*endpoints, is_reader: bool = False) -> Steering:
     core = group.steering(*endpoints)
-    core.doubts.join(lambda: reads)
+    core.doubts.join(lambda: is_reader)
     return core
 
 
@@ -55,14 +55,14 @@
             ("without", False, 0, 0),
         ]
     )
-    def test_checked_by(self, _, reads, flows, checks):
+    def test_checked_by(self, _, is_reader, flows, checks):
         """Only readers and VMs with flows check a missing endpoint.
 
         When a service is released, hundreds of entries disappear within
         seconds. If every VM checked each of them, an endpoint of two slots
         would get hundreds of checks, and more in a larger fleet.
         """
-        core = _core(FIRST, SECOND, reads=reads)
+        core = _core(FIRST, SECOND, is_reader=is_reader)
         for number in range(flows):
             _forward(core, number, FIRST, 1.0)
         _remove_entry(core, FIRST, 1.5)
@@ -108,7 +108,7 @@
         An endpoint may leave and still answer for minutes. A reader that kept
         it on its list would check it every second for ever.
         """
-        core = _core(FIRST, SECOND, reads=True)
+        core = _core(FIRST, SECOND, is_reader=True)
         _remove_entry(core, FIRST, 1.0)
         now = 1.0
         while now < 2.0 + FORGET_S:
@@ -133,7 +133,7 @@
         self.assertIs(Presence.LISTED, core.catalog.get(FIRST.name).presence)
 
     def test_last_resort(self):
-        """Endpoints that a reader reports down are avoided as last resort.
+        """A last resort is not an endpoint that a reader reports down.
 
         All entries of a service disappear, and half of its endpoints died. A VM
         that has checked none of them relies on the reader's report: otherwise
@@ -229,7 +229,8 @@
         """Returns the number of checks in ten seconds without any answers."""
         known = [group.endpoint(number + 1) for number in range(endpoints)]
         vms = [
-            _core(*known, reads=index < READERS) for index in range(vm_count)
+            _core(*known, is_reader=index < READERS)
+            for index in range(vm_count)
         ]
         for index, core in enumerate(vms):
             _forward(core, index, known[index % endpoints], 0.9)
--- a/tests/steering_health_test.py
+++ b/tests/steering_health_test.py
@@ -31,7 +31,7 @@
         would wait for its deadline.
         """
         health = Health()
-        health.on_repeat(1.0)
+        health.on_retransmission(1.0)
         self.assertTrue(health.due(1.0))
 
     def test_lost_packet(self):
@@ -41,7 +41,7 @@
         """
         health = Health()
         health.on_advance(1.0)
-        health.on_repeat(1.0 + REPEAT_GRACE_S / 2)
+        health.on_retransmission(1.0 + REPEAT_GRACE_S / 2)
         self.assertFalse(health.due(2.0))
 
 
@@ -72,7 +72,7 @@
         health.on_syn(group.flow(), 1.0)
         happens(health)
         health.look(1.0 + SYN_FOLLOWUP_TIMEOUT_S)
-        self.assertFalse(health.doubted)
+        self.assertFalse(health.check_pending)
 
     def test_rotation_changes(self):
         """No check follows a SYN shortly after an answered check.
@@ -86,10 +86,10 @@
         health.on_check(CheckResult.ANSWERED, 1.0)
         health.on_syn(group.flow(), 1.1)
         health.look(1.1 + SYN_FOLLOWUP_TIMEOUT_S)
-        self.assertFalse(health.doubted)
+        self.assertFalse(health.check_pending)
         health.on_syn(group.flow(), 1.0 + ANSWER_VALID_S)
         health.look(1.0 + ANSWER_VALID_S + SYN_FOLLOWUP_TIMEOUT_S)
-        self.assertTrue(health.doubted)
+        self.assertTrue(health.check_pending)
 
     def test_pending_syns_bounded(self):
         """SYNs that are never followed up take a bounded amount of memory."""
@@ -112,7 +112,7 @@
         health = Health()
         health.on_request(1.0)
         health.look(1.0 + SILENCE_TIMEOUT_S / 2)
-        self.assertFalse(health.doubted)
+        self.assertFalse(health.check_pending)
         health.look(1.0 + SILENCE_TIMEOUT_S)
         self.assertTrue(health.due(1.0 + SILENCE_TIMEOUT_S))
 
@@ -122,7 +122,7 @@
         health.on_request(1.0)
         health.on_advance(1.05)
         health.look(1.0 + SILENCE_TIMEOUT_S)
-        self.assertFalse(health.doubted)
+        self.assertFalse(health.check_pending)
 
     def test_slow_service(self):
         """Slow requests of a healthy service cause a bounded number of checks.
@@ -226,7 +226,7 @@
         self.assertTrue(health.due(1.0 + RECHECK_MIN_S))
         self.assertTrue(health.on_check(CheckResult.ANSWERED, 1.6))
         self.assertFalse(health.down)
-        self.assertFalse(health.doubted)
+        self.assertFalse(health.check_pending)
 
     def test_recheck_interval_bounded(self):
         """The interval between checks of a down endpoint grows to a maximum."""
