--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -1,8 +1,9 @@
-"""What happens to each segment of a client, without sockets.
+"""Decides what happens to each client segment, independently of sockets.
 
-Every packet names its endpoint by a token that the endpoint's first answer
-carried, so any VM can carry any packet of any flow. A VM decides only where a
-flow's SYN goes, and when a flow has to be given up.
+Every packet after the SYN carries the token of its endpoint, which the
+endpoint's first answer contained, so any VM can forward any packet of any flow.
+A VM decides only which endpoint a flow's SYN goes to, and when a flow has to be
+ended.
 """
 
 import random
@@ -23,12 +24,11 @@
     ZoneDrained,
     ZoneRestored,
 )
+from pollenmast.steering._check_policy import CheckPolicy
 from pollenmast.steering._cold_limit import ColdAllowance, ColdLimit
-from pollenmast.steering._doubts import Doubts
-from pollenmast.steering._flows import REPEAT_S, FlowTable
+from pollenmast.steering._flows import MIN_RETRANSMIT_S, FlowTable
 from pollenmast.steering._health import CheckResult
 from pollenmast.steering._journal import Journal
-from pollenmast.steering._learning import Learner
 from pollenmast.steering._load import LoadBook
 from pollenmast.steering._model import FlowKey, Route, RouteTable, Segment
 from pollenmast.steering._outcomes import Drop, Forward, Outcome, Reset
@@ -38,15 +38,19 @@
 from pollenmast.steering._reach import Reach
 from pollenmast.steering._record import Presence, Record
 from pollenmast.steering._routes import RouteBook
+from pollenmast.steering._traffic_observer import TrafficObserver
 
-CURRENT_S = 2.5
-"""How old a confirmed view may be to say that something does not exist, in
-seconds: less than the three within which a new route must be served. While
-the directory is in reach a watch answers every second."""
+MAX_VIEW_AGE_S = 2.5
+"""Maximum age in seconds of a view used to conclude that a route is missing.
 
-SETTLE_S = 3.0
-"""How long after the directory's return its list may still miss entries, in
-seconds: they are back within about two."""
+The same holds for endpoints. A view's age counts from the directory's last
+confirmation. The limit is below the three seconds within which a new route must
+be served; while the directory is reachable, its watch answers every second.
+"""
+
+DIRECTORY_SETTLE_S = 3.0
+"""How long the directory's list may be incomplete after the directory returns
+from an outage, in seconds. Missing entries are back within about two."""
 
 
 @attrs.frozen
@@ -54,8 +58,9 @@
     """What an update changed.
 
     Attributes:
-        records: Endpoints that came, changed or vanished.
-        table: The configuration, if a newer one came into force.
+        records: Endpoints that were added, changed or removed.
+        table: The new configuration, or None if the one in force did not
+            change.
         zones: Availability zones that were drained or restored.
     """
 
@@ -65,7 +70,7 @@
 
 
 class Steering:
-    """The beliefs of one VM and what follows from them."""
+    """One VM's view of routes and endpoints, and the decisions based on it."""
 
     def __init__(
         self,
@@ -78,13 +83,13 @@
         self._counters = counters
         self._catalog = Catalog()
         self._flows = FlowTable()
-        self._doubts = Doubts(self._catalog, self._flows)
+        self._check_policy = CheckPolicy(self._catalog, self._flows)
         self._load = LoadBook(zone)
         self._cold_limit = ColdLimit(zone, allowance)
         self._outliers = Outliers(self._catalog)
-        self._learner = Learner(
+        self._observer = TrafficObserver(
             self._flows,
-            self._doubts,
+            self._check_policy,
             self._load,
             self._outliers,
             histograms or Histograms(),
@@ -101,42 +106,42 @@
 
     @property
     def catalog(self) -> Catalog:
-        """The endpoints."""
+        """The known endpoints."""
         return self._catalog
 
     @property
     def flows(self) -> FlowTable:
-        """The flows that passed by."""
+        """The flows whose packets this VM has seen recently."""
         return self._flows
 
     @property
-    def doubts(self) -> Doubts:
-        """Which endpoints this VM asks for their health."""
-        return self._doubts
+    def doubts(self) -> CheckPolicy:
+        """The policy that selects the endpoints this VM health-checks."""
+        return self._check_policy
 
     @property
     def load(self) -> LoadBook:
-        """The endpoints' load."""
+        """The load of the endpoints."""
         return self._load
 
     @property
     def cold_limit(self) -> ColdLimit:
-        """How many flows this VM may open to endpoints that warm up."""
+        """Limits the flows that this VM opens to cold endpoints."""
         return self._cold_limit
 
     @property
     def outliers(self) -> Outliers:
-        """The endpoints that fail requests."""
+        """Detects endpoints that fail requests while passing health checks."""
         return self._outliers
 
     @property
     def reach(self) -> Reach:
-        """Whether this VM reaches the zones that its clients depend on."""
+        """Whether this VM can reach the zones that its clients depend on."""
         return self._reach
 
     @property
     def journal(self) -> Journal:
-        """The latest changes."""
+        """The most recent changes."""
         return self._journal
 
     @property
@@ -146,59 +151,70 @@
 
     @property
     def position(self) -> Position:
-        """How far the beliefs follow the directory."""
+        """The epoch and revision of the directory that this VM has applied."""
         return self._position
 
     @property
     def revision(self) -> int:
-        """The directory's revision that the beliefs are complete up to."""
+        """The directory revision up to which the view is complete."""
         return self._position.revision
 
     @property
     def ready(self) -> bool:
-        """Whether routes and endpoints are known."""
+        """Whether a configuration and at least one endpoint are known."""
         return self.table is not None and bool(self._catalog.records)
 
     @property
     def serves(self) -> bool:
-        """Whether clients are as well off here as with another VM."""
+        """Whether clients are served as well here as by another VM."""
         return self.ready and not self._reach.cut_off
 
     def age_s(self, now: float) -> float:
-        """Returns how long ago the directory confirmed the beliefs."""
+        """Returns the seconds since the directory last confirmed this view."""
         return now - self._confirmed_at
 
     def on_confirmed(self, at: float) -> None:
-        """The directory has said, then, that nothing else has changed."""
+        """Handles confirmation by the directory that the view was complete.
+
+        Args:
+            at: When the directory confirmed it, in seconds.
+        """
         self._confirmed_at = max(self._confirmed_at, at)
         self._catalog.confirm(self._confirmed_at)
 
     def on_pause(self, gap_s: float) -> None:
-        """The VM stood still, which its clock has not counted.
+        """Ages the view after a pause of the VM that its clock did not count.
+
+        Otherwise the view would look as recent as before the pause, both to
+        this VM and to the VMs that it reports to.
 
-        Its view would else look as young as before the pause, to itself and
-        to the VMs that it tells.
+        Args:
+            gap_s: Length of the pause in seconds.
         """
         self._confirmed_at -= gap_s
         self._catalog.confirm(self._confirmed_at)
 
     def on_return(self, now: float) -> None:
-        """The directory answers again after an outage."""
+        """Handles the return of the directory after an outage."""
         self._returned_at = now
         self._catalog.extend_lapses(now)
 
     def fits(self, update: Update) -> bool:
-        """Whether an update follows from what this VM knows.
+        """Whether an update can be applied to this VM's current view.
 
-        Of another epoch only a list of everything can be taken, and none of
-        an earlier one.
+        An update of another epoch is accepted only if it is a complete list and
+        its epoch is later than the current one.
         """
         if update.epoch != self._position.epoch:
             return update.whole and update.epoch > self._position.epoch
         return self._routes.fits(update.changes)
 
     def apply(self, update: Update, now: float) -> Applied:
-        """Takes in what the directory, or a peer, told."""
+        """Applies an update from the directory or from a peer.
+
+        Returns:
+            What changed; nothing if the update does not fit the current view.
+        """
         if not self.fits(update):
             return Applied([], None)
         if update.epoch > self._position.epoch:
@@ -209,26 +225,29 @@
         table = self.table if self.table is not before else None
         if table is not None:
             self._placement.set_warmups(table.warmups)
-        self._cool(zones, now)
+        self._mark_cold(zones, now)
         records = self._catalog.apply(update, now)
         lapsed = [r for r in records if r.presence is Presence.LAPSED]
-        self._doubts.on_lapsed(lapsed, now)
+        self._check_policy.on_lapsed(lapsed, now)
         if update.position > self._position:
             implied = [zone for zone in zones if zone not in update.changes]
-            told = tuple(c for c in (*changes, *implied) if c is not None)
-            kept = Update(told, update.revision, update.whole)
-            self._journal.add(kept, self._position.revision)
+            applied = tuple(c for c in (*changes, *implied) if c is not None)
+            effective = Update(applied, update.revision, update.whole)
+            self._journal.add(effective, self._position.revision)
             self._position = update.position
         return Applied(records, table, zones)
 
     def settle(self, now: float) -> Applied:
-        """Takes a restored directory's word once its writers had time."""
+        """Applies a restored directory's entries once its writers had time.
+
+        See `Catalog.settle`.
+        """
         records, zones = self._catalog.settle(now)
-        self._cool(zones, now)
+        self._mark_cold(zones, now)
         return Applied(records, None, list(zones))
 
     def on_segment(self, segment: Segment, now: float) -> Outcome:
-        """Decides what becomes of a client's segment."""
+        """Decides what to do with a client's segment, and counts it."""
         outcome = self._decide(segment, now)
         if isinstance(outcome, Forward):
             self._counters.add(c.SEGMENTS)
@@ -241,7 +260,11 @@
     def on_check(
         self, record: Record, result: CheckResult, now: float
     ) -> list[Reset]:
-        """Takes in a health check; returns the flows to end."""
+        """Records the result of a health check.
+
+        Returns:
+            The resets to send for the endpoint's open flows if it is down.
+        """
         record.health.on_check(result, now)
         if record.health.down and self._catalog.is_missing(record):
             record.presence = Presence.GONE
@@ -250,20 +273,24 @@
         return self._end_flows(record)
 
     def due_checks(self, now: float) -> list[Record]:
-        """Returns the endpoints whose health is to be checked now."""
-        self._doubts.ask_overdue(now)
+        """Returns the endpoints to health-check now."""
+        self._check_policy.schedule_overdue(now)
         due = self._catalog.watchlist.look(now)
-        return [record for record in due if not self._doubts.drop(record)]
+        return [
+            record
+            for record in due
+            if not self._check_policy.cancel_if_unused(record)
+        ]
 
     def tick(self, now: float) -> None:
-        """Forgets what is old, and asks for what did not come back."""
+        """Expires old state and schedules checks of endpoints still missing."""
         self._flows.expire(now)
         self._catalog.expire(now)
         self._cold_limit.expire(now)
-        self._doubts.ask_overdue(now)
-        self._learner.look(now)
+        self._check_policy.schedule_overdue(now)
+        self._observer.collect_late(now)
 
-    def _cool(
+    def _mark_cold(
         self, zones: Sequence[ZoneDrained | ZoneRestored], now: float
     ) -> None:
         if self.table is not None:
@@ -271,42 +298,42 @@
 
     def _decide(self, segment: Segment, now: float) -> Outcome:
         if segment.syn:
-            return self._open(segment, now)
+            return self._open_flow(segment, now)
         record = self._catalog.by_token(segment.token)
         if record is None:
             return Drop(DropReason.UNKNOWN_TOKEN)
         record.health.on_open(segment.flow)
         if segment.rst:
-            self._learner.forget(segment.flow)
+            self._observer.forget(segment.flow)
             return Forward(record.endpoint)
-        self._learner.on_segment(segment, record, now)
-        ended = self._ended(record)
-        if ended is not None:
-            self._learner.forget(segment.flow)
-            return self._reset(segment, ended, record.endpoint.name)
+        self._observer.on_segment(segment, record, now)
+        reset_reason = self._reset_reason(record)
+        if reset_reason is not None:
+            self._observer.forget(segment.flow)
+            return self._reset(segment, reset_reason, record.endpoint.name)
         return Forward(record.endpoint)
 
     @staticmethod
-    def _ended(record: Record) -> ResetReason | None:
+    def _reset_reason(record: Record) -> ResetReason | None:
         if record.presence is Presence.GONE:
             return ResetReason.ENDPOINT_GONE
         if record.health.down:
             return ResetReason.ENDPOINT_DOWN
         return None
 
-    def _open(self, segment: Segment, now: float) -> Outcome:
+    def _open_flow(self, segment: Segment, now: float) -> Outcome:
         route = self._route(segment)
-        current = self.age_s(now) < CURRENT_S
+        current = self.age_s(now) < MAX_VIEW_AGE_S
         if route is None:
             if self.table is None or not current:
                 return Drop(DropReason.NO_ROUTE_YET)
             return self._reset(segment, ResetReason.NO_ROUTE)
         flow = self._flows.get(segment.flow)
         tried = flow.tried if flow is not None and not flow.opened else ()
-        if tried and now - flow.syn_at < REPEAT_S:
+        if tried and now - flow.syn_sent_at < MIN_RETRANSMIT_S:
             return Drop(DropReason.DUPLICATE_SYN)
         for name in tried[-1:]:
-            self._doubt(name, now)
+            self._on_syn_repeated(name, now)
         self._catalog.watchlist.look(now)
         placed = self._place(route, segment.flow, tried, now)
         if placed is None or isinstance(placed, Unplaced):
@@ -315,11 +342,12 @@
         flow = self._flows.bind(segment.flow, endpoint.name, now)
         flow.tried = (*tried, endpoint.name)
         flow.opened = False
-        flow.syn_at = now
+        flow.syn_sent_at = now
         placed.record.health.on_syn(segment.flow, now)
         self._placement.on_opened(placed.record, now)
-        # Counts before its requests do: flows that arrive together would
-        # else all find the same endpoint the least loaded.
+        # Count the flow now rather than with its first request: otherwise
+        # flows that arrive together would all pick the same endpoint as the
+        # least loaded.
         self._load.on_work(endpoint.number, now)
         self._counters.add(c.PLACEMENTS, placed.reason)
         return Forward(endpoint, placed.reason)
@@ -327,10 +355,11 @@
     def _place(
         self, route: Route, flow: FlowKey, tried: tuple[str, ...], now: float
     ) -> Placed | Unplaced | None:
-        """Returns an endpoint of the first service that has one.
+        """Returns an endpoint of the route's first service that has one.
 
-        Where none has, returns why the first does not; None if the route
-        names no service.
+        Returns:
+            The placement. If no service has an endpoint, the reason given for
+            the first service; None if the route names no service.
         """
         first = None
         for service in route.services(flow.digest):
@@ -347,8 +376,8 @@
             return self._reset(segment, ResetReason.ZONE_DRAINED)
         if reason is Unplaced.WARMING_UP:
             return self._reset(segment, ResetReason.WARMING_UP)
-        current = self.age_s(now) < CURRENT_S
-        settled = now - self._returned_at >= SETTLE_S
+        current = self.age_s(now) < MAX_VIEW_AGE_S
+        settled = now - self._returned_at >= DIRECTORY_SETTLE_S
         if current and settled:
             return self._reset(segment, ResetReason.NO_ENDPOINT)
         return Drop(DropReason.NO_ENDPOINT_YET)
@@ -359,17 +388,17 @@
         flow = segment.flow
         return self.table.routes.get((flow.service_host, flow.service_port))
 
-    def _doubt(self, name: str, now: float) -> None:
+    def _on_syn_repeated(self, name: str, now: float) -> None:
         record = self._catalog.get(name)
         if record is not None:
-            record.health.on_repeat(now)
+            record.health.on_retransmission(now)
 
     def _end_flows(self, record: Record) -> list[Reset]:
-        """Ends every known flow of an endpoint that is down or gone.
+        """Ends all known flows of an endpoint that is down or gone.
 
-        An idle client would otherwise send its next request into silence.
-        One that may not be repeated would be lost, although a flow opened
-        anew could have carried it.
+        Otherwise an idle client would send its next request to an endpoint that
+        does not answer. A request that may not be repeated would then be lost,
+        although a newly opened flow could have carried it.
         """
         gone = record.presence is Presence.GONE
         reason = (
@@ -377,7 +406,7 @@
         )
         resets = []
         for flow in self._flows.at(record.endpoint.name):
-            self._learner.forget(flow.key)
+            self._observer.forget(flow.key)
             if flow.opened:
                 self._counters.add(c.RESETS, reason)
                 name = record.endpoint.name
--- a/src/pollenmast/steering/_lengths.py
+++ b/src/pollenmast/steering/_lengths.py
@@ -1,58 +1,61 @@
-"""Which answers are far shorter than usual.
+"""Detects answers that are far shorter than usual.
 
-A VM sees no answer. A client's acknowledgements tell how long it is: that an
-endpoint failed, or had no room, is said in fewer bytes than what was asked for.
+A VM does not see answers, but a client's acknowledgements show how long they
+are. An endpoint that failed, or had no room, says so in fewer bytes than the
+requested content has.
 """
 
 import collections
 
-MOST_ROUTES = 256
-"""Routes whose answers are known; the oldest one gives way."""
+MAX_ROUTES = 256
+"""Maximum number of routes tracked; the one added first is dropped."""
 
-LEAST_ANSWERS = 8
-"""Answers of a route before any of them is judged."""
+MIN_ANSWERS = 8
+"""Number of answers of a route before any of them is judged."""
 
-MOST_ANSWERS = 400
-"""Answers that count; beyond them the weight of all is halved."""
+MAX_ANSWERS = 400
+"""Number of answers of a route beyond which all counts are halved, so that
+older answers lose weight."""
 
-USUAL_PART = 0.25
-"""The part of answers that may be shorter than what is usual. Where more of
-them fail, short answers are usual, and say nothing of one endpoint."""
+USUAL_QUANTILE = 0.25
+"""Share of answers that may be shorter than the usual size, which is this
+quantile. Where more answers fail, short ones are usual and say nothing about a
+single endpoint."""
 
 SHORTER_BITS = 2
-"""How many powers of two shorter an answer has to be."""
+"""Number of powers of two by which a short answer is below the usual size."""
 
 RouteKey = tuple[str, str, int]
 """Service, address and port."""
 
 
 class AnswerLengths:
-    """How long the answers of each route are, as powers of two."""
+    """Distribution of each route's answer lengths, as powers of two."""
 
     def __init__(self):
         self._counts: dict[RouteKey, collections.Counter[int]] = {}
 
-    def is_short(self, route: RouteKey, length: int) -> bool:
-        """Takes in an answer; returns whether it is unusually short."""
+    def observe(self, route: RouteKey, length: int) -> bool:
+        """Records an answer; returns whether it is unusually short."""
         counts = self._counts.get(route)
         if counts is None:
-            if len(self._counts) >= MOST_ROUTES:
+            if len(self._counts) >= MAX_ROUTES:
                 del self._counts[next(iter(self._counts))]
             counts = self._counts[route] = collections.Counter()
         size = max(0, length).bit_length()
-        usual = _usual(counts)
+        usual = _usual_size(counts)
         counts[size] += 1
-        if counts.total() > MOST_ANSWERS:
+        if counts.total() > MAX_ANSWERS:
             for each in list(counts):
                 counts[each] //= 2
         return usual is not None and size <= usual - SHORTER_BITS
 
 
-def _usual(counts: collections.Counter[int]) -> int | None:
+def _usual_size(counts: collections.Counter[int]) -> int | None:
     total = counts.total()
-    if total < LEAST_ANSWERS:
+    if total < MIN_ANSWERS:
         return None
-    left = USUAL_PART * total
+    left = USUAL_QUANTILE * total
     for size in sorted(counts):
         left -= counts[size]
         if left < 0:
--- a/src/pollenmast/steering/_outliers.py
+++ b/src/pollenmast/steering/_outliers.py
@@ -1,14 +1,15 @@
-"""Endpoints that fail requests although their health check is good.
+"""Outlier ejection: endpoints that fail requests but pass health checks.
 
-Load pattern: one endpoint of a service answers everything with an error, at
-once, or leaves requests hanging. Its health check is good, it looks idle, and
-it draws new flows away from those that work.
+Load pattern: one endpoint of a service answers every request with an error at
+once, or leaves requests hanging. It passes its health checks and looks idle, so
+it attracts new flows from the endpoints that work.
 
 So failures are counted: answers that are unusually short, and requests that
-became late. One VM sees too few of them; a zone's readers add up what all its
-VMs saw, and find the endpoints that fail far more than others of their service.
-They get no new flows for a while. Open flows are left alone: what fails and
-why is not certain, and a flow that is reset may lose a request.
+became late. One VM sees too few of them. A zone's readers add up the counts of
+all its VMs and look for endpoints that fail far more often than others of their
+service. Such endpoints get no new flows for a while. Open flows continue,
+because neither the fault nor its cause is certain, and a reset may lose a
+request.
 """
 
 import math
@@ -22,29 +23,32 @@
 from pollenmast.steering._record import Presence, Record
 
 WINDOW_S = 2.0
-"""Over which failures are counted."""
+"""Length in seconds of the window in which failures are counted."""
 
 REPORT_LIFE_S = 2.0
-"""For how long what another VM told counts."""
+"""Age in seconds after which another VM's report no longer counts."""
 
-LEAST_FAILED = 4
-"""Failures of a zone's VMs within the window that make an outlier."""
+MIN_FAILURES = 4
+"""Minimum number of failures, over a zone's VMs within the window, that make an
+endpoint an outlier."""
 
-FACTOR = 3
-"""How many times the service's median is added to that: where all endpoints
-are full, all fail alike, and none is worth avoiding."""
+MEDIAN_FACTOR = 3
+"""Multiple of the service's median number of failures added to this minimum.
+Where all endpoints are full, all fail alike, and none is worth avoiding."""
 
-EJECT_S = 4.0
-"""For how long an outlier gets no new flows; then it is tried again."""
+EJECTION_S = 4.0
+"""How long an outlier gets no new flows before it is tried again, in
+seconds."""
 
-MOST_PART = 0.2
-"""Share of a service's endpoints that is kept away at the same time."""
+MAX_EJECTED_SHARE = 0.2
+"""Maximum share of a service's endpoints that is ejected at the same time."""
 
-MOST_TOLD = 64
-"""Endpoints that one VM tells of, those with the most failures."""
+MAX_REPORTED = 64
+"""Maximum number of endpoints in one VM's report; those with the most failures
+are named."""
 
 Failures = dict[int, int]
-"""Failed requests by endpoint number."""
+"""Number of failed requests by endpoint number."""
 
 
 @attrs.frozen
@@ -54,29 +58,33 @@
 
 
 class Outliers:
-    """What one VM knows of endpoints that fail."""
+    """One VM's view of endpoints that fail requests."""
 
     def __init__(self, catalog: Catalog):
         self._catalog = catalog
         self._meters: dict[int, Meter] = {}
-        self._mates: dict[str, _Report] = {}
-        self._ejected: dict[int, float] = {}
+        self._peer_reports: dict[str, _Report] = {}
+        self._ejected_until: dict[int, float] = {}
         self._on_ejected: Callable[[Record, int], None] = _nothing
 
     def notify(self, on_ejected: Callable[[Record, int], None]) -> None:
-        """Sets what is called with an outlier and how often it failed."""
+        """Sets the callback for an ejection.
+
+        Args:
+            on_ejected: Called with the outlier and its number of failures.
+        """
         self._on_ejected = on_ejected
 
     def on_failed(self, endpoint: int, now: float) -> None:
-        """A request that this VM sent to an endpoint has failed."""
+        """Counts a failed request that this VM had sent to an endpoint."""
         self._meters.setdefault(endpoint, Meter(WINDOW_S)).add(now)
 
     def on_mate(self, vm: str, failures: Failures, now: float) -> None:
-        """A VM of the same zone told what failed."""
-        self._mates[vm] = _Report(now, failures)
+        """Handles a report of failures by a VM of the same zone."""
+        self._peer_reports[vm] = _Report(now, failures)
 
     def own(self, now: float) -> Failures:
-        """Returns what failed for this VM, to be told to a reader."""
+        """Returns this VM's failures, for its report to a reader."""
         failures = {}
         for endpoint, meter in list(self._meters.items()):
             count = meter.count(now)
@@ -85,49 +93,57 @@
             else:
                 del self._meters[endpoint]
         worst = sorted(failures, key=lambda each: -failures[each])
-        return {each: failures[each] for each in worst[:MOST_TOLD]}
+        return {each: failures[each] for each in worst[:MAX_REPORTED]}
 
     def eject(self, now: float) -> list[int]:
-        """Returns the outliers that a reader finds, and keeps flows away."""
-        self._ejected = {n: u for n, u in self._ejected.items() if now < u}
+        """Finds outliers as a reader and keeps new flows away from them.
+
+        Returns:
+            The numbers of all endpoints that are ejected at present.
+        """
+        self._ejected_until = {
+            n: u for n, u in self._ejected_until.items() if now < u
+        }
         totals = self._totals(now)
-        for number in self._found(totals):
-            self._ejected[number] = now + EJECT_S
-            self._tell(number, totals[number])
-        self.on_told(self._ejected, now)
-        return list(self._ejected)
+        for number in self._find_outliers(totals):
+            self._ejected_until[number] = now + EJECTION_S
+            self._notify_ejected(number, totals[number])
+        self.on_told(self._ejected_until, now)
+        return list(self._ejected_until)
 
     def on_told(self, ejected: Iterable[int], now: float) -> None:
-        """Keeps new flows away from outliers that a reader has found."""
+        """Keeps new flows away from the outliers that a reader reports."""
         for number in ejected:
             record = self._catalog.by_number(number)
             if record is not None:
                 record.health.avoid(now)
 
-    def _tell(self, number: int, failed: int) -> None:
+    def _notify_ejected(self, number: int, failed: int) -> None:
         record = self._catalog.by_number(number)
         if record is not None:
             self._on_ejected(record, failed)
 
-    def _found(self, totals: Failures) -> list[int]:
-        if max(totals.values(), default=0) < LEAST_FAILED:
+    def _find_outliers(self, totals: Failures) -> list[int]:
+        if max(totals.values(), default=0) < MIN_FAILURES:
             return []
         found = []
         for members in self._services().values():
-            found += self._of_service(members, totals)
+            found += self._service_outliers(members, totals)
         return found
 
-    def _of_service(self, members: list[int], totals: Failures) -> list[int]:
-        """Returns a service's outliers, the worst first."""
+    def _service_outliers(
+        self, members: list[int], totals: Failures
+    ) -> list[int]:
+        """Returns a service's new outliers, those with most failures first."""
         if len(members) < 2:
             return []
         counts = [totals.get(each, 0) for each in members]
-        least = LEAST_FAILED + FACTOR * statistics.median_low(counts)
+        least = MIN_FAILURES + MEDIAN_FACTOR * statistics.median_low(counts)
         outliers = [each for each in members if totals.get(each, 0) >= least]
         outliers.sort(key=lambda each: -totals[each])
-        away = sum(each in self._ejected for each in members)
-        room = max(1, math.floor(MOST_PART * len(members))) - away
-        fresh = [each for each in outliers if each not in self._ejected]
+        away = sum(each in self._ejected_until for each in members)
+        room = max(1, math.floor(MAX_EJECTED_SHARE * len(members))) - away
+        fresh = [each for each in outliers if each not in self._ejected_until]
         return fresh[: max(0, room)]
 
     def _services(self) -> dict[str, list[int]]:
@@ -140,11 +156,11 @@
         return services
 
     def _totals(self, now: float) -> Failures:
-        for vm, report in list(self._mates.items()):
+        for vm, report in list(self._peer_reports.items()):
             if now - report.at > REPORT_LIFE_S:
-                del self._mates[vm]
+                del self._peer_reports[vm]
         totals = self.own(now)
-        for report in self._mates.values():
+        for report in self._peer_reports.values():
             for endpoint, count in report.failures.items():
                 totals[endpoint] = totals.get(endpoint, 0) + count
         return totals
