--- a/src/pollenmast/decisions/_capacity.py
+++ b/src/pollenmast/decisions/_capacity.py
@@ -4,13 +4,13 @@
 other's flows only through load reports that are half a second old or older.
 If each VM used all of the reported headroom, together they would overfill
 the endpoint. So each VM uses only its share, which it computes without
-coordination (see `_capacity_share`).
+coordination (see `_fleet_part`).
 """
 
 import abc
 import math
 
-from pollenmast.decisions._capacity_share import CapacityShare
+from pollenmast.decisions._fleet_part import CapacityShare
 from pollenmast.decisions._trust import STALE_S, Verdict
 from pollenmast.fleet import EndpointReport
 from pollenmast.manifest import Endpoint
--- a/src/pollenmast/decisions/_request_capacity.py
+++ b/src/pollenmast/decisions/_request_capacity.py
@@ -20,7 +20,7 @@
 import random
 
 from pollenmast.decisions._capacity import Capacity
-from pollenmast.decisions._capacity_share import CapacityShare
+from pollenmast.decisions._fleet_part import CapacityShare
 from pollenmast.decisions._service_time import ServiceTime
 from pollenmast.decisions._trust import Verdict
 from pollenmast.fleet import EndpointReport
--- a/src/pollenmast/decisions/_service.py
+++ b/src/pollenmast/decisions/_service.py
@@ -7,10 +7,10 @@
 from pollenmast.decisions import _holding as holding
 from pollenmast.decisions._backoff import Backoff
 from pollenmast.decisions._capacity import Capacity, SessionCapacity
-from pollenmast.decisions._capacity_share import CapacityShare
 from pollenmast.decisions._endpoint import EndpointRecord
 from pollenmast.decisions._evidence import RECOVERY_INITIAL_SHARE
 from pollenmast.decisions._fairness import FairQueue, HeldFlow
+from pollenmast.decisions._fleet_part import CapacityShare
 from pollenmast.decisions._outcomes import (
     FlowRequest,
     Held,
--- a/src/pollenmast/decisions/_service_time.py
+++ b/src/pollenmast/decisions/_service_time.py
@@ -43,8 +43,8 @@
 class _DecayingMean:
     """Busy time divided by finished requests, both decaying exponentially."""
 
-    def __init__(self, keep: float):
-        self._decay = keep
+    def __init__(self, decay: float):
+        self._decay = decay
         self._busy = PRIOR_REQUESTS * DEFAULT_SERVICE_TIME_S
         self._finished = PRIOR_REQUESTS
 
@@ -74,9 +74,12 @@
     @property
     def mean(self) -> float:
         """The mean service time in seconds, at least a millisecond."""
-        short, usual = self._short.mean, self._long.mean
-        clear = short > CHANGE_RATIO * usual or usual > CHANGE_RATIO * short
-        return max(short if clear else usual, 0.001)
+        short_mean, long_mean = self._short.mean, self._long.mean
+        clear = (
+            short_mean > CHANGE_RATIO * long_mean
+            or long_mean > CHANGE_RATIO * short_mean
+        )
+        return max(short_mean if clear else long_mean, 0.001)
 
     def add(self, running: int, finished: int, length_s: float) -> None:
         """Adds the period between two reports.
--- a/src/pollenmast/decisions/_token_bucket.py
+++ b/src/pollenmast/decisions/_token_bucket.py
@@ -28,12 +28,12 @@
         self._filled_at = now
         return self._tokens
 
-    def spend(self, units: float) -> None:
+    def spend(self, tokens: float) -> None:
         """Takes tokens without a check of the balance.
 
         The balance may become negative, by the size of one message.
         """
-        self._tokens -= units
+        self._tokens -= tokens
 
     def take(self, now: float) -> bool:
         """Takes one token if there is one; returns whether it did."""
--- a/src/pollenmast/decisions/_trust.py
+++ b/src/pollenmast/decisions/_trust.py
@@ -142,7 +142,7 @@
     @property
     def busy(self) -> float:
         """Mean of the reported busy slots in the window."""
-        running = sum(seen.report.running for seen in self._samples)
+        running = sum(sample.report.running for sample in self._samples)
         return running / len(self._samples) if self._samples else 0.0
 
     def compare(
@@ -193,8 +193,8 @@
         done = newest.report.finished - oldest.report.finished
         if placed >= MIN_PLACED_FOR_CHANGE:
             self._changed = done > 0 or any(
-                _load_figures(seen.report) != _load_figures(newest.report)
-                for seen in self._samples
+                _load_figures(sample.report) != _load_figures(newest.report)
+                for sample in self._samples
             )
         if placed >= MIN_PLACED_FOR_RATIO:
             self._finished_ratio = done / placed
--- a/tests/decisions_capacity_test.py
+++ b/tests/decisions_capacity_test.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from pollenmast.decisions._capacity import SessionCapacity
-from pollenmast.decisions._capacity_share import CapacityShare
+from pollenmast.decisions._fleet_part import CapacityShare
 from pollenmast.decisions._request_capacity import (
     MAX_DEBT_FACTOR,
     TRIAL_RATE,
@@ -24,9 +24,9 @@
 
 
 def _share(relays: int) -> CapacityShare:
-    share = CapacityShare()
-    share.set_relays(relays)
-    return share
+    capacity_share = CapacityShare()
+    capacity_share.set_relays(relays)
+    return capacity_share
 
 
 def _capacity(relays: int = 1) -> RequestCapacity:
@@ -161,12 +161,12 @@
     """The shares of all VMs add up to about 1."""
 
     def _after(self, placed: int, fill: float) -> float:
-        share = _share(10)
+        capacity_share = _share(10)
         for step in range(200):
             for _ in range(placed):
-                share.on_placed()
-            share.on_report("e1", fill, 10, step / 2)
-        return share.value
+                capacity_share.on_placed()
+            capacity_share.on_report("e1", fill, 10, step / 2)
+        return capacity_share.value
 
     @parameterized.expand(
         [
--- a/tests/decisions_evidence_test.py
+++ b/tests/decisions_evidence_test.py
@@ -15,10 +15,10 @@
 
 
 def _ejected(now: float = 0.0) -> PassiveHealthCheck:
-    evidence = PassiveHealthCheck()
+    health_check = PassiveHealthCheck()
     for _ in range(UNANSWERED_IN_A_ROW):
-        evidence.on_unanswered(now)
-    return evidence
+        health_check.on_unanswered(now)
+    return health_check
 
 
 class PassiveHealthCheckTest(TestCase):
@@ -34,18 +34,18 @@
 
     def test_one_answer_resets_the_count(self):
         """Lost first packets with answers in between do not eject."""
-        evidence = PassiveHealthCheck()
+        health_check = PassiveHealthCheck()
         for _ in range(20):
-            evidence.on_unanswered(0.0)
-            evidence.on_unanswered(0.0)
-            evidence.on_answered(0.0)
-        self.assertEqual(1.0, evidence.share(0.0))
+            health_check.on_unanswered(0.0)
+            health_check.on_unanswered(0.0)
+            health_check.on_answered(0.0)
+        self.assertEqual(1.0, health_check.share(0.0))
 
     def test_returns_gradually(self):
         """After an ejection the share grows back gradually."""
-        evidence = _ejected()
+        health_check = _ejected()
         shares = [
-            evidence.share(BASE_EJECTION_S + part * RECOVERY_S)
+            health_check.share(BASE_EJECTION_S + part * RECOVERY_S)
             for part in (0.0, 0.5, 1.0)
         ]
         self.assertEqual(sorted(shares), shares)
@@ -54,19 +54,19 @@
 
     def test_unanswered_in_recovery_ejects_again(self):
         """A returned endpoint is ejected again by one unanswered flow."""
-        evidence = _ejected()
+        health_check = _ejected()
         back = BASE_EJECTION_S + 0.1
-        evidence.on_unanswered(back)
-        self.assertEqual(0.0, evidence.share(back + 1.5 * BASE_EJECTION_S))
+        health_check.on_unanswered(back)
+        self.assertEqual(0.0, health_check.share(back + 1.5 * BASE_EJECTION_S))
 
     def test_ejection_time_is_bounded(self):
         """An endpoint that failed often is still retried within the maximum."""
-        evidence = _ejected()
+        health_check = _ejected()
         now = 0.0
         for _ in range(50):
             now += MAX_EJECTION_S
-            evidence.on_unanswered(now)
-        self.assertGreater(evidence.share(now + MAX_EJECTION_S), 0.0)
+            health_check.on_unanswered(now)
+        self.assertGreater(health_check.share(now + MAX_EJECTION_S), 0.0)
 
 
 class RetryBudgetTest(TestCase):
