--- a/src/pollenmast/steering/__init__.py
+++ b/src/pollenmast/steering/__init__.py
@@ -1,4 +1,4 @@
-"""Carries packets that name their endpoint by a token; no network here."""
+"""Steers packets to the endpoint whose token they carry, without any I/O."""
 
 from pollenmast.steering._catalog import Catalog
 from pollenmast.steering._changes import (
--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -1,12 +1,14 @@
-"""Which endpoints there are, and how surely.
-
-An entry can vanish while its endpoint lives: the directory forgets entries
-while it is down or cut off from the endpoints, and they are back within
-about two seconds. Taken at its word it would empty a service, and callers
-would be refused by the thousand. So an entry that vanished counts as lapsed
-at first: its endpoint takes new flows only where no other can, and keeps its
-open ones. What is still missing after the lapse is gone, once a health check
-confirms it; only then are its flows ended.
+"""The known endpoints and whether the directory still lists them.
+
+An entry can disappear from the directory while its endpoint is alive: the
+directory loses entries while it is down or partitioned from the endpoints,
+and the entries return within about two seconds. Acting on the removal at once
+would leave a service without endpoints and refuse thousands of callers.
+
+A removed entry is therefore first marked as lapsed. A lapsed endpoint keeps
+its open flows and gets new ones only if no other endpoint can take them. If
+the entry is still missing after `LAPSE_S` and a health check confirms the
+loss, the endpoint is gone; only then are its flows ended.
 """
 
 import functools
@@ -28,22 +30,23 @@
 from pollenmast.steering._watchlist import Watchlist
 
 LAPSE_S = 2.3
-"""How long a vanished entry may come back: the directory promises about two
-seconds, and a new flow may reach a leaving endpoint for three."""
+"""Grace period for the return of a removed entry, in seconds. The directory
+restores lost entries within about two seconds, and new flows may reach an
+endpoint that is leaving for at most three."""
 
 FORGET_S = 90.0
-"""How long an endpoint that is gone is remembered, for the tokens of flows
-to it: flows are at most a minute old."""
+"""How long an endpoint that is gone is kept, in seconds, so that the tokens of
+its flows can still be resolved. Flows last at most one minute."""
 
 
 RESTORE_SETTLE_S = 5.0
-"""How long what was known before the directory was restored goes before what
-its copy lists, in seconds. By then endpoints that live have written again, and
-the entries of others have lapsed."""
+"""After the directory was restored from a copy, how long the state known
+before takes precedence over the copy, in seconds. By then live endpoints have
+written their entries again and the entries of the others have lapsed."""
 
 
 class Catalog:
-    """The endpoints by name, token and service."""
+    """Endpoint records, indexed by name, number and token."""
 
     def __init__(self):
         self._records: dict[str, Record] = {}
@@ -57,63 +60,65 @@
 
     @property
     def records(self) -> list[Record]:
-        """Every endpoint remembered, those that are gone too."""
+        """All records, including those of endpoints that are gone."""
         return list(self._records.values())
 
     @property
     def drains(self) -> Drains:
-        """The availability zones that take no new flows."""
+        """The drain state of the availability zones."""
         return self._drains
 
     @property
     def watchlist(self) -> Watchlist:
-        """The endpoints whose health needs a look."""
+        """The endpoints whose health has to be evaluated."""
         return self._watchlist
 
     def get(self, name: str) -> Record | None:
-        """Returns an endpoint's record."""
+        """Returns the record of the endpoint of this name, if known."""
         return self._records.get(name)
 
     def by_number(self, number: int) -> Record | None:
-        """Returns the endpoint that other VMs name by this number."""
+        """Returns the endpoint with this number, as used between VMs."""
         return self._by_number.get(number)
 
     def by_token(self, token: int) -> Record | None:
-        """Returns the endpoint that packets with this token go to.
+        """Returns the endpoint to which packets with this token are sent.
 
-        Where two names yield one token the least name has it on every VM;
-        `owns_token` keeps new flows from the other one.
+        If two endpoint names map to the same token, every VM resolves it to
+        the name that sorts first; `owns_token` keeps new flows away from the
+        other endpoint.
         """
         records = self._by_token.get(token)
         return records[0] if records else None
 
     def owns_token(self, record: Record) -> bool:
-        """Whether packets with its token come to this endpoint."""
+        """Whether the endpoint's token resolves to this endpoint."""
         return self.by_token(record.endpoint.token) is record
 
     def confirm(self, at: float) -> None:
-        """The directory has said, then, that nothing else has changed."""
+        """Records that the known state matched the directory's at `at`."""
         self._confirmed_at = at
 
     def is_missing(self, record: Record) -> bool:
-        """Whether an endpoint's entry vanished and will not come back.
+        """Whether an entry was removed and its grace period has passed.
 
-        Only what the directory has said since counts: while it is away again
-        no entry can come back, and a service would be emptied for nothing.
+        The period is measured up to the directory's last confirmation, not up
+        to now: while the directory is unavailable no entry can return, and
+        counting that time would needlessly leave a service without endpoints.
         """
         if record.presence is Presence.LAPSED:
             return self._confirmed_at - record.lapsed_at >= LAPSE_S
         return record.presence is Presence.GONE
 
     def is_drained(self, record: Record) -> bool:
-        """Whether the operator has drained the zone of an endpoint."""
+        """Whether the operator has drained the endpoint's zone."""
         return self._drains.is_drained(record.endpoint.zone)
 
     def serving(self, service: str) -> list[Record]:
-        """Returns the endpoints of a service that are meant to be used.
+        """Returns the endpoints of a service that may take new flows.
 
-        One whose entry stayed missing takes none, even if it still answers:
-        it is leaving, and its address will be another's.
+        An endpoint whose entry stays missing is left out even if it still
+        answers: it is leaving, and its address will be reassigned.
         """
         return [
             record
@@ -124,7 +129,7 @@
         ]
 
     def apply(self, update: Update, now: float) -> list[Record]:
-        """Takes in what the directory told; returns what changed."""
+        """Applies an update and returns the records that it changed."""
         changed = []
         listed = set()
         for change in update.changes:
@@ -140,7 +145,10 @@
         return changed
 
     def begin_epoch(self, now: float) -> None:
-        """The directory was restored: what is known is older than its news."""
+        """Starts a new epoch after the directory was restored from a copy.
+
+        From here on any update of the new epoch is newer than what is known.
+        """
         self._settles_at = now + RESTORE_SETTLE_S
         self._drains.begin_epoch()
         for record in self._records.values():
@@ -148,10 +156,13 @@
             record.listed = None
 
     def settle(self, now: float) -> tuple[list[Record], list[ZoneRestored]]:
-        """Takes the directory's word where an earlier epoch's still held.
+        """Adopts the state of a restored directory after `RESTORE_SETTLE_S`.
+
+        Until then the state of the earlier epoch takes precedence where the
+        directory would bring back an endpoint or zone.
 
         Returns:
-            The endpoints and the zones that are in service again by it.
+            The endpoints and the zones that are in service again as a result.
         """
         if self._settles_at is None or now < self._settles_at:
             return [], []
@@ -167,10 +178,10 @@
         warmups: dict[str, Warmup],
         now: float,
     ) -> None:
-        """Takes the endpoints of restored zones for cold.
+        """Treats the endpoints of restored zones as cold.
 
-        Nothing was sent there for long. What they announce of it themselves
-        comes a heartbeat later.
+        They have had no traffic for a long time, and their own announcement
+        that they are warming up arrives one heartbeat later.
         """
         restored = {z.zone for z in zones if isinstance(z, ZoneRestored)}
         for record in self.records if restored else ():
@@ -179,12 +190,12 @@
                 record.cold_until = now + warmup.duration_s
 
     def extend_lapses(self, now: float) -> None:
-        """Starts the time of every lapse anew: the directory is just back."""
+        """Restarts every grace period: the directory has just returned."""
         for record in self._still_lapsed():
             record.lapsed_at = now
 
     def overdue(self) -> list[Record]:
-        """Returns lapsed endpoints whose entries will not come back."""
+        """Returns the lapsed endpoints whose grace period has passed."""
         return [r for r in self._still_lapsed() if self.is_missing(r)]
 
     def _still_lapsed(self) -> list[Record]:
@@ -196,7 +207,7 @@
         return list(self._lapsed.values())
 
     def expire(self, now: float) -> None:
-        """Forgets endpoints whose entries have been missing for long."""
+        """Removes endpoints whose entries have been missing for `FORGET_S`."""
         for name, record in list(self._records.items()):
             gone = self.is_missing(record)
             if gone and now - record.lapsed_at >= FORGET_S:
@@ -236,10 +247,11 @@
         return [record]
 
     def _is_held(self, record: Record, endpoint: Endpoint) -> bool:
-        """Whether a restored directory lists what had left by then.
+        """Whether to withhold an entry of a restored directory for now.
 
-        Its copy may be older than the endpoint's end: taken at its word, it
-        would bring back new flows to where they may no longer go.
+        The copy may be older than the endpoint's drain or removal. Using its
+        entry at once would send new flows to an endpoint that must not get
+        any.
         """
         if record.revision != EARLIER_EPOCH or self._settles_at is None:
             return False
--- a/src/pollenmast/steering/_changes.py
+++ b/src/pollenmast/steering/_changes.py
@@ -1,4 +1,4 @@
-"""What a directory of endpoints and routes tells of itself."""
+"""Updates of the endpoint and route directory, and its interface."""
 
 import abc
 import enum
@@ -10,11 +10,11 @@
 from pollenmast.steering._position import Position
 
 NOTHING_KNOWN = Position()
-"""Before the first answer."""
+"""The position before the first answer."""
 
 
 class DirectoryFault(str, enum.Enum):
-    """Why a directory gave nothing."""
+    """Why a request to the directory returned no update."""
 
     UNREACHABLE = "unreachable"
     BUSY = "busy"
@@ -22,23 +22,23 @@
     MALFORMED = "malformed"
     HISTORY_GONE = "history_gone"
     TOO_LONG = "too_long"
-    """There is more news than is worth its transfer."""
+    """There are more changes than are worth transferring one by one."""
 
     RESTORED = "restored"
-    """The directory was restored from a copy: what it tells does not follow
-    from what was known."""
+    """The directory was restored from a copy, so its changes do not continue
+    the known state."""
 
     STALE = "stale"
-    """The answer is older than what was known before the question."""
+    """The answer is older than the state known before the request."""
 
 
 @attrs.frozen
 class EndpointAnnounced:
-    """An endpoint wrote its entry.
+    """An endpoint wrote its directory entry.
 
     Attributes:
-        endpoint: What it says of itself.
-        revision: The directory's count of changes at that write.
+        endpoint: The endpoint as described by the entry.
+        revision: The directory's revision at that write.
     """
 
     endpoint: Endpoint
@@ -47,11 +47,11 @@
 
 @attrs.frozen
 class EndpointRemoved:
-    """An endpoint's entry is gone, or no longer names an endpoint.
+    """An endpoint's entry was removed or no longer describes an endpoint.
 
     Attributes:
         name: The endpoint's name.
-        revision: The directory's count of changes at the removal.
+        revision: The directory's revision at the removal.
     """
 
     name: str
@@ -64,7 +64,7 @@
 
     Attributes:
         table: The configuration.
-        revision: The directory's count of changes at that write.
+        revision: The directory's revision at that write.
     """
 
     table: RouteTable
@@ -73,21 +73,22 @@
 
 @attrs.frozen
 class RoutesChanged:
-    """The same as what differs from the version before.
+    """A published configuration as the difference from its predecessor.
 
     Load pattern: a configuration of hundreds of routes is published many
-    times a second, each time with a route more or less. Told whole to every
-    VM, it fills the links that carry the clients' packets.
+    times a second, each time with one route more or less. Sending all of it
+    to every VM saturates the links that carry the clients' packets.
 
     Attributes:
-        base: The version that it changes.
-        version: The version that results.
-        routes: Routes that are new or different.
-        removed: Addresses and ports of routes that are gone.
+        base: The version that the difference applies to.
+        version: The resulting version.
+        routes: Routes that were added or changed.
+        removed: Addresses and ports of the removed routes.
         health_paths: The path of each service's health check.
-        idle_timeout_s: Idle flows older than this may be forgotten.
-        warmups: How the endpoints of a service start.
-        revision: The directory's count of changes at that write.
+        idle_timeout_s: Flows idle for longer than this may be dropped from
+            the flow table.
+        warmups: The warm-up settings of each service that has any.
+        revision: The directory's revision at that write.
     """
 
     base: int
@@ -103,7 +104,7 @@
     def between(
         cls, old: RouteTable, new: RouteTable, revision: int
     ) -> "RoutesChanged":
-        """Returns what leads from one table to another."""
+        """Returns the difference that turns `old` into `new`."""
         changed = tuple(
             route
             for address, route in new.routes.items()
@@ -122,7 +123,7 @@
         )
 
     def apply(self, old: RouteTable) -> RouteTable:
-        """Returns the table that results from the one it changes."""
+        """Returns the table that results from applying this to `old`."""
         routes = dict(old.routes)
         for address in self.removed:
             routes.pop(address, None)
@@ -139,11 +140,11 @@
 
 @attrs.frozen
 class ZoneDrained:
-    """The operator drains an availability zone.
+    """The operator drained an availability zone.
 
     Attributes:
         zone: The zone whose endpoints take no new flows.
-        revision: The directory's count of changes at that write.
+        revision: The directory's revision at that write.
     """
 
     zone: str
@@ -152,11 +153,11 @@
 
 @attrs.frozen
 class ZoneRestored:
-    """The operator takes an availability zone back into service.
+    """The operator returned an availability zone to service.
 
     Attributes:
         zone: The zone.
-        revision: The directory's count of changes at the removal.
+        revision: The directory's revision at the removal of the drain.
     """
 
     zone: str
@@ -175,20 +176,21 @@
 
 @attrs.frozen
 class Update:
-    """What a directory answered.
+    """An answer of the directory, or of a peer in its place.
 
     Attributes:
-        changes: Changes, the oldest first.
-        revision: Up to which change the answer is complete.
-        whole: Whether it lists everything, so that what it does not name no
-            longer exists.
-        refused: Entries and configurations that could not be understood.
-        unclear_zones: Zones whose drain could not be understood; what was
-            known of them before holds.
-        all_drains: Whether it names every drained zone, so that the others
+        changes: Changes, oldest first.
+        revision: The revision up to which the answer is complete.
+        whole: Whether this is a complete listing, so that anything not in it
+            no longer exists.
+        refused: Descriptions of the entries and configurations that could not
+            be parsed.
+        unclear_zones: Zones whose drain entry could not be parsed; their
+            known state stays in force.
+        all_drains: Whether every drained zone is listed, so that all others
             are not drained.
-        epoch: Which copy of the directory has answered. Revisions of
-            different epochs cannot be compared.
+        epoch: The directory's epoch. Revisions of different epochs cannot be
+            compared.
     """
 
     changes: tuple[Change, ...]
@@ -201,33 +203,41 @@
 
     @property
     def position(self) -> Position:
-        """How far it is complete."""
+        """The position up to which the update is complete."""
         return Position(self.epoch, self.revision)
 
 
 class Directory(abc.ABC):
-    """Where endpoints and routes are published; it can only be read."""
+    """Read-only access to the directory of endpoints and routes."""
 
     @abc.abstractmethod
     async def read(
         self, known: Position = NOTHING_KNOWN
     ) -> Result[Update, DirectoryFault]:
-        """Returns everything that is published now.
+        """Returns a complete listing.
 
         Args:
-            known: What is known already; an older answer is refused.
+            known: The position known so far; an older answer is rejected.
         """
 
     @abc.abstractmethod
     async def watch(
         self, after: Position, wait_s: float
     ) -> Result[Update, DirectoryFault]:
-        """Returns what changed after a position, or nothing in time."""
+        """Waits for changes after a position.
+
+        Args:
+            after: The position known so far.
+            wait_s: The longest wait in seconds.
+
+        Returns:
+            The changes; an update without any if none came in time.
+        """
 
     @abc.abstractmethod
     async def catch_up(self, after: Position) -> Result[Update, DirectoryFault]:
-        """Returns changes after a position, with the latest configuration.
+        """Returns the changes after a position and the latest configuration.
 
-        Configurations in between are left out, so that its length does not
+        Intermediate configurations are omitted, so the answer's size does not
         grow with their number.
         """
--- a/src/pollenmast/steering/_cold_limit.py
+++ b/src/pollenmast/steering/_cold_limit.py
@@ -1,14 +1,15 @@
-"""How many new flows this VM may send to an endpoint that is warming up.
-
-Load pattern: endpoints start, or the zone of many of them is restored after a
-drain, and all VMs find them idle at the same moment. Together the VMs must not
-open more flows there than a cold endpoint bears, whichever of them are heard.
-
-So each endpoint's allowance is dealt out to the VMs of its own zone. Each VM
-computes its part from the VMs that it knows; nobody is asked. Rendezvous
-hashing decides who gets the remainder, so that views that differ by a few VMs
-differ by a few flows. Half of the allowance is not dealt out: it covers the
-views of a zone that is parted in two.
+"""Limits the new flows that a VM opens to endpoints that are warming up.
+
+Load pattern: endpoints start, or a zone with many of them is restored after a
+drain, and all VMs see them idle at the same moment. All VMs together must not
+open more flows to a cold endpoint than it can handle, even if some of them do
+not hear from each other.
+
+So each endpoint's allowance is divided among the VMs of the endpoint's zone.
+Each VM computes its quota from the VMs that it knows, without any messages.
+Rendezvous hashing assigns the remainder, so that views that differ by a few
+VMs differ by a few flows. Half of the allowance is held back, which keeps the
+sum within the allowance when a zone is partitioned into two halves.
 """
 
 import collections
@@ -22,47 +23,53 @@
 from pollenmast.steering._record import Record
 
 WINDOW_S = 1.25
-"""Over which a VM counts the flows it opens, in seconds. The allowance is for
-one second at the endpoint; paths of unlike delay can bring flows closer."""
+"""The window over which a VM counts the flows it opens, in seconds. The
+allowance applies to one second at the endpoint; paths of different delay can
+make flows arrive closer together than they were sent."""
 
 DEALT_PART = 0.5
-"""Share of the allowance that is dealt out."""
+"""The fraction of the allowance that is divided among the VMs."""
 
 
 @attrs.frozen
 class ColdAllowance:
-    """How far endpoints that warm up may be loaded beyond what they bear.
+    """How far the load on a cold endpoint may exceed its configured rate.
 
     Attributes:
-        overrun: Factor on the rate that the service states.
-        slack: Flows a second on top of that.
+        overrun: Factor on the flow rate that the service configures.
+        slack: Additional flows per second.
     """
 
     overrun: float
     slack: float
 
     def dealt(self, warmup: Warmup) -> int:
-        """Returns the flows a second that all VMs together plan with."""
+        """Returns the flows per second that are divided among the VMs."""
         allowed = self.overrun * warmup.flows_per_s + self.slack
         return math.floor(DEALT_PART * allowed)
 
 
 class ColdLimit:
-    """The limit that one VM keeps, for each endpoint that warms up."""
+    """Enforces one VM's quota for each endpoint that is warming up."""
 
     def __init__(self, zone: str, allowance: ColdAllowance | None):
-        """Takes the VM's zone and the allowance, None for no limit."""
+        """Creates the limit.
+
+        Args:
+            zone: The VM's availability zone.
+            allowance: The allowance of all VMs together, None for no limit.
+        """
         self._zone = zone
         self._allowance = allowance
         self._sharers: Callable[[], tuple[str, list[str]] | None] = _unknown
         self._opened: dict[str, collections.deque[float]] = {}
 
     def join(self, sharers: Callable[[], tuple[str, list[str]] | None]) -> None:
-        """Shares the allowance with other VMs.
+        """Sets the VMs among which the allowance is divided.
 
         Args:
             sharers: Returns this VM and the other VMs of its zone, None
-                while it cannot know them.
+                while they are not known yet.
         """
         self._sharers = sharers
 
@@ -76,7 +83,7 @@
         return self._count(record.endpoint.name, now) < part
 
     def on_opened(self, record: Record, now: float) -> None:
-        """This VM has opened a flow to an endpoint that is cold."""
+        """Counts a flow that this VM has opened to a cold endpoint."""
         if self._allowance is not None:
             times = self._opened.setdefault(
                 record.endpoint.name, collections.deque()
@@ -84,7 +91,7 @@
             times.append(now)
 
     def expire(self, now: float) -> None:
-        """Forgets flows that were opened before the window."""
+        """Removes flows that were opened before the window."""
         for name in list(self._opened):
             if not self._count(name, now):
                 del self._opened[name]
--- a/src/pollenmast/steering/_drains.py
+++ b/src/pollenmast/steering/_drains.py
@@ -1,6 +1,6 @@
-"""Which availability zones the operator has drained.
+"""Availability zones that the operator has drained.
 
-A drained zone takes no new flows; its open flows go on until they end.
+A drained zone takes no new flows; its open flows continue until they end.
 """
 
 import attrs
@@ -9,8 +9,8 @@
 from pollenmast.steering._position import EARLIER_EPOCH
 
 MOST_ZONES = 1024
-"""Zones remembered, drained or restored; beyond that the oldest restored ones
-are forgotten."""
+"""The number of zones, drained or restored, beyond which the least recently
+changed restored zone is dropped."""
 
 
 @attrs.frozen
@@ -20,14 +20,14 @@
 
 
 class Drains:
-    """The latest state of each zone that was ever drained."""
+    """The latest state of each zone that has been drained before."""
 
     def __init__(self):
         self._zones: dict[str, _State] = {}
 
     @property
     def zones(self) -> dict[str, int]:
-        """The drained zones and the revision since which each is drained."""
+        """The drained zones, each with the revision of its drain."""
         return {
             zone: state.revision
             for zone, state in self._zones.items()
@@ -36,7 +36,7 @@
 
     @property
     def confirmed(self) -> dict[str, int]:
-        """The drained zones that the directory's present epoch has told."""
+        """The drained zones that the directory's current epoch lists."""
         return {
             zone: revision
             for zone, revision in self.zones.items()
@@ -44,31 +44,39 @@
         }
 
     def begin_epoch(self) -> None:
-        """The directory was restored: what is known is older than its news.
+        """Starts a new epoch after the directory was restored from a copy.
 
-        Drains stay in force until they are confirmed or `settle` ends them: a
-        copy may lack one that the operator has not yet written again.
+        Drains stay in force until the new epoch confirms them or `settle` ends
+        them: the copy may lack a drain that the operator has not yet written
+        again.
         """
         self._zones = {zone: _State(True, EARLIER_EPOCH) for zone in self.zones}
 
     def settle(self) -> list[ZoneRestored]:
-        """Ends the drains that the present epoch has not confirmed."""
+        """Ends the drains that the current epoch has not confirmed.
+
+        Returns:
+            The zones that are in service again.
+        """
         unconfirmed = self.zones.keys() - self.confirmed.keys()
         for zone in unconfirmed:
             del self._zones[zone]
         return [ZoneRestored(zone, EARLIER_EPOCH) for zone in unconfirmed]
 
     def is_drained(self, zone: str) -> bool:
-        """Whether new flows are kept away from a zone."""
+        """Whether a zone takes no new flows."""
         state = self._zones.get(zone)
         return state is not None and state.drained
 
     def apply(self, update: Update) -> list[ZoneDrained | ZoneRestored]:
-        """Takes in what the directory told; returns what has changed.
+        """Applies the zone changes of an update.
 
         Args:
-            update: Changes of zones among others. One that lists all drains
-                restores the zones that it does not name.
+            update: The update. If it lists all drains, zones that it does not
+                name are restored.
+
+        Returns:
+            The changes that took effect.
         """
         changes = [
             change
@@ -86,12 +94,12 @@
         return [change for change in changes if self._take(change)]
 
     def _take(self, change: ZoneDrained | ZoneRestored) -> bool:
-        """Takes in one change; returns whether the zone's state differs."""
+        """Applies one change; returns whether the zone's state changed."""
         drained = isinstance(change, ZoneDrained)
         known = self._zones.get(change.zone)
         if known is not None and change.revision <= known.revision:
             return False
-        # The latest change goes to the end of the dictionary.
+        # Moves the zone to the end: the dictionary is ordered by last change.
         self._zones.pop(change.zone, None)
         self._zones[change.zone] = _State(drained, change.revision)
         self._forget_oldest()
--- a/src/pollenmast/steering/_journal.py
+++ b/src/pollenmast/steering/_journal.py
@@ -1,28 +1,30 @@
-"""The latest changes, so that a peer that is a little behind gets only them."""
+"""Recent changes, so that a peer slightly behind can be sent just those."""
 
 import collections
 
 from pollenmast.steering._changes import Change, Update
 
 MOST_CHANGES = 256
-"""Changes kept: some minutes of usual ones, a second of a great release. A
-peer that is further behind is told everything."""
+"""The number of changes kept: some minutes of usual operation, or one second
+of a large release. A peer further behind is sent a complete listing."""
 
 
 class Journal:
-    """Changes in the order of their revisions, without a gap."""
+    """The most recent changes in order of revision, without gaps."""
 
     def __init__(self):
         self._changes: collections.deque[Change] = collections.deque()
         self._complete_after: int | None = None
 
     def add(self, update: Update, known: int) -> None:
-        """Takes in an update.
+        """Appends the changes of an update.
+
+        The first update and each complete listing leave a gap in the sequence
+        of changes, so the journal starts anew after them.
 
         Args:
-            update: What the directory or a peer told.
-            known: The revision known before; a list of everything, or news
-                from further on, leaves a gap and starts anew.
+            update: An update from the directory or a peer.
+            known: The revision known before; changes up to it are left out.
         """
         gap = self._complete_after is None or update.whole
         if gap:
@@ -36,7 +38,11 @@
             self._complete_after = self._changes.popleft().revision
 
     def since(self, revision: int) -> tuple[Change, ...] | None:
-        """Returns every change after a revision, None if some are gone."""
+        """Returns all changes after a revision.
+
+        Returns:
+            The changes, None if the journal no longer holds all of them.
+        """
         if self._complete_after is None or revision < self._complete_after:
             return None
         return tuple(c for c in self._changes if c.revision > revision)
--- a/src/pollenmast/steering/_members.py
+++ b/src/pollenmast/steering/_members.py
@@ -1,18 +1,20 @@
-"""Which VMs there are, and which of each zone are its readers.
+"""Membership of the fleet, and the choice of each zone's readers.
 
 Load pattern: every call to the directory and every message between VMs is
-counted and paid for. If each VM watched the directory, a change would be told
-as often as there are VMs; if each VM told each other one its load, messages
-would grow with the square of the fleet. So a few VMs of each zone, its
-readers, watch the directory and gather the reports of the others.
-
-Nobody appoints a reader. Each VM computes them from the VMs that it knows and
-passes over one that does not answer it. The widest links come first: a
-configuration of a thousand routes takes a reader 0.6 s at 5 Mbit/s and is then
-handed on to the zone. Over a narrow link that kept out clients' packets and
-health checks, and the reader took living endpoints for dead. Views may differ
-for seconds: whoever is asked answers as well as it can, so a wrong choice costs
-freshness only.
+counted and paid for. If every VM watched the directory, each change would be
+sent once per VM; if every VM reported its load to every other, the number of
+messages would grow with the square of the fleet. So a few VMs of each zone,
+its readers, watch the directory and collect the reports of the others.
+
+Readers are not elected. Each VM computes them from the members that it knows
+and skips those that do not answer it. VMs with the highest link bandwidth are
+preferred: at 5 Mbit/s a reader needs 0.6 s to receive a configuration of a
+thousand routes, which it then forwards to its zone. On a slow link that
+transfer displaced clients' packets and health checks, and the reader took live
+endpoints for dead.
+
+The VMs' views may differ for seconds. Any VM that is asked answers with what
+it knows, so a wrong choice of reader only makes the data less fresh.
 """
 
 import math
@@ -22,37 +24,40 @@
 import attrs
 
 READERS = 2
-"""Readers of a zone: one can be lost without a gap."""
+"""Readers per zone: one can fail without an interruption."""
 
 SMALL_ZONE = 4
-"""Up to so many VMs a zone has one reader: the zones hear from each other,
-and the loss of one reader is bridged by them."""
+"""The largest number of VMs with which a zone has only one reader. The zones
+exchange reports, which covers the loss of that reader."""
 
 SILENT_S = 1.4
-"""A reader that has not answered for so long is passed over. Readers are
-asked in turn twice a second: one lost answer alone does not change them."""
+"""Time without an answer after which a VM is not chosen as a reader, in
+seconds. Readers are queried in turn twice a second, so one lost answer alone
+does not change the choice."""
 
 AVOID_S = 6.0
-"""For how long; it is asked again after the usual restart or cut. Hearing
-from it ends this at once."""
+"""How long a VM that did not answer is not chosen as a reader, in seconds.
+After a restart or network partition of usual length it is queried again; a
+message from it ends the exclusion at once."""
 
 HEARD_S = 2.5
-"""A VM counts as heard from for so long: two of its reports were missed. Only
-who was heard from is named to others, so that a dead VM is not kept alive by
-hearsay."""
+"""How long after its last message a VM counts as heard from, in seconds: time
+for two missed reports. Only VMs heard from directly are announced to others;
+otherwise VMs would keep a dead member alive by announcing it to each other."""
 
 MEMBER_LIFE_S = 6.0
-"""A VM that was neither heard from nor named for so long is lost."""
+"""A VM that was neither heard from nor announced by others for this many
+seconds is considered lost and removed."""
 
 MOST_TRIES = 60
-"""How often a lost VM is asked whether it is back, once a second or two: a
-zone may be cut off for longer than its VMs are remembered, and after the cut
-somebody must speak first."""
+"""How many times a lost VM is contacted again, once every second or two. A
+zone may be partitioned for longer than its VMs are remembered; afterwards one
+side has to make contact first."""
 
 
 @attrs.frozen
 class _Ranking:
-    """A zone's readers, until one that is passed over is asked again."""
+    """A zone's readers, valid until an exclusion ends."""
 
     readers: list[str]
     valid_until: float
@@ -70,7 +75,7 @@
 
 
 class Members:
-    """The VMs that one VM knows, by the address that they are told at."""
+    """The other VMs known to this one, by their address for reports."""
 
     def __init__(
         self,
@@ -90,17 +95,17 @@
 
     @property
     def joined_at(self) -> float:
-        """When this VM last learned of a VM that it had not known."""
+        """When this VM last learned of a new member."""
         return self._joined_at
 
     @property
     def hosts(self) -> list[str]:
-        """Every other VM known."""
+        """The addresses of all other known VMs."""
         return list(self._members)
 
     @property
     def mates(self) -> list[str]:
-        """The other VMs of the own zone."""
+        """The addresses of the other VMs of this VM's zone."""
         return [
             host
             for host, member in self._members.items()
@@ -109,12 +114,12 @@
 
     @property
     def other_zones(self) -> list[str]:
-        """The other zones that have a VM."""
+        """The other zones that have a known VM, sorted."""
         zones = {m.zone for m in self._members.values()}
         return sorted(zones - {self._zone})
 
     def heard(self, zone: str, now: float) -> list[str]:
-        """Returns the VMs of a zone that this one hears from."""
+        """Returns the VMs of a zone that were heard from recently."""
         return [
             host
             for host, member in self._members.items()
@@ -122,16 +127,19 @@
         ]
 
     def unheard(self, now: float) -> list[str]:
-        """Returns the VMs of the own zone that were only named to it.
+        """Returns the VMs of this VM's zone known only from others.
 
-        Two VMs that each take themselves for the reader meet only if one of
-        them asks.
+        Two VMs that each consider themselves the reader get in contact only if
+        one of them queries the other.
         """
         heard = self.heard(self._zone, now)
         return sorted(set(self.mates) - set(heard))
 
     def strangers(self) -> list[str]:
-        """Returns VMs to ask who they are: seeds and those that were lost."""
+        """Returns VMs to contact that are no members: seeds and lost VMs.
+
+        Each call counts as one attempt to contact every lost VM.
+        """
         for host in list(self._lost):
             self._lost[host] += 1
             if self._lost[host] > MOST_TRIES:
@@ -139,14 +147,14 @@
         return sorted({*self._seeds, *self._lost} - set(self._members))
 
     def link_mbps(self, host: str) -> int:
-        """Returns the width of a VM's link, 0 if nobody has told it."""
+        """Returns the bandwidth of a VM's link in Mbit/s, 0 if unknown."""
         member = self._members.get(host)
         return member.link_mbps if member is not None else 0
 
     def on_heard(
         self, host: str, zone: str, now: float, link_mbps: int = 0
     ) -> None:
-        """A VM has sent something."""
+        """Handles any message received from a VM."""
         if host == self._own:
             return
         self.on_named(host, zone, now, link_mbps)
@@ -161,7 +169,7 @@
     def on_named(
         self, host: str, zone: str, now: float, link_mbps: int = 0
     ) -> None:
-        """Another VM has heard from this one lately."""
+        """Handles another VM's announcement that it has heard from `host`."""
         if host == self._own:
             return
         member = self._members.get(host)
@@ -177,13 +185,13 @@
             self._ranked.clear()
 
     def on_asked(self, host: str, now: float) -> None:
-        """This VM has asked another one and expects an answer."""
+        """Records a query to another VM whose answer is now expected."""
         member = self._members.get(host)
         if member is not None and member.asked_at is None:
             member.asked_at = now
 
     def expire(self, now: float) -> None:
-        """Forgets who is lost, and passes over who does not answer."""
+        """Removes lost VMs and excludes VMs that did not answer in time."""
         for host, member in list(self._members.items()):
             if now - member.known_at >= MEMBER_LIFE_S:
                 del self._members[host]
@@ -197,10 +205,10 @@
                 self._ranked.clear()
 
     def readers(self, now: float, zone: str | None = None) -> list[str]:
-        """Returns the readers of a zone, by default the own one.
+        """Returns the readers of a zone, by default of this VM's zone.
 
-        Among links of the same width, rendezvous hashing: the loss of a VM
-        moves only its own turn.
+        Among links of equal bandwidth rendezvous hashing decides, so that the
+        loss of a VM reassigns only that VM's role.
         """
         zone = self._zone if zone is None else zone
         known = self._ranked.get(zone)
--- a/src/pollenmast/steering/_model.py
+++ b/src/pollenmast/steering/_model.py
@@ -1,4 +1,4 @@
-"""Segments, endpoints and routes, as the steering core sees them."""
+"""The steering core's data model: segments, endpoints and routes."""
 
 import zlib
 
@@ -7,13 +7,13 @@
 
 @attrs.frozen(cache_hash=True)
 class FlowKey:
-    """The four addresses and ports that name a flow.
+    """The addresses and ports that identify a flow.
 
     Attributes:
-        client_host: The client's address, dotted.
+        client_host: The client's address in dotted notation.
         client_port: The client's port.
-        service_host: The address that the client asked for.
-        service_port: The port that the client asked for.
+        service_host: The destination address of the client's packets.
+        service_port: The destination port of the client's packets.
     """
 
     client_host: str
@@ -23,7 +23,7 @@
 
     @property
     def digest(self) -> int:
-        """A hash that is the same on every VM, unlike `hash`."""
+        """A hash that, unlike `hash`, is the same on every VM."""
         text = (
             f"{self.client_host}:{self.client_port}"
             f">{self.service_host}:{self.service_port}"
@@ -39,19 +39,19 @@
 
 @attrs.define(eq=False)
 class Segment:
-    """One datagram of a client, decoded.
+    """A decoded datagram of a client.
 
     Attributes:
-        flow: Whose it is.
+        flow: The flow that it belongs to.
         syn: Whether it opens the flow.
-        fin: Whether the client sends nothing more.
-        rst: Whether the client gives the flow up.
-        token: What the flow's endpoint was named by, 0 on a SYN.
-        sequence: The number of the first byte of data.
-        acknowledged: The number up to which the client has received.
-        syn_copies: How many times a SYN was sent before.
-        length: Bytes of data.
-        datagram: The datagram as it came.
+        fin: Whether the client has finished sending.
+        rst: Whether the client aborts the flow.
+        token: The token of the flow's endpoint, 0 on a SYN.
+        sequence: The sequence number of the first byte of data.
+        acknowledged: The sequence number up to which the client has received.
+        syn_copies: How many times the SYN was sent before.
+        length: Length of the data in bytes.
+        datagram: The datagram as received.
     """
 
     flow: FlowKey
@@ -68,20 +68,20 @@
 
 @attrs.frozen
 class Endpoint:
-    """An upstream process as it has announced itself.
+    """An upstream process as described by its directory entry.
 
     Attributes:
-        name: Unique for one start of the process.
-        number: The name as the number that precedes each datagram to it.
-        token: The 32 bits by which a client's packets name it; never 0.
+        name: The name, unique to one start of the process.
+        number: The name as a number, which precedes each datagram sent to it.
+        token: The 32-bit value that identifies it in clients' packets; never
+            0.
         host: Its address.
-        port: Its port, for datagrams and for health checks.
-        service: The service that it serves.
+        port: Its port for both datagrams and health checks.
+        service: The service that it belongs to.
         zone: Its availability zone.
-        slots: Requests that it runs at the same time.
+        slots: The number of requests that it processes concurrently.
         draining: Whether it takes no new flows.
-        warm_in_s: Seconds for which it stays slow after its start, counted
-            from the announcement.
+        warm_in_s: The remaining warm-up time in seconds at the announcement.
     """
 
     name: str
@@ -98,11 +98,11 @@
 
 @attrs.frozen
 class Split:
-    """One service of a route and its share of new flows.
+    """A service of a route and its share of the new flows.
 
     Attributes:
         service: The service's name.
-        weight: Its share, compared with the route's other weights.
+        weight: Its share relative to the route's other weights.
     """
 
     service: str
@@ -111,14 +111,15 @@
 
 @attrs.frozen
 class Route:
-    """Where new flows to one address and port go.
+    """The services for new flows to one address and port.
 
     Attributes:
         name: The route's name.
-        host: The address that clients ask for.
-        port: The port that clients ask for.
-        splits: The services, those without a share left out.
-        idempotent: Whether its requests may run twice.
+        host: The destination address.
+        port: The destination port.
+        splits: The services with their weights; those without a share are
+            left out.
+        idempotent: Whether its requests may be executed twice.
     """
 
     name: str
@@ -130,8 +131,11 @@
     def services(self, digest: int) -> list[str]:
         """Returns the services in the order in which a flow tries them.
 
-        The first is drawn by weight from the flow's digest, so that every VM
-        and every copy of a SYN draws the same.
+        The flow's digest selects the first service by weight, so that every
+        VM selects the same one, also for every copy of a SYN.
+
+        Args:
+            digest: The flow's `FlowKey.digest`.
         """
         total = sum(split.weight for split in self.splits)
         if total <= 0:
@@ -147,11 +151,11 @@
 
 @attrs.frozen
 class Warmup:
-    """How a service's endpoints start.
+    """Warm-up settings of a service's endpoints.
 
     Attributes:
-        duration_s: For how long an endpoint stays cold.
-        flows_per_s: New flows a second that it bears meanwhile.
+        duration_s: How long an endpoint stays cold.
+        flows_per_s: New flows per second that it can handle while cold.
     """
 
     duration_s: float
@@ -163,11 +167,12 @@
     """One version of the operator's configuration.
 
     Attributes:
-        version: Grows with each change.
-        routes: Every route by address and port.
+        version: The version number, which increases with each change.
+        routes: All routes by address and port.
         health_paths: The path of each service's health check.
-        idle_timeout_s: Idle flows older than this may be forgotten.
-        warmups: How the endpoints of a service start, where it says so.
+        idle_timeout_s: Flows idle for longer than this may be dropped from
+            the flow table.
+        warmups: The warm-up settings of each service that has any.
     """
 
     version: int
--- a/src/pollenmast/steering/_placement.py
+++ b/src/pollenmast/steering/_placement.py
@@ -1,25 +1,26 @@
-"""Which endpoint a new flow goes to.
-
-Load pattern: flows of many requests each, placed by several VMs, on endpoints
-that are full at two requests and refuse beyond a short queue. Spread at
-random, some endpoint has twice the mean and its callers wait. Sent to the
-least loaded anywhere, a third of the flows cross availability zones, and the
-cut of one zone breaks them all.
-
-So the own zone comes first, and within it the one with less work of a few
-drawn at random. Another zone's is used when it has clearly less, or when the
-own zone has no endpoint that answers.
-
-What all VMs know of the load is up to two seconds old, and alike at all of
-them. If each took the least loaded of all endpoints, all would take the same
-one until the next reports, and it would turn most of their requests away. Of
-two drawn at random the less loaded is nearly as good a choice, and no endpoint
-gets more than twice its share.
-
-Nor are the two compared by what all VMs sent: when everything is full, the
-choice would swing with the reports between those that were busy and those that
-were not. A VM's own requests are a sample of all, and up to date. The sum
-decides whether to leave the zone, of which a VM's own requests say nothing.
+"""Selects the endpoint for a new flow.
+
+Load pattern: several VMs place flows of many requests each on endpoints that
+are at capacity with two requests and refuse more than a short queue. With
+purely random placement some endpoint gets twice the mean load and its callers
+wait. With placement on the globally least loaded endpoint a third of the flows
+cross availability zones, and the loss of one zone breaks all of those.
+
+So the VM's own zone is preferred, and within it the less loaded of a few
+endpoints drawn at random. An endpoint of another zone is used if it is clearly
+less loaded, or if no endpoint of the own zone answers.
+
+The load known to all VMs is up to two seconds old, and every VM has the same
+data. If each VM took the least loaded endpoint, all would choose the same one
+until the next reports, and it would refuse most of their requests. The less
+loaded of two endpoints drawn at random is nearly as good a choice, and no
+endpoint gets more than twice its share.
+
+The two are compared by the requests that this VM has sent, not by those of
+all VMs: when all endpoints are at capacity, the choice would alternate with
+each report between those that were busy and those that were not. A VM's own
+requests are an up-to-date sample of all requests. The total of all VMs decides
+only whether to leave the zone, about which a VM's own requests say nothing.
 """
 
 import enum
@@ -35,26 +36,28 @@
 from pollenmast.steering._record import Presence, Record
 
 ZONE_FACTOR = 1.3
-"""How many times more work an endpoint of the own zone may have. The greatest
-and the least of a zone's endpoints differ by about as much by chance."""
+"""How many times the load of another zone's endpoint an endpoint of the own
+zone may have. The most and the least loaded endpoint of a zone differ by about
+this factor by chance."""
 
 ZONE_ADVANTAGE = 4.0
-"""Requests a second and slot that it may have besides. Below a small part of
-what a slot serves nobody waits, and crossing is no use."""
+"""Load that an endpoint of the own zone may have in addition, in requests per
+second and slot. At a small fraction of a slot's throughput no request waits,
+so crossing zones gains nothing."""
 
 CHOICES = 2
-"""Endpoints drawn for a flow. With one the longest queue grows as the logarithm
-of their number, with two as its double logarithm; with more, stale reports
-send the VMs to the same few."""
+"""Endpoints drawn at random for each flow. With one, the longest queue grows
+with the logarithm of the number of endpoints, with two with its double
+logarithm. With more, stale reports direct all VMs to the same few."""
 
 
 @attrs.frozen
 class Placed:
-    """A choice.
+    """The endpoint selected for a flow.
 
     Attributes:
         record: The endpoint.
-        reason: Why this one.
+        reason: Why it was selected.
     """
 
     record: Record
@@ -62,7 +65,7 @@
 
 
 class Unplaced(str, enum.Enum):
-    """Why a service has no endpoint for a new flow."""
+    """Why no endpoint of a service can take a new flow."""
 
     NO_ENDPOINT = "no_endpoint"
     ZONE_DRAINED = "zone_drained"
@@ -70,7 +73,7 @@
 
 
 class Placement:
-    """Chooses among the endpoints of a service, for one VM."""
+    """Selects endpoints for the new flows of one VM."""
 
     def __init__(
         self,
@@ -88,18 +91,21 @@
         self._rng = rng
 
     def set_warmups(self, warmups: dict[str, Warmup]) -> None:
-        """Takes in how the endpoints of each service start."""
+        """Sets the warm-up settings of each service."""
         self._warmups = warmups
 
     def choose(
         self, service: str, tried: tuple[str, ...], now: float
     ) -> Placed | Unplaced:
-        """Returns an endpoint, or why the service has none.
+        """Selects an endpoint for a new flow.
 
         Args:
             service: The service.
-            tried: Endpoints that did not answer this flow's SYN.
-            now: The runtime's clock in seconds.
+            tried: Names of the endpoints that did not answer the flow's SYN.
+            now: The time of the runtime's clock in seconds.
+
+        Returns:
+            The selected endpoint, or why the service has none.
         """
         serving = self._catalog.serving(service)
         if not serving:
@@ -126,7 +132,7 @@
         return Placed(chosen, PlacementReason.OTHER_ZONE)
 
     def on_opened(self, record: Record, now: float) -> None:
-        """A flow was opened to an endpoint."""
+        """Counts a flow that was opened to an endpoint."""
         if record.is_cold(now):
             self._cold_limit.on_opened(record, now)
 
@@ -149,23 +155,24 @@
         return other if self._total_cost(own, now) > bearable else own
 
     def _last_resort(self, records: list[Record], now: float) -> Placed:
-        """Tries what is doubted: a service must not be emptied by doubts.
+        """Selects an endpoint although the health of every one is in doubt.
 
-        A VM that is cut off itself would otherwise refuse every caller,
-        and go on refusing them when the cut has ended.
+        Doubt alone must not leave a service without endpoints: a VM that is
+        itself cut off from the network would refuse every caller, and would
+        continue to do so after the partition has ended.
         """
         up = [r for r in records if not r.health.down] or records
-        # A VM asks vanished endpoints only where it has flows; of the others
-        # it knows what a reader tells.
+        # A VM checks lapsed endpoints only if it carries flows to them. About
+        # the others it knows only what a reader reports.
         clear = [r for r in up if not r.health.is_avoided(now)] or up
         return Placed(self._draw(clear, now), PlacementReason.LAST_RESORT)
 
     def _draw(self, records: list[Record], now: float) -> Record:
-        """Returns the less loaded of a few drawn at random."""
+        """Returns the least loaded of `CHOICES` records drawn at random."""
         if len(records) > CHOICES:
             records = self._rng.sample(records, CHOICES)
-        # Ties are broken at random: VMs that all start at once would else
-        # begin with the same endpoint.
+        # Breaks ties at random; otherwise VMs that start at the same time
+        # would all begin with the same endpoint.
         return min(
             records, key=lambda r: (self._own_cost(r, now), self._rng.random())
         )
@@ -180,7 +187,7 @@
 
 
 def _cost(record: Record, rate: float, now: float) -> float:
-    """Returns requests a second and slot, more for an endpoint still cold."""
+    """Returns the requests per second and slot, weighted up while cold."""
     return rate / (record.endpoint.slots * record.warmth(now))
 
 
--- a/src/pollenmast/steering/_position.py
+++ b/src/pollenmast/steering/_position.py
@@ -1,22 +1,22 @@
-"""How far the news of a directory is known."""
+"""Positions in the directory's sequence of changes."""
 
 import attrs
 
 EARLIER_EPOCH = 0
-"""Revision of what an earlier epoch told. Directories count from 1, so that it
-is older than any news of the present one."""
+"""Revision of state that stems from an earlier epoch. Directories count from
+1, so it is older than any change of the current epoch."""
 
 
 @attrs.frozen(order=True)
 class Position:
-    """Orders news: by the directory's epoch, then by its revision.
+    """A point in the directory's history, ordered by epoch, then revision.
 
-    A directory that is restored from a copy counts on from an older revision,
-    so revisions of different epochs say nothing about each other.
+    A directory restored from a copy continues to count from an older
+    revision, so revisions of different epochs cannot be compared.
 
     Attributes:
-        epoch: Grows each time the directory is restored from a copy.
-        revision: The directory's count of changes in that epoch.
+        epoch: Increases each time the directory is restored from a copy.
+        revision: The directory's count of changes within that epoch.
     """
 
     epoch: int = 0
--- a/src/pollenmast/steering/_record.py
+++ b/src/pollenmast/steering/_record.py
@@ -1,4 +1,4 @@
-"""What a VM believes of one endpoint."""
+"""A VM's record of one endpoint."""
 
 import enum
 
@@ -8,12 +8,19 @@
 from pollenmast.steering._model import Endpoint
 
 COLD_SHARE = 0.6
-"""Share of new flows of an endpoint that has just started: it is slower for
-some seconds, and its flows stay with it for long."""
+"""The share of new flows for an endpoint that is warming up, relative to a
+warm one. It is slower for some seconds, and the flows placed on it stay there
+for a long time."""
 
 
 class Presence(str, enum.Enum):
-    """How surely an endpoint exists."""
+    """Whether an endpoint exists, judged by its directory entry.
+
+    Attributes:
+        LISTED: The directory lists it.
+        LAPSED: Its entry was removed but may come back.
+        GONE: Its entry was removed and a health check confirmed the loss.
+    """
 
     LISTED = "listed"
     LAPSED = "lapsed"
@@ -22,18 +29,20 @@
 
 @attrs.define(eq=False)
 class Record:
-    """One endpoint and what this VM believes of it.
+    """An endpoint and what this VM knows about it.
+
+    Times are in seconds of the runtime's clock.
 
     Attributes:
-        endpoint: Its latest announcement.
-        revision: The directory's revision of that.
-        announced_at: When this VM learned of it, in seconds.
-        presence: How surely it exists.
-        lapsed_at: When its entry vanished.
-        cold_until: Until when it is cold whatever it has announced.
-        listed: What a restored directory lists of it, while what was known
-            before the restore goes first; else None.
-        health: What passed by.
+        endpoint: The endpoint as last announced.
+        revision: The directory's revision of that announcement.
+        announced_at: When this VM learned of the announcement.
+        presence: Whether the endpoint exists.
+        lapsed_at: When its entry was removed.
+        cold_until: Until when it is cold regardless of its announcement.
+        listed: Its entry in a restored directory while the state known before
+            the restore takes precedence; otherwise None.
+        health: Its health as seen by this VM.
     """
 
     endpoint: Endpoint
@@ -47,16 +56,16 @@
 
     @property
     def announced(self) -> Endpoint | None:
-        """What the directory lists of it now, None if nothing."""
+        """The endpoint as the directory lists it now, None if it does not."""
         if self.listed is not None:
             return self.listed
         return self.endpoint if self.presence is Presence.LISTED else None
 
     def is_cold(self, now: float) -> bool:
-        """Whether it still warms up."""
+        """Whether the endpoint is still warming up."""
         announced_until = self.announced_at + self.endpoint.warm_in_s
         return now < max(announced_until, self.cold_until)
 
     def warmth(self, now: float) -> float:
-        """Returns its share of new flows, less while it is cold."""
+        """Returns the endpoint's relative capacity, reduced while cold."""
         return COLD_SHARE if self.is_cold(now) else 1.0
--- a/src/pollenmast/steering/_routes.py
+++ b/src/pollenmast/steering/_routes.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and how news of it are taken in."""
+"""The route configuration in force and how updates are applied to it."""
 
 from collections.abc import Iterable
 
@@ -11,10 +11,10 @@
 
 
 class RouteBook:
-    """The configuration of the greatest version that was told.
+    """Holds the configuration with the highest version received.
 
-    Versions are the operator's own count: a directory restored from a copy
-    that lists an older one takes nothing back.
+    The operator assigns the versions. An older configuration listed by a
+    directory that was restored from a copy therefore replaces nothing.
     """
 
     def __init__(self):
@@ -22,11 +22,11 @@
 
     @property
     def table(self) -> RouteTable | None:
-        """The configuration in force."""
+        """The configuration in force, None before the first."""
         return self._table
 
     def fits(self, changes: Iterable[Change]) -> bool:
-        """Whether changes follow from the configuration in force."""
+        """Whether changes can be applied to the configuration in force."""
         version = self._table.version if self._table is not None else None
         for change in changes:
             if isinstance(change, RoutesPublished):
@@ -40,7 +40,13 @@
         return True
 
     def take(self, change: Change) -> Change | None:
-        """Takes in a configuration; returns a change as peers are told it."""
+        """Applies a change if it is one of the configuration.
+
+        Returns:
+            The change to forward to peers, a configuration as the difference
+            where possible; None if the configuration is not newer or does not
+            continue the one in force. Other changes are returned as they are.
+        """
         old = self._table
         if isinstance(change, RoutesPublished):
             if old is not None and change.table.version <= old.version:
--- a/src/pollenmast/steering/_watchlist.py
+++ b/src/pollenmast/steering/_watchlist.py
@@ -1,8 +1,8 @@
-"""Which endpoints need a look at their health, and when.
+"""Schedules when endpoints' health has to be evaluated.
 
 Load pattern: hundreds of endpoints, of which a VM's clients use a few at a
-time. A VM that looked at every endpoint on every tick would spend more on
-idle ones than on packets, and the more the larger the fleet is.
+time. Evaluating every endpoint on every tick would cost a VM more time for
+idle endpoints than for packets, and the more so the larger the fleet.
 """
 
 import math
@@ -12,7 +12,7 @@
 
 
 class Watchlist:
-    """The endpoints that wait for a sign of life or for a check."""
+    """The endpoints that wait for traffic or for a health check."""
 
     def __init__(self):
         self._records: dict[str, Record] = {}
@@ -20,11 +20,16 @@
         self._on_earlier: Callable[[], None] = _nothing
 
     def notify(self, on_earlier: Callable[[], None]) -> None:
-        """Sets what is called when a look is due earlier than told."""
+        """Sets a callback for when the next evaluation moves forward.
+
+        Args:
+            on_earlier: Called when an evaluation is due earlier than the last
+                result of `next_at`.
+        """
         self._on_earlier = on_earlier
 
     def add(self, record: Record) -> None:
-        """Takes in an endpoint of which something is expected."""
+        """Adds an endpoint if its health has to be evaluated later."""
         at = record.health.look_at
         if at == math.inf:
             return
@@ -34,7 +39,7 @@
             self._on_earlier()
 
     def look(self, now: float) -> list[Record]:
-        """Looks at each of them; returns those to be checked now."""
+        """Evaluates all endpoints on the list; returns those to check now."""
         due = []
         for name, record in list(self._records.items()):
             record.health.look(now)
@@ -46,10 +51,11 @@
         return due
 
     def next_at(self, under_way: Container[str]) -> float:
-        """Returns when to look next, infinite while nothing is expected.
+        """Returns the time of the next evaluation, infinity if none is due.
 
         Args:
-            under_way: Names of endpoints whose check will be heard of.
+            under_way: Names of endpoints with a health check in progress,
+                whose result triggers the next evaluation.
         """
         times = (
             record.health.look_at
