--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -25,7 +25,7 @@
 )
 from pollenmast.steering._drains import Drains
 from pollenmast.steering._model import Endpoint, Warmup
-from pollenmast.steering._position import EARLIER_EPOCH
+from pollenmast.steering._position import EARLIER_EPOCH_REVISION
 from pollenmast.steering._record import Presence, Record
 from pollenmast.steering._watchlist import Watchlist
 
@@ -152,7 +152,7 @@
         self._settles_at = now + RESTORE_SETTLE_S
         self._drains.begin_epoch()
         for record in self._records.values():
-            record.revision = EARLIER_EPOCH
+            record.revision = EARLIER_EPOCH_REVISION
             record.listed = None
 
     def settle(self, now: float) -> tuple[list[Record], list[ZoneRestored]]:
@@ -169,7 +169,7 @@
         self._settles_at = None
         listed = [r for r in self._records.values() if r.listed is not None]
         for record in listed:
-            self._list(record, record.listed, now)
+            self._mark_listed(record, record.listed, now)
         return listed, self._drains.settle()
 
     def cool(
@@ -209,8 +209,8 @@
     def expire(self, now: float) -> None:
         """Removes endpoints whose entries have been missing for `FORGET_S`."""
         for name, record in list(self._records.items()):
-            gone = self.is_missing(record)
-            if gone and now - record.lapsed_at >= FORGET_S:
+            missing = self.is_missing(record)
+            if missing and now - record.lapsed_at >= FORGET_S:
                 del self._records[name]
                 self._lapsed.pop(name, None)
                 del self._by_number[record.endpoint.number]
@@ -224,41 +224,46 @@
             record.health.notify(functools.partial(self._watchlist.add, record))
             self._records[endpoint.name] = record
             self._by_number[endpoint.number] = record
-            sharers = self._by_token.setdefault(endpoint.token, [])
-            sharers.append(record)
-            sharers.sort(key=lambda each: each.endpoint.name)
+            same_token = self._by_token.setdefault(endpoint.token, [])
+            same_token.append(record)
+            same_token.sort(key=lambda each: each.endpoint.name)
             return [record]
         if change.revision <= record.revision:
             return []
-        held = self._is_held(record, endpoint)
+        withheld = self._is_withheld(record, endpoint)
         record.revision = change.revision
-        if held:
+        if withheld:
             record.endpoint = attrs.evolve(
                 endpoint, draining=record.endpoint.draining
             )
             record.listed = endpoint
             return []
-        same = record.endpoint == endpoint
-        back = record.presence is not Presence.LISTED
-        if same and not back:
+        unchanged = record.endpoint == endpoint
+        returned = record.presence is not Presence.LISTED
+        if unchanged and not returned:
             record.listed = None
             return []
-        self._list(record, endpoint, now)
+        self._mark_listed(record, endpoint, now)
         return [record]
 
-    def _is_held(self, record: Record, endpoint: Endpoint) -> bool:
+    def _is_withheld(self, record: Record, endpoint: Endpoint) -> bool:
         """Whether to withhold an entry of a restored directory for now.
 
         The copy may be older than the endpoint's drain or removal. Using its
         entry at once would send new flows to an endpoint that must not get
         any.
         """
-        if record.revision != EARLIER_EPOCH or self._settles_at is None:
+        if (
+            record.revision != EARLIER_EPOCH_REVISION
+            or self._settles_at is None
+        ):
             return False
         drained = record.endpoint.draining and not endpoint.draining
         return drained or self.is_missing(record)
 
-    def _list(self, record: Record, endpoint: Endpoint, now: float) -> None:
+    def _mark_listed(
+        self, record: Record, endpoint: Endpoint, now: float
+    ) -> None:
         record.endpoint = endpoint
         record.listed = None
         record.presence = Presence.LISTED
--- a/src/pollenmast/steering/_cold_limit.py
+++ b/src/pollenmast/steering/_cold_limit.py
@@ -27,7 +27,7 @@
 allowance applies to one second at the endpoint; paths of different delay can
 make flows arrive closer together than they were sent."""
 
-DEALT_PART = 0.5
+ALLOCATED_FRACTION = 0.5
 """The fraction of the allowance that is divided among the VMs."""
 
 
@@ -43,10 +43,10 @@
     overrun: float
     slack: float
 
-    def dealt(self, warmup: Warmup) -> int:
+    def allocated(self, warmup: Warmup) -> int:
         """Returns the flows per second that are divided among the VMs."""
         allowed = self.overrun * warmup.flows_per_s + self.slack
-        return math.floor(DEALT_PART * allowed)
+        return math.floor(ALLOCATED_FRACTION * allowed)
 
 
 class ColdLimit:
@@ -61,7 +61,7 @@
         """
         self._zone = zone
         self._allowance = allowance
-        self._sharers: Callable[[], tuple[str, list[str]] | None] = _unknown
+        self._sharers: Callable[[], tuple[str, list[str]] | None] = _no_sharers
         self._opened: dict[str, collections.deque[float]] = {}
 
     def join(self, sharers: Callable[[], tuple[str, list[str]] | None]) -> None:
@@ -79,8 +79,8 @@
             return True
         if record.endpoint.zone != self._zone:
             return False
-        part = self._part(record.endpoint.name, warmup)
-        return self._count(record.endpoint.name, now) < part
+        quota = self._quota(record.endpoint.name, warmup)
+        return self._count(record.endpoint.name, now) < quota
 
     def on_opened(self, record: Record, now: float) -> None:
         """Counts a flow that this VM has opened to a cold endpoint."""
@@ -96,15 +96,17 @@
             if not self._count(name, now):
                 del self._opened[name]
 
-    def _part(self, endpoint: str, warmup: Warmup) -> int:
+    def _quota(self, endpoint: str, warmup: Warmup) -> int:
         sharers = self._sharers()
         if sharers is None:
             return 0
         own, others = sharers
-        each, rest = divmod(self._allowance.dealt(warmup), len(others) + 1)
+        share, remainder = divmod(
+            self._allowance.allocated(warmup), len(others) + 1
+        )
         rank = _rank(own, endpoint)
         ahead = sum(_rank(other, endpoint) < rank for other in others)
-        return each + (ahead < rest)
+        return share + (ahead < remainder)
 
     def _count(self, endpoint: str, now: float) -> int:
         times = self._opened.get(endpoint)
@@ -119,5 +121,5 @@
     return zlib.crc32(f"{endpoint}/{vm}".encode())
 
 
-def _unknown() -> tuple[str, list[str]] | None:
+def _no_sharers() -> tuple[str, list[str]] | None:
     return None
--- a/src/pollenmast/steering/_drains.py
+++ b/src/pollenmast/steering/_drains.py
@@ -6,15 +6,15 @@
 import attrs
 
 from pollenmast.steering._changes import Update, ZoneDrained, ZoneRestored
-from pollenmast.steering._position import EARLIER_EPOCH
+from pollenmast.steering._position import EARLIER_EPOCH_REVISION
 
-MOST_ZONES = 1024
+MAX_ZONES = 1024
 """The number of zones, drained or restored, beyond which the least recently
 changed restored zone is dropped."""
 
 
 @attrs.frozen
-class _State:
+class _ZoneState:
     drained: bool
     revision: int
 
@@ -23,7 +23,7 @@
     """The latest state of each zone that has been drained before."""
 
     def __init__(self):
-        self._zones: dict[str, _State] = {}
+        self._zones: dict[str, _ZoneState] = {}
 
     @property
     def zones(self) -> dict[str, int]:
@@ -40,7 +40,7 @@
         return {
             zone: revision
             for zone, revision in self.zones.items()
-            if revision != EARLIER_EPOCH
+            if revision != EARLIER_EPOCH_REVISION
         }
 
     def begin_epoch(self) -> None:
@@ -50,7 +50,10 @@
         them: the copy may lack a drain that the operator has not yet written
         again.
         """
-        self._zones = {zone: _State(True, EARLIER_EPOCH) for zone in self.zones}
+        self._zones = {
+            zone: _ZoneState(True, EARLIER_EPOCH_REVISION)
+            for zone in self.zones
+        }
 
     def settle(self) -> list[ZoneRestored]:
         """Ends the drains that the current epoch has not confirmed.
@@ -61,7 +64,9 @@
         unconfirmed = self.zones.keys() - self.confirmed.keys()
         for zone in unconfirmed:
             del self._zones[zone]
-        return [ZoneRestored(zone, EARLIER_EPOCH) for zone in unconfirmed]
+        return [
+            ZoneRestored(zone, EARLIER_EPOCH_REVISION) for zone in unconfirmed
+        ]
 
     def is_drained(self, zone: str) -> bool:
         """Whether a zone takes no new flows."""
@@ -91,9 +96,9 @@
                 for zone in self.confirmed
                 if zone not in listed
             ]
-        return [change for change in changes if self._take(change)]
+        return [change for change in changes if self._apply_change(change)]
 
-    def _take(self, change: ZoneDrained | ZoneRestored) -> bool:
+    def _apply_change(self, change: ZoneDrained | ZoneRestored) -> bool:
         """Applies one change; returns whether the zone's state changed."""
         drained = isinstance(change, ZoneDrained)
         known = self._zones.get(change.zone)
@@ -101,12 +106,12 @@
             return False
         # Moves the zone to the end: the dictionary is ordered by last change.
         self._zones.pop(change.zone, None)
-        self._zones[change.zone] = _State(drained, change.revision)
-        self._forget_oldest()
+        self._zones[change.zone] = _ZoneState(drained, change.revision)
+        self._drop_oldest_restored()
         return drained != (known is not None and known.drained)
 
-    def _forget_oldest(self) -> None:
-        if len(self._zones) <= MOST_ZONES:
+    def _drop_oldest_restored(self) -> None:
+        if len(self._zones) <= MAX_ZONES:
             return
         for zone, state in self._zones.items():
             if not state.drained:
--- a/src/pollenmast/steering/_journal.py
+++ b/src/pollenmast/steering/_journal.py
@@ -26,8 +26,8 @@
             update: An update from the directory or a peer.
             known: The revision known before; changes up to it are left out.
         """
-        gap = self._complete_after is None or update.whole
-        if gap:
+        starts_anew = self._complete_after is None or update.whole
+        if starts_anew:
             self._changes.clear()
             self._complete_after = update.revision
             return
--- a/src/pollenmast/steering/_members.py
+++ b/src/pollenmast/steering/_members.py
@@ -23,33 +23,33 @@
 
 import attrs
 
-READERS = 2
+READERS_PER_ZONE = 2
 """Readers per zone: one can fail without an interruption."""
 
-SMALL_ZONE = 4
+SINGLE_READER_MAX_VMS = 4
 """The largest number of VMs with which a zone has only one reader. The zones
 exchange reports, which covers the loss of that reader."""
 
-SILENT_S = 1.4
+ANSWER_TIMEOUT_S = 1.4
 """Time without an answer after which a VM is not chosen as a reader, in
 seconds. Readers are queried in turn twice a second, so one lost answer alone
 does not change the choice."""
 
-AVOID_S = 6.0
+EXCLUSION_S = 6.0
 """How long a VM that did not answer is not chosen as a reader, in seconds.
 After a restart or network partition of usual length it is queried again; a
 message from it ends the exclusion at once."""
 
-HEARD_S = 2.5
+HEARD_TIMEOUT_S = 2.5
 """How long after its last message a VM counts as heard from, in seconds: time
 for two missed reports. Only VMs heard from directly are announced to others;
 otherwise VMs would keep a dead member alive by announcing it to each other."""
 
-MEMBER_LIFE_S = 6.0
+MEMBER_TIMEOUT_S = 6.0
 """A VM that was neither heard from nor announced by others for this many
 seconds is considered lost and removed."""
 
-MOST_TRIES = 60
+MAX_CONTACT_ATTEMPTS = 60
 """How many times a lost VM is contacted again, once every second or two. A
 zone may be partitioned for longer than its VMs are remembered; afterwards one
 side has to make contact first."""
@@ -67,11 +67,11 @@
 class _Member:
     zone: str
     rank: int
-    known_at: float
+    last_seen_at: float
     link_mbps: int = 0
     heard_at: float = float("-inf")
-    asked_at: float | None = None
-    avoided_until: float = float("-inf")
+    queried_at: float | None = None
+    excluded_until: float = float("-inf")
 
 
 class Members:
@@ -84,13 +84,13 @@
         seeds: Iterable[str] = (),
         link_mbps: int = 0,
     ):
-        self._own = own
+        self._own_host = own
         self._zone = zone
         self._link_mbps = link_mbps
         self._members: dict[str, _Member] = {}
         self._seeds = set(seeds) - {own}
-        self._lost: dict[str, int] = {}
-        self._ranked: dict[str, _Ranking] = {}
+        self._contact_attempts: dict[str, int] = {}
+        self._rankings: dict[str, _Ranking] = {}
         self._joined_at = float("-inf")
 
     @property
@@ -123,7 +123,7 @@
         return [
             host
             for host, member in self._members.items()
-            if member.zone == zone and now - member.heard_at < HEARD_S
+            if member.zone == zone and now - member.heard_at < HEARD_TIMEOUT_S
         ]
 
     def unheard(self, now: float) -> list[str]:
@@ -140,11 +140,13 @@
 
         Each call counts as one attempt to contact every lost VM.
         """
-        for host in list(self._lost):
-            self._lost[host] += 1
-            if self._lost[host] > MOST_TRIES:
-                del self._lost[host]
-        return sorted({*self._seeds, *self._lost} - set(self._members))
+        for host in list(self._contact_attempts):
+            self._contact_attempts[host] += 1
+            if self._contact_attempts[host] > MAX_CONTACT_ATTEMPTS:
+                del self._contact_attempts[host]
+        return sorted(
+            {*self._seeds, *self._contact_attempts} - set(self._members)
+        )
 
     def link_mbps(self, host: str) -> int:
         """Returns the bandwidth of a VM's link in Mbit/s, 0 if unknown."""
@@ -155,54 +157,54 @@
         self, host: str, zone: str, now: float, link_mbps: int = 0
     ) -> None:
         """Handles any message received from a VM."""
-        if host == self._own:
+        if host == self._own_host:
             return
         self.on_named(host, zone, now, link_mbps)
         member = self._members[host]
-        if member.zone != zone or member.avoided_until > now:
-            self._ranked.clear()
+        if member.zone != zone or member.excluded_until > now:
+            self._rankings.clear()
         member.zone = zone
         member.heard_at = now
-        member.asked_at = None
-        member.avoided_until = float("-inf")
+        member.queried_at = None
+        member.excluded_until = float("-inf")
 
     def on_named(
         self, host: str, zone: str, now: float, link_mbps: int = 0
     ) -> None:
         """Handles another VM's announcement that it has heard from `host`."""
-        if host == self._own:
+        if host == self._own_host:
             return
         member = self._members.get(host)
         if member is None:
             rank = zlib.crc32(f"{zone}/{host}".encode())
             member = self._members[host] = _Member(zone, rank, now)
-            self._lost.pop(host, None)
-            self._ranked.clear()
+            self._contact_attempts.pop(host, None)
+            self._rankings.clear()
             self._joined_at = now
-        member.known_at = now
+        member.last_seen_at = now
         if link_mbps and link_mbps != member.link_mbps:
             member.link_mbps = link_mbps
-            self._ranked.clear()
+            self._rankings.clear()
 
     def on_asked(self, host: str, now: float) -> None:
         """Records a query to another VM whose answer is now expected."""
         member = self._members.get(host)
-        if member is not None and member.asked_at is None:
-            member.asked_at = now
+        if member is not None and member.queried_at is None:
+            member.queried_at = now
 
     def expire(self, now: float) -> None:
         """Removes lost VMs and excludes VMs that did not answer in time."""
         for host, member in list(self._members.items()):
-            if now - member.known_at >= MEMBER_LIFE_S:
+            if now - member.last_seen_at >= MEMBER_TIMEOUT_S:
                 del self._members[host]
-                self._lost[host] = 0
-                self._ranked.clear()
+                self._contact_attempts[host] = 0
+                self._rankings.clear()
                 continue
-            asked_at = member.asked_at
-            if asked_at is not None and now - asked_at >= SILENT_S:
-                member.asked_at = None
-                member.avoided_until = now + AVOID_S
-                self._ranked.clear()
+            queried_at = member.queried_at
+            if queried_at is not None and now - queried_at >= ANSWER_TIMEOUT_S:
+                member.queried_at = None
+                member.excluded_until = now + EXCLUSION_S
+                self._rankings.clear()
 
     def readers(self, now: float, zone: str | None = None) -> list[str]:
         """Returns the readers of a zone, by default of this VM's zone.
@@ -211,10 +213,10 @@
         loss of a VM reassigns only that VM's role.
         """
         zone = self._zone if zone is None else zone
-        known = self._ranked.get(zone)
-        if known is None or now >= known.valid_until:
-            known = self._ranked[zone] = self._rank(zone, now)
-        return list(known.readers)
+        ranking = self._rankings.get(zone)
+        if ranking is None or now >= ranking.valid_until:
+            ranking = self._rankings[zone] = self._rank(zone, now)
+        return list(ranking.readers)
 
     def _rank(self, zone: str, now: float) -> _Ranking:
         ranked = []
@@ -222,17 +224,17 @@
         for host, member in self._members.items():
             if member.zone != zone:
                 continue
-            if member.avoided_until > now:
-                valid_until = min(valid_until, member.avoided_until)
+            if member.excluded_until > now:
+                valid_until = min(valid_until, member.excluded_until)
                 continue
             ranked.append((-member.link_mbps, member.rank, host))
         if zone == self._zone:
-            rank = zlib.crc32(f"{zone}/{self._own}".encode())
-            ranked.append((-self._link_mbps, rank, self._own))
+            rank = zlib.crc32(f"{zone}/{self._own_host}".encode())
+            ranked.append((-self._link_mbps, rank, self._own_host))
         ranked.sort()
-        count = 1 if len(ranked) <= SMALL_ZONE else READERS
+        count = 1 if len(ranked) <= SINGLE_READER_MAX_VMS else READERS_PER_ZONE
         return _Ranking([host for *_, host in ranked[:count]], valid_until)
 
     def is_reader(self, now: float) -> bool:
         """Whether this VM is one of its zone's readers."""
-        return self._own in self.readers(now)
+        return self._own_host in self.readers(now)
--- a/src/pollenmast/steering/_placement.py
+++ b/src/pollenmast/steering/_placement.py
@@ -45,7 +45,7 @@
 second and slot. At a small fraction of a slot's throughput no request waits,
 so crossing zones gains nothing."""
 
-CHOICES = 2
+DRAWN_ENDPOINTS = 2
 """Endpoints drawn at random for each flow. With one, the longest queue grows
 with the logarithm of the number of endpoints, with two with its double
 logarithm. With more, stale reports direct all VMs to the same few."""
@@ -110,21 +110,21 @@
         serving = self._catalog.serving(service)
         if not serving:
             return Unplaced.NO_ENDPOINT
-        open_zones = [r for r in serving if not self._catalog.is_drained(r)]
-        if not open_zones:
+        undrained = [r for r in serving if not self._catalog.is_drained(r)]
+        if not undrained:
             return Unplaced.ZONE_DRAINED
-        known = [r for r in open_zones if self._catalog.owns_token(r)]
-        if not known:
+        candidates = [r for r in undrained if self._catalog.owns_token(r)]
+        if not candidates:
             return Unplaced.NO_ENDPOINT
-        known = [r for r in known if self._admits(r, now)]
-        if not known:
+        candidates = [r for r in candidates if self._admits(r, now)]
+        if not candidates:
             return Unplaced.WARMING_UP
-        untried = [r for r in known if r.endpoint.name not in tried]
-        good = [r for r in untried if _usable(r)]
-        sure = [r for r in good if r.health.is_sure(now)] or good
-        if not sure:
-            return self._last_resort(untried or known, now)
-        chosen = self._nearest(sure, now)
+        untried = [r for r in candidates if r.endpoint.name not in tried]
+        usable = [r for r in untried if _usable(r)]
+        reliable = [r for r in usable if r.health.is_sure(now)] or usable
+        if not reliable:
+            return self._last_resort(untried or candidates, now)
+        chosen = self._nearest(reliable, now)
         if tried:
             return Placed(chosen, PlacementReason.RETRY)
         if chosen.endpoint.zone == self._zone:
@@ -151,8 +151,8 @@
         if not self._load.is_settled(now):
             return own
         other = self._draw(far, now)
-        bearable = ZONE_FACTOR * self._total_cost(other, now) + ZONE_ADVANTAGE
-        return other if self._total_cost(own, now) > bearable else own
+        limit = ZONE_FACTOR * self._total_cost(other, now) + ZONE_ADVANTAGE
+        return other if self._total_cost(own, now) > limit else own
 
     def _last_resort(self, records: list[Record], now: float) -> Placed:
         """Selects an endpoint although the health of every one is in doubt.
@@ -164,13 +164,13 @@
         up = [r for r in records if not r.health.down] or records
         # A VM checks lapsed endpoints only if it carries flows to them. About
         # the others it knows only what a reader reports.
-        clear = [r for r in up if not r.health.is_avoided(now)] or up
-        return Placed(self._draw(clear, now), PlacementReason.LAST_RESORT)
+        not_avoided = [r for r in up if not r.health.is_avoided(now)] or up
+        return Placed(self._draw(not_avoided, now), PlacementReason.LAST_RESORT)
 
     def _draw(self, records: list[Record], now: float) -> Record:
-        """Returns the least loaded of `CHOICES` records drawn at random."""
-        if len(records) > CHOICES:
-            records = self._rng.sample(records, CHOICES)
+        """Returns the least loaded of `DRAWN_ENDPOINTS` random records."""
+        if len(records) > DRAWN_ENDPOINTS:
+            records = self._rng.sample(records, DRAWN_ENDPOINTS)
         # Breaks ties at random; otherwise VMs that start at the same time
         # would all begin with the same endpoint.
         return min(
@@ -188,7 +188,7 @@
 
 def _cost(record: Record, rate: float, now: float) -> float:
     """Returns the requests per second and slot, weighted up while cold."""
-    return rate / (record.endpoint.slots * record.warmth(now))
+    return rate / (record.endpoint.slots * record.relative_capacity(now))
 
 
 def _usable(record: Record) -> bool:
--- a/src/pollenmast/steering/_position.py
+++ b/src/pollenmast/steering/_position.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-EARLIER_EPOCH = 0
+EARLIER_EPOCH_REVISION = 0
 """Revision of state that stems from an earlier epoch. Directories count from
 1, so it is older than any change of the current epoch."""
 
--- a/src/pollenmast/steering/_record.py
+++ b/src/pollenmast/steering/_record.py
@@ -66,6 +66,6 @@
         announced_until = self.announced_at + self.endpoint.warm_in_s
         return now < max(announced_until, self.cold_until)
 
-    def warmth(self, now: float) -> float:
+    def relative_capacity(self, now: float) -> float:
         """Returns the endpoint's relative capacity, reduced while cold."""
         return COLD_SHARE if self.is_cold(now) else 1.0
--- a/src/pollenmast/steering/_watchlist.py
+++ b/src/pollenmast/steering/_watchlist.py
@@ -17,7 +17,7 @@
     def __init__(self):
         self._records: dict[str, Record] = {}
         self._next_at = math.inf
-        self._on_earlier: Callable[[], None] = _nothing
+        self._on_earlier: Callable[[], None] = _do_nothing
 
     def notify(self, on_earlier: Callable[[], None]) -> None:
         """Sets a callback for when the next evaluation moves forward.
@@ -50,21 +50,21 @@
                 due.append(record)
         return due
 
-    def next_at(self, under_way: Container[str]) -> float:
+    def next_at(self, in_progress: Container[str]) -> float:
         """Returns the time of the next evaluation, infinity if none is due.
 
         Args:
-            under_way: Names of endpoints with a health check in progress,
+            in_progress: Names of endpoints with a health check in progress,
                 whose result triggers the next evaluation.
         """
         times = (
             record.health.look_at
             for name, record in self._records.items()
-            if name not in under_way
+            if name not in in_progress
         )
         self._next_at = min(times, default=math.inf)
         return self._next_at
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     pass
--- a/tests/steering_cold_limit_test.py
+++ b/tests/steering_cold_limit_test.py
@@ -114,7 +114,7 @@
         """
         limit = _limits({"a": []})[0]
         record = Record(group.endpoint(1), 10, 0.0)
-        for _ in range(ALLOWANCE.dealt(SLOW)):
+        for _ in range(ALLOWANCE.allocated(SLOW)):
             limit.on_opened(record, 0.0)
         self.assertFalse(limit.admits(record, SLOW, 1.1))
         self.assertTrue(limit.admits(record, SLOW, 1.3))
@@ -175,7 +175,7 @@
         cold = group.endpoint(1, warm_in_s=2.0)
         warm = group.endpoint(2)
         outcomes = self.open(self.core(cold, warm), 50, 0.5)
-        self.assertEqual(ALLOWANCE.dealt(SLOW), _reached(outcomes, cold))
+        self.assertEqual(ALLOWANCE.allocated(SLOW), _reached(outcomes, cold))
         self.assertEqual(
             50, _reached(outcomes, cold) + _reached(outcomes, warm)
         )
@@ -214,7 +214,7 @@
         """
         cold = group.endpoint(1, warm_in_s=2.0)
         outcomes = self.open(self.core(cold), 10, 0.5)
-        part = ALLOWANCE.dealt(SLOW)
+        part = ALLOWANCE.allocated(SLOW)
         self.assertEqual(part, _reached(outcomes, cold))
         refused = [o.reason for o in outcomes if isinstance(o, Reset)]
         self.assertEqual([ResetReason.WARMING_UP] * (10 - part), refused)
@@ -244,7 +244,7 @@
         """
         outcomes = self.open(self._restored(9.0), 30, 9.1)
         self.assertEqual(
-            ALLOWANCE.dealt(SLOW), _reached(outcomes, group.endpoint(1))
+            ALLOWANCE.allocated(SLOW), _reached(outcomes, group.endpoint(1))
         )
 
     def test_warm_again(self):
--- a/tests/steering_drains_test.py
+++ b/tests/steering_drains_test.py
@@ -18,7 +18,7 @@
     ZoneDrained,
     ZoneRestored,
 )
-from pollenmast.steering._drains import MOST_ZONES, Drains
+from pollenmast.steering._drains import MAX_ZONES, Drains
 from standins.store import Store
 from tests import steering_group as group
 
@@ -184,11 +184,11 @@
 
     def test_memory(self):
         """Zones that come and go by the thousand do not fill the memory."""
-        for number in range(3 * MOST_ZONES):
+        for number in range(3 * MAX_ZONES):
             zone, revision = f"z{number}", 10 + 2 * number
             self._apply(ZoneDrained(zone, revision))
             self._apply(ZoneRestored(zone, revision + 1))
-        self.assertLessEqual(len(self.drains._zones), MOST_ZONES)
+        self.assertLessEqual(len(self.drains._zones), MAX_ZONES)
 
 
 class TellingTest(TestCase):
--- a/tests/steering_members_test.py
+++ b/tests/steering_members_test.py
@@ -7,13 +7,13 @@
 
 from pollenmast.steering import Members
 from pollenmast.steering._members import (
-    AVOID_S,
-    HEARD_S,
-    MEMBER_LIFE_S,
-    MOST_TRIES,
-    READERS,
-    SILENT_S,
-    SMALL_ZONE,
+    ANSWER_TIMEOUT_S,
+    EXCLUSION_S,
+    HEARD_TIMEOUT_S,
+    MAX_CONTACT_ATTEMPTS,
+    MEMBER_TIMEOUT_S,
+    READERS_PER_ZONE,
+    SINGLE_READER_MAX_VMS,
 )
 
 ZONE = "hall-bor"
@@ -32,7 +32,11 @@
     """A zone's VMs choose the same readers without asking anybody."""
 
     @parameterized.expand(
-        [("one", 1, 1), ("small", SMALL_ZONE, 1), ("great", 25, READERS)]
+        [
+            ("one", 1, 1),
+            ("small", SINGLE_READER_MAX_VMS, 1),
+            ("great", 25, READERS_PER_ZONE),
+        ]
     )
     def test_alike(self, _, count, expected):
         """Each VM of a zone computes the same readers."""
@@ -53,11 +57,13 @@
         lost = next(host for host in first if host != "10.0.0.0")
         members.on_asked(lost, 0.0)
         members.on_asked(lost, 1.0)
-        members.expire(SILENT_S)
-        self.assertNotIn(lost, members.readers(SILENT_S))
-        self.assertEqual(READERS, len(members.readers(SILENT_S)))
-        members.on_heard(lost, ZONE, SILENT_S + 0.1)
-        self.assertEqual(first, members.readers(SILENT_S + 0.1))
+        members.expire(ANSWER_TIMEOUT_S)
+        self.assertNotIn(lost, members.readers(ANSWER_TIMEOUT_S))
+        self.assertEqual(
+            READERS_PER_ZONE, len(members.readers(ANSWER_TIMEOUT_S))
+        )
+        members.on_heard(lost, ZONE, ANSWER_TIMEOUT_S + 0.1)
+        self.assertEqual(first, members.readers(ANSWER_TIMEOUT_S + 0.1))
 
     def test_narrow_links(self):
         """A configuration of a thousand routes comes; most links are narrow.
@@ -82,9 +88,9 @@
         self.assertEqual(2, len(members.readers(0.0)))
         for host in members.readers(0.0):
             members.on_asked(host, 0.0)
-        members.expire(SILENT_S)
-        left = set(members.readers(SILENT_S))
-        self.assertEqual(READERS, len(left))
+        members.expire(ANSWER_TIMEOUT_S)
+        left = set(members.readers(ANSWER_TIMEOUT_S))
+        self.assertEqual(READERS_PER_ZONE, len(left))
         self.assertEqual(set(), left & {"10.0.0.1", "10.0.0.2"})
 
     def test_asked_again(self):
@@ -92,9 +98,9 @@
         members = _members(25)
         lost = next(h for h in members.readers(0.0) if h != "10.0.0.0")
         members.on_asked(lost, 0.0)
-        members.expire(SILENT_S)
+        members.expire(ANSWER_TIMEOUT_S)
         members.on_named(lost, ZONE, 5.0)
-        self.assertIn(lost, members.readers(SILENT_S + AVOID_S))
+        self.assertIn(lost, members.readers(ANSWER_TIMEOUT_S + EXCLUSION_S))
 
     def test_lost_answer(self):
         """One lost answer of a reader that answers the next changes nothing."""
@@ -104,8 +110,8 @@
         members.on_asked(asked, 0.0)
         members.expire(1.0)
         members.on_heard(asked, ZONE, 1.1)
-        members.expire(SILENT_S)
-        self.assertEqual(first, members.readers(SILENT_S))
+        members.expire(ANSWER_TIMEOUT_S)
+        self.assertEqual(first, members.readers(ANSWER_TIMEOUT_S))
 
     def test_other_zone(self):
         """The readers of another zone are computed from its VMs alone."""
@@ -113,7 +119,7 @@
         for number in range(9):
             members.on_heard(f"10.1.0.{number}", OTHER, 0.0)
         readers = members.readers(0.0, OTHER)
-        self.assertEqual(READERS, len(readers))
+        self.assertEqual(READERS_PER_ZONE, len(readers))
         self.assertTrue(all(host.startswith("10.1.") for host in readers))
         self.assertEqual([OTHER], members.other_zones)
 
@@ -127,10 +133,10 @@
         It would be asked for ever, and be a reader that reads nothing.
         """
         members = _members(3)
-        self.assertIn("10.0.0.1", members.heard(ZONE, HEARD_S - 0.1))
-        self.assertNotIn("10.0.0.1", members.heard(ZONE, HEARD_S))
-        members.on_named("10.0.0.1", ZONE, HEARD_S)
-        self.assertNotIn("10.0.0.1", members.heard(ZONE, HEARD_S))
+        self.assertIn("10.0.0.1", members.heard(ZONE, HEARD_TIMEOUT_S - 0.1))
+        self.assertNotIn("10.0.0.1", members.heard(ZONE, HEARD_TIMEOUT_S))
+        members.on_named("10.0.0.1", ZONE, HEARD_TIMEOUT_S)
+        self.assertNotIn("10.0.0.1", members.heard(ZONE, HEARD_TIMEOUT_S))
 
     def test_lost_in_a_cut(self):
         """A zone was cut off longer than its VMs are remembered.
@@ -138,19 +144,19 @@
         Nobody would speak first, and each half would go on alone.
         """
         members = _members(3)
-        members.expire(MEMBER_LIFE_S)
+        members.expire(MEMBER_TIMEOUT_S)
         self.assertEqual([], members.hosts)
         self.assertEqual(["10.0.0.1", "10.0.0.2"], members.strangers())
         members.on_heard("10.0.0.1", ZONE, 20.0)
         self.assertEqual(["10.0.0.2"], members.strangers())
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_CONTACT_ATTEMPTS):
             members.strangers()
         self.assertEqual([], members.strangers())
 
     def test_seeds(self):
         """The seeds were down when this VM started; they are asked on."""
         members = Members("10.0.0.0", ZONE, ["10.0.0.0", "10.1.0.9"])
-        for _ in range(2 * MOST_TRIES):
+        for _ in range(2 * MAX_CONTACT_ATTEMPTS):
             self.assertEqual(["10.1.0.9"], members.strangers())
 
 
