--- a/tests/steering_cold_limit_test.py
+++ b/tests/steering_cold_limit_test.py
@@ -1,4 +1,4 @@
-"""Tests of steering: flows to endpoints that warm up, summed over all VMs."""
+"""Tests of steering: the flows that all VMs together open to cold endpoints."""
 
 import random
 
@@ -26,12 +26,12 @@
 from tests import steering_group as group
 
 ALLOWANCE = ColdAllowance(overrun=1.5, slack=5.0)
-SLOW = Warmup(duration_s=2.0, flows_per_s=0.0)
-STEADY = Warmup(duration_s=2.0, flows_per_s=10.0)
+NO_FLOW_RATE = Warmup(duration_s=2.0, flows_per_s=0.0)
+TEN_FLOWS_PER_S = Warmup(duration_s=2.0, flows_per_s=10.0)
 STEP_S = 0.01
 
 
-def _bound(warmup: Warmup) -> float:
+def _allowed_flows_per_s(warmup: Warmup) -> float:
     return ALLOWANCE.overrun * warmup.flows_per_s + ALLOWANCE.slack
 
 
@@ -44,38 +44,44 @@
     return limits
 
 
-def _everybody(vms: list[str], rng: random.Random) -> dict[str, list[str]]:
+def _complete_views(vms: list[str], rng: random.Random) -> dict[str, list[str]]:
     return {vm: [o for o in vms if o != vm] for vm in vms}
 
 
-def _some_unknown(vms: list[str], rng: random.Random) -> dict[str, list[str]]:
-    views = _everybody(vms, rng)
+def _incomplete_views(
+    vms: list[str], rng: random.Random
+) -> dict[str, list[str]]:
+    views = _complete_views(vms, rng)
     for others in views.values():
         for _ in range(min(2, len(others))):
             others.remove(rng.choice(others))
     return views
 
 
-def _parted(vms: list[str], rng: random.Random) -> dict[str, list[str]]:
+def _partitioned_views(
+    vms: list[str], rng: random.Random
+) -> dict[str, list[str]]:
     halves = vms[::2], vms[1::2]
     return {vm: [o for o in half if o != vm] for half in halves for vm in half}
 
 
-def _dead_known(vms: list[str], rng: random.Random) -> dict[str, list[str]]:
-    views = _everybody(vms, rng)
+def _views_with_dead_vms(
+    vms: list[str], rng: random.Random
+) -> dict[str, list[str]]:
+    views = _complete_views(vms, rng)
     return {vm: views[vm] for vm in vms[len(vms) // 3 :]}
 
 
-def _greatest_second(times: list[float]) -> int:
-    """Returns the most flows in any second, its ends included."""
+def _most_flows_in_a_second(times: list[float]) -> int:
+    """Returns the most flows in any second, both its ends included."""
     return max(
         (sum(0.0 <= t - start <= 1.0 for t in times) for start in times),
         default=0,
     )
 
 
-class SumTest(TestCase):
-    """What one cold endpoint gets while every VM opens all that it may."""
+class FleetTotalTest(TestCase):
+    """The flows to one cold endpoint while every VM uses its whole quota."""
 
     @parameterized.expand(
         [
@@ -86,12 +92,21 @@
                 warmup,
             )
             for vms in (1, 2, 6, 62, 280)
-            for views in (_everybody, _some_unknown, _parted, _dead_known)
-            for warmup in (SLOW, STEADY)
+            for views in (
+                _complete_views,
+                _incomplete_views,
+                _partitioned_views,
+                _views_with_dead_vms,
+            )
+            for warmup in (NO_FLOW_RATE, TEN_FLOWS_PER_S)
         ]
     )
-    def test_below_bound(self, _, vms, views, warmup):
-        """A zone comes back cold, and all VMs find its endpoints idle."""
+    def test_within_allowance(self, _, vms, views, warmup):
+        """All VMs see a cold endpoint idle; their flows stay within the limit.
+
+        This happens when a zone returns to service. The VMs know all, some or
+        only half of each other, or still count VMs that are dead.
+        """
         rng = random.Random(vms)
         names = [f"10.0.{n // 200}.{n % 200}" for n in range(vms)]
         limits = _limits(views(names, rng))
@@ -103,35 +118,38 @@
                 while limit.admits(record, warmup, now):
                     limit.on_opened(record, now)
                     times.append(now)
-        self.assertLessEqual(_greatest_second(times), _bound(warmup))
-        if views is _everybody:
+        self.assertLessEqual(
+            _most_flows_in_a_second(times), _allowed_flows_per_s(warmup)
+        )
+        if views is _complete_views:
             self.assertTrue(times)
 
-    def test_delay(self):
-        """Flows of two VMs arrive closer together than they were sent.
+    def test_window_exceeds_one_second(self):
+        """The window is longer than a second, to allow for unequal delays.
 
-        One VM's flows of two windows must not fall into one second.
+        Flows can arrive closer together than they were sent; a VM's flows of
+        two windows must not arrive within one second.
         """
         limit = _limits({"a": []})[0]
         record = Record(group.endpoint(1), 10, 0.0)
-        for _ in range(ALLOWANCE.allocated(SLOW)):
+        for _ in range(ALLOWANCE.allocated(NO_FLOW_RATE)):
             limit.on_opened(record, 0.0)
-        self.assertFalse(limit.admits(record, SLOW, 1.1))
-        self.assertTrue(limit.admits(record, SLOW, 1.3))
+        self.assertFalse(limit.admits(record, NO_FLOW_RATE, 1.1))
+        self.assertTrue(limit.admits(record, NO_FLOW_RATE, 1.3))
 
-    def test_memory(self):
-        """Endpoints of the past are forgotten."""
+    def test_old_flows_are_dropped(self):
+        """Endpoints without recent flows are removed."""
         limit = _limits({"a": []})[0]
         limit.on_opened(Record(group.endpoint(1), 10, 0.0), 0.0)
         limit.expire(9.0)
         self.assertEqual({}, limit._opened)
 
 
-class _ColdCase(TestCase):
+class _ColdLimitTestCase(TestCase):
     def core(
         self, *endpoints: Endpoint, allowance=ALLOWANCE, sharers=("a", [])
     ):
-        """Returns a VM's beliefs; endpoints are announced at 0 s."""
+        """Returns a VM's steering core; endpoints are announced at 0 s."""
         core = Steering(
             group.ZONE, Counters(), random.Random(1), None, allowance
         )
@@ -141,7 +159,7 @@
         return core
 
     def open(self, core: Steering, flows: int, now: float) -> list:
-        """Returns what becomes of new flows."""
+        """Opens new flows and returns their outcomes."""
         start = random.Random(now).randrange(1 << 14)
         return [
             core.on_segment(group.syn(group.flow(start + n)), now)
@@ -149,7 +167,7 @@
         ]
 
 
-def _table(version: int = 1, warmup: Warmup = SLOW) -> RouteTable:
+def _table(version: int = 1, warmup: Warmup = NO_FLOW_RATE) -> RouteTable:
     known = group.table(version)
     return RouteTable(
         version,
@@ -160,24 +178,29 @@
     )
 
 
-def _reached(outcomes: list, endpoint: Endpoint) -> int:
+def _flows_to(outcomes: list, endpoint: Endpoint) -> int:
     return sum(
         isinstance(o, Forward) and o.endpoint.name == endpoint.name
         for o in outcomes
     )
 
 
-class PlacingTest(_ColdCase):
-    """Where new flows go while endpoints warm up."""
+class PlacementTest(_ColdLimitTestCase):
+    """The placement of new flows while endpoints are warming up."""
+
+    def test_excess_goes_to_warm_endpoints(self):
+        """After a release the new endpoint gets its quota and no more.
 
-    def test_rest_goes_to_warm_ones(self):
-        """A released service: the new endpoint gets its part, no more."""
+        The warm endpoint takes the rest.
+        """
         cold = group.endpoint(1, warm_in_s=2.0)
         warm = group.endpoint(2)
         outcomes = self.open(self.core(cold, warm), 50, 0.5)
-        self.assertEqual(ALLOWANCE.allocated(SLOW), _reached(outcomes, cold))
         self.assertEqual(
-            50, _reached(outcomes, cold) + _reached(outcomes, warm)
+            ALLOWANCE.allocated(NO_FLOW_RATE), _flows_to(outcomes, cold)
+        )
+        self.assertEqual(
+            50, _flows_to(outcomes, cold) + _flows_to(outcomes, warm)
         )
 
     @parameterized.expand(
@@ -186,17 +209,22 @@
             ("just_started", group.ZONE, None),
         ]
     )
-    def test_no_part(self, _, zone, sharers):
-        """VMs that cannot know their part leave cold endpoints to others."""
+    def test_no_quota(self, _, zone, sharers):
+        """VMs without a quota open no flows to cold endpoints.
+
+        These are VMs of other zones and VMs that do not know their zone's
+        members yet.
+        """
         cold = group.endpoint(1, zone, warm_in_s=2.0)
         warm = group.endpoint(2)
         outcomes = self.open(self.core(cold, warm, sharers=sharers), 50, 0.5)
-        self.assertEqual(0, _reached(outcomes, cold))
+        self.assertEqual(0, _flows_to(outcomes, cold))
 
-    def test_first_stage(self):
-        """A VM carries packets before it has a way to hear of other VMs.
+    def test_before_gossip_starts(self):
+        """A VM opens no flows to cold endpoints before its gossip starts.
 
-        Many that start at once would each take the whole part.
+        Otherwise VMs that start at the same time would each use the whole
+        allowance.
         """
         cold = group.endpoint(1, warm_in_s=2.0)
         warm = group.endpoint(2)
@@ -205,30 +233,31 @@
         )
         core.apply(group.listing(cold, warm, routes=_table()), 0.0)
         core.on_confirmed(0.0)
-        self.assertEqual(0, _reached(self.open(core, 50, 0.5), cold))
+        self.assertEqual(0, _flows_to(self.open(core, 50, 0.5), cold))
 
-    def test_all_cold(self):
-        """Every other zone is lost: what is beyond the part is refused at once.
+    def test_all_endpoints_cold(self):
+        """Flows beyond the quota are refused at once if all endpoints are cold.
 
-        The client's next try can find another VM's part.
+        This happens when every other zone is lost. The client's next attempt
+        may reach another VM that still has quota.
         """
         cold = group.endpoint(1, warm_in_s=2.0)
         outcomes = self.open(self.core(cold), 10, 0.5)
-        part = ALLOWANCE.allocated(SLOW)
-        self.assertEqual(part, _reached(outcomes, cold))
+        quota = ALLOWANCE.allocated(NO_FLOW_RATE)
+        self.assertEqual(quota, _flows_to(outcomes, cold))
         refused = [o.reason for o in outcomes if isinstance(o, Reset)]
-        self.assertEqual([ResetReason.WARMING_UP] * (10 - part), refused)
+        self.assertEqual([ResetReason.WARMING_UP] * (10 - quota), refused)
 
     @parameterized.expand([("warm", 2.5, ALLOWANCE), ("no_limit", 0.5, None)])
     def test_unlimited(self, _, now, allowance):
-        """Warm endpoints, and deployments without a limit, take all flows."""
+        """Warm endpoints take all flows; so do cold ones without a limit."""
         cold = group.endpoint(1, warm_in_s=2.0)
         core = self.core(cold, allowance=allowance)
-        self.assertEqual(30, _reached(self.open(core, 30, now), cold))
+        self.assertEqual(30, _flows_to(self.open(core, 30, now), cold))
 
 
-class RestoredZoneTest(_ColdCase):
-    """A zone is taken back after a drain."""
+class RestoredZoneTest(_ColdLimitTestCase):
+    """A zone returned to service after a drain."""
 
     def _restored(self, at: float) -> Steering:
         near, far = group.endpoint(1), group.endpoint(2, group.OTHER_ZONE)
@@ -237,33 +266,35 @@
         core.apply(Update((ZoneRestored(group.ZONE, 12),), 12), at)
         return core
 
-    def test_cold(self):
-        """Its VMs all prefer its endpoints, which nothing has warmed.
+    def test_cold_after_restore(self):
+        """The restored zone's endpoints count as cold at once.
 
-        Their own announcement of that comes a heartbeat later.
+        All VMs of the zone prefer them, but they have had no traffic. Their
+        own announcement of the warm-up arrives one heartbeat later.
         """
         outcomes = self.open(self._restored(9.0), 30, 9.1)
         self.assertEqual(
-            ALLOWANCE.allocated(SLOW), _reached(outcomes, group.endpoint(1))
+            ALLOWANCE.allocated(NO_FLOW_RATE),
+            _flows_to(outcomes, group.endpoint(1)),
         )
 
-    def test_warm_again(self):
-        """After the service's time they are used as before."""
+    def test_warm_after_warmup(self):
+        """After the service's warm-up time they take all flows again."""
         outcomes = self.open(self._restored(9.0), 30, 11.5)
-        self.assertEqual(30, _reached(outcomes, group.endpoint(1)))
+        self.assertEqual(30, _flows_to(outcomes, group.endpoint(1)))
 
 
-class TellingTest(_ColdCase):
-    """VMs hear of warm-up rates from each other."""
+class PeerUpdateTest(_ColdLimitTestCase):
+    """Warm-up settings in the updates that VMs send each other."""
 
     @parameterized.expand([("whole", 0), ("changes", 10)])
-    def test_snapshot(self, _, after):
-        """A changed rate travels with the configuration."""
+    def test_warmups_in_snapshot(self, _, after):
+        """A changed rate is sent along with the configuration."""
         known, learner = self.core(), self.core()
-        changed = RoutesPublished(_table(2, STEADY), 11)
+        changed = RoutesPublished(_table(2, TEN_FLOWS_PER_S), 11)
         known.apply(Update((changed,), 11), 1.0)
-        told = snapshot.decode(
+        update = snapshot.decode(
             snapshot.encode(known, Position(0, after))
         ).ok_value
-        learner.apply(told, 1.0)
-        self.assertEqual({"registry": STEADY}, learner.table.warmups)
+        learner.apply(update, 1.0)
+        self.assertEqual({"registry": TEN_FLOWS_PER_S}, learner.table.warmups)
--- a/tests/steering_drains_test.py
+++ b/tests/steering_drains_test.py
@@ -34,69 +34,69 @@
     core.apply(Update((ZoneRestored(zone, revision),), revision), 2.0)
 
 
-def _open(core, number: int, now: float = 1.0, copies: int = 0):
+def _send_syn(core, number: int, now: float = 1.0, copies: int = 0):
     return core.on_segment(group.syn(group.flow(number), copies), now)
 
 
 class NewFlowTest(TestCase):
-    """Where new flows go while a zone is drained."""
+    """The placement of new flows while a zone is drained."""
 
     def test_other_zone(self):
-        """No new flow goes to a drained zone, by any of its clients."""
+        """No new flow goes to a drained zone, whichever client opens it."""
         core = group.steering(NEAR, FAR)
         _drain(core)
-        outcomes = [_open(core, number) for number in range(50)]
+        outcomes = [_send_syn(core, number) for number in range(50)]
         self.assertEqual({FAR.name}, {o.endpoint.name for o in outcomes})
 
     def test_repeated_syn(self):
-        """A copy of a SYN sent before the drain does not go there either."""
+        """A SYN repeated after the drain does not go there either."""
         core = group.steering(NEAR, group.endpoint(3), FAR)
-        _open(core, 1)
+        _send_syn(core, 1)
         _drain(core)
-        outcome = _open(core, 1, 1.2, copies=1)
+        outcome = _send_syn(core, 1, 1.2, copies=1)
         self.assertEqual(FAR.name, outcome.endpoint.name)
 
-    def test_no_last_resort(self):
-        """Every endpoint outside is down: the drained zone stays empty."""
+    def test_all_others_down(self):
+        """A drained zone gets no flows even if all other endpoints are down."""
         core = group.steering(NEAR, FAR)
         core.on_check(core.catalog.get(FAR.name), CheckResult.REFUSED, 1.0)
         _drain(core)
-        outcome = _open(core, 1)
+        outcome = _send_syn(core, 1)
         self.assertEqual(FAR.name, outcome.endpoint.name)
         self.assertIs(PlacementReason.LAST_RESORT, outcome.placed)
 
     @parameterized.expand([("current", 1.0), ("out_of_date", 100.0)])
     def test_all_drained(self, _, now):
-        """A service without an endpoint elsewhere is refused at once."""
+        """New flows are refused at once if all zones are drained."""
         core = group.steering(NEAR, FAR)
         _drain(core)
         _drain(core, group.OTHER_ZONE, 12)
-        outcome = _open(core, 1, now)
+        outcome = _send_syn(core, 1, now)
         self.assertIsInstance(outcome, Reset)
         self.assertIs(ResetReason.ZONE_DRAINED, outcome.reason)
 
     def test_endpoint_announced_later(self):
-        """A zone was drained before its first endpoint started."""
+        """A drain covers endpoints that start after it."""
         core = group.steering(FAR)
         _drain(core)
         core.apply(Update((EndpointAnnounced(NEAR, 12),), 12), 1.0)
-        self.assertEqual(FAR.name, _open(core, 1).endpoint.name)
+        self.assertEqual(FAR.name, _send_syn(core, 1).endpoint.name)
 
     def test_restored(self):
-        """The zone takes new flows again."""
+        """A restored zone takes new flows again."""
         core = group.steering(NEAR, FAR)
         _drain(core)
         _restore(core)
-        self.assertEqual(NEAR.name, _open(core, 1, 9.0).endpoint.name)
+        self.assertEqual(NEAR.name, _send_syn(core, 1, 9.0).endpoint.name)
 
 
 class OpenFlowTest(TestCase):
-    """What becomes of flows that a drained zone still has."""
+    """The flows that a drained zone still has."""
 
-    def test_goes_on(self):
-        """An open flow is carried until it ends."""
+    def test_open_flow_continues(self):
+        """An open flow is still forwarded to its endpoint."""
         core = group.steering(NEAR, FAR)
-        _open(core, 1)
+        _send_syn(core, 1)
         _drain(core)
         segment = group.segment(group.flow(1), NEAR.token, length=10)
         outcome = core.on_segment(segment, 3.0)
@@ -105,7 +105,7 @@
 
     @parameterized.expand([("with_a_flow", True, 1), ("without", False, 0)])
     def test_checks(self, _, carried, checks):
-        """Only endpoints whose clients wait for an answer are asked."""
+        """Only endpoints that still have flows are checked."""
         core = group.steering(NEAR, FAR)
         if carried:
             segment = group.segment(group.flow(1), NEAR.token, length=10)
@@ -114,11 +114,12 @@
         core.catalog.get(NEAR.name).health.ask(2.0, CheckReason.REPORTED)
         self.assertEqual(checks, len(core.due_checks(2.0)))
 
-    def test_down_endpoint_is_not_asked_for_ever(self):
-        """An endpoint that died before the drain is left alone.
+    def test_down_endpoint_is_not_checked_forever(self):
+        """An endpoint that died before the drain is no longer checked.
 
-        Its belief is dropped with the check: a flow that arrives from another
-        VM would else be reset although the endpoint may have returned.
+        Its down state is dropped together with the check. Otherwise a flow
+        that moves here from another VM would be reset although the endpoint
+        may be back.
         """
         core = group.steering(NEAR, FAR)
         record = core.catalog.get(NEAR.name)
@@ -128,11 +129,12 @@
         segment = group.segment(group.flow(1), NEAR.token, length=10)
         self.assertIsInstance(core.on_segment(segment, 9.0), Forward)
 
-    def test_no_control(self):
-        """A drained zone that is cut off ends no flow to the others.
+    def test_no_controls_for_drained_zone(self):
+        """Endpoints of a drained zone are not used as controls for other zones.
 
-        Were an endpoint of the own zone enough to find the others down, their
-        flows would be reset, which VMs of other zones can carry.
+        If a drained zone is cut off, its VMs could otherwise take the other
+        zones' endpoints for down and reset flows that VMs of other zones can
+        still carry.
         """
         core = group.steering(NEAR, FAR)
         _drain(core)
@@ -140,7 +142,7 @@
         self.assertEqual([], core.doubts.controls(failing, 2))
 
 
-class _DrainsCase(TestCase):
+class _DrainsTestCase(TestCase):
     def setUp(self):
         super().setUp()
         self.drains = Drains()
@@ -149,41 +151,41 @@
         return self.drains.apply(Update(changes, revision, whole))
 
 
-class OrderTest(_DrainsCase):
-    """Changes that come late, twice or in one answer."""
+class OrderTest(_DrainsTestCase):
+    """Changes that arrive late, twice or in one answer."""
 
-    def test_older_news(self):
-        """A peer that is behind does not drain a zone again."""
+    def test_older_update(self):
+        """A late update of a peer does not drain a restored zone again."""
         self._apply(ZoneDrained("a", 11))
         self._apply(ZoneRestored("a", 12))
         self.assertEqual([], self._apply(ZoneDrained("a", 11)))
         self.assertFalse(self.drains.is_drained("a"))
 
     def test_drained_and_restored_at_once(self):
-        """An entry that came and went within one answer leaves nothing."""
+        """A drain written and removed within one answer has no effect."""
         self._apply(ZoneDrained("a", 11), ZoneRestored("a", 12))
         self.assertEqual({}, self.drains.zones)
 
-    def test_whole(self):
-        """A list of everything restores what it does not name."""
+    def test_complete_listing(self):
+        """A complete listing restores the zones that it does not name."""
         self._apply(ZoneDrained("a", 11), ZoneDrained("b", 12))
         self._apply(ZoneDrained("b", 12), whole=True)
         self.assertEqual({"b": 12}, self.drains.zones)
 
-    def test_whole_but_older(self):
-        """A list from before the drain does not end it."""
+    def test_older_complete_listing(self):
+        """A listing older than the drain does not end it."""
         self._apply(ZoneDrained("a", 30))
         self._apply(revision=20, whole=True)
         self.assertTrue(self.drains.is_drained("a"))
 
-    def test_unclear(self):
-        """A drain whose entry became unreadable stays in force."""
+    def test_unreadable_entry(self):
+        """A drain whose entry can no longer be parsed stays in force."""
         self._apply(ZoneDrained("a", 11))
         self.drains.apply(Update((), 20, True, (), ("a",)))
         self.assertTrue(self.drains.is_drained("a"))
 
-    def test_memory(self):
-        """Zones that come and go by the thousand do not fill the memory."""
+    def test_bounded_number_of_zones(self):
+        """The number of zones kept is bounded, however many come and go."""
         for number in range(3 * MAX_ZONES):
             zone, revision = f"z{number}", 10 + 2 * number
             self._apply(ZoneDrained(zone, revision))
@@ -191,33 +193,35 @@
         self.assertLessEqual(len(self.drains._zones), MAX_ZONES)
 
 
-class TellingTest(TestCase):
-    """How VMs that did not read the directory learn of a drain."""
+class PeerUpdateTest(TestCase):
+    """Drains in the updates that VMs send each other."""
 
     @parameterized.expand([("whole", 0), ("changes", 10)])
-    def test_snapshot(self, _, after):
-        """Peers tell drains with everything and with the latest changes."""
+    def test_drain_in_snapshot(self, _, after):
+        """Complete and incremental updates of a peer both contain drains."""
         known, learner = group.steering(NEAR, FAR), group.steering(NEAR, FAR)
         _drain(known)
-        told = snapshot.decode(
+        update = snapshot.decode(
             snapshot.encode(known, Position(0, after))
         ).ok_value
-        learner.apply(told, 2.0)
+        learner.apply(update, 2.0)
         self.assertEqual({group.ZONE: 11}, learner.catalog.drains.zones)
 
     def test_restored(self):
-        """A peer tells the end of a drain as well."""
+        """An update of a peer contains the end of a drain as well."""
         known, learner = group.steering(NEAR, FAR), group.steering(NEAR, FAR)
         for core in (known, learner):
             _drain(core)
         _restore(known)
-        told = snapshot.decode(snapshot.encode(known, Position(0, 11))).ok_value
-        learner.apply(told, 2.0)
+        update = snapshot.decode(
+            snapshot.encode(known, Position(0, 11))
+        ).ok_value
+        learner.apply(update, 2.0)
         self.assertEqual({}, learner.catalog.drains.zones)
 
 
-class EntryTest(TestCase):
-    """The directory's entries of drains, good and bad."""
+class DirectoryEntryTest(TestCase):
+    """Valid and invalid drain entries of the directory."""
 
     def _read(self, key: str, value: object, whole: bool = True) -> Update:
         store = Store()
@@ -225,8 +229,8 @@
         items = json.loads(store.items_body())["items"]
         return read_items(items, store.revision, whole=whole)
 
-    def test_good(self):
-        """A zone is drained, whether or not anybody knows it."""
+    def test_valid(self):
+        """A drain is accepted even if no endpoint is known in the zone."""
         update = self._read("op/evacuate/nowhere", {})
         self.assertEqual((ZoneDrained("nowhere", 11),), update.changes)
 
@@ -242,8 +246,8 @@
             ("long", "op/evacuate/" + "a" * 188, b"[]"),
         ]
     )
-    def test_bad(self, _, key, value):
-        """An entry that cannot be understood drains nothing and is told."""
+    def test_invalid(self, _, key, value):
+        """An entry that cannot be parsed drains nothing and is reported."""
         update = self._read(key, value)
         self.assertEqual((), update.changes)
         self.assertEqual(1, len(update.refused))
--- a/tests/steering_group.py
+++ b/tests/steering_group.py
@@ -1,4 +1,4 @@
-"""Endpoints, routes and segments for the tests of steering."""
+"""Helpers of the steering tests: endpoints, routes and segments."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 
 def endpoint(number: int, zone: str = ZONE, **fields) -> Endpoint:
-    """Returns an endpoint of the registry."""
+    """Returns an endpoint of the service `registry`."""
     values = {
         "name": f"i-{number:010x}",
         "number": number,
@@ -38,7 +38,7 @@
 
 
 def table(version: int = 1, *services: str) -> RouteTable:
-    """Returns a configuration whose one route shares among services."""
+    """Returns a configuration with one route, split evenly among services."""
     splits = tuple(Split(name, 1) for name in services or ("registry",))
     route = Route("feed", VIP, PORT, splits, True)
     paths = {split.service: "/health" for split in splits}
@@ -48,14 +48,14 @@
 def listing(
     *endpoints: Endpoint, revision: int = 10, routes=None, epoch: int = 0
 ) -> Update:
-    """Returns a whole list of endpoints and a configuration."""
+    """Returns a complete listing of endpoints and a configuration."""
     changes = [EndpointAnnounced(each, revision) for each in endpoints]
     published = RoutesPublished(routes or table(), revision)
     return Update((published, *changes), revision, whole=True, epoch=epoch)
 
 
 def flow(number: int = 1) -> FlowKey:
-    """Returns a flow of a client."""
+    """Returns a client's flow key; `number` selects the client's port."""
     return FlowKey("100.64.0.7", 1024 + number, VIP, PORT)
 
 
@@ -103,7 +103,7 @@
     routes=None,
     epoch: int = 0,
 ) -> Steering:
-    """Returns the beliefs of a VM that has read a list."""
+    """Returns the steering core of a VM that has read a complete listing."""
     core = Steering(zone, Counters(), random.Random(1))
     core.apply(listing(*endpoints, routes=routes, epoch=epoch), now)
     core.on_confirmed(now)
--- a/tests/steering_members_test.py
+++ b/tests/steering_members_test.py
@@ -1,4 +1,4 @@
-"""Tests of steering._members: who is there, and who reads for a zone."""
+"""Tests of steering._members: membership and the choice of readers."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -21,7 +21,7 @@
 
 
 def _members(count: int, own: int = 0, now: float = 0.0) -> Members:
-    """Returns what one VM knows of a zone whose VMs all are heard."""
+    """Returns one VM's members in a zone where it hears from every VM."""
     members = Members(f"10.0.0.{own}", ZONE)
     for number in range(count):
         members.on_heard(f"10.0.0.{number}", ZONE, now)
@@ -29,7 +29,7 @@
 
 
 class ReadersTest(TestCase):
-    """A zone's VMs choose the same readers without asking anybody."""
+    """The VMs of a zone choose the same readers without communication."""
 
     @parameterized.expand(
         [
@@ -38,7 +38,7 @@
             ("great", 25, READERS_PER_ZONE),
         ]
     )
-    def test_alike(self, _, count, expected):
+    def test_same_on_every_vm(self, _, count, expected):
         """Each VM of a zone computes the same readers."""
         chosen = {
             tuple(_members(count, own).readers(0.0)) for own in range(count)
@@ -46,11 +46,10 @@
         self.assertEqual(1, len(chosen))
         self.assertEqual(expected, len(chosen.pop()))
 
-    def test_silent_reader(self):
-        """A reader froze: its zone would hear of no change any more.
+    def test_unresponsive_reader(self):
+        """A reader that does not answer is replaced until it is heard from.
 
-        It is asked and does not answer, so another VM takes its turn; when
-        it is heard from again it has its turn back.
+        Otherwise a zone whose reader hangs would receive no more changes.
         """
         members = _members(25)
         first = members.readers(0.0)
@@ -65,23 +64,25 @@
         members.on_heard(lost, ZONE, ANSWER_TIMEOUT_S + 0.1)
         self.assertEqual(first, members.readers(ANSWER_TIMEOUT_S + 0.1))
 
-    def test_narrow_links(self):
-        """A configuration of a thousand routes comes; most links are narrow.
+    def test_fast_links_preferred(self):
+        """VMs with a fast link are preferred as readers.
 
-        On a reader's narrow link it would keep out clients' packets for a
-        second, and endpoints would be taken for dead whose answers do not get
-        through.
+        On a reader's slow link a configuration of a thousand routes would
+        displace clients' packets for a second, and endpoints whose answers do
+        not get through would be taken for dead.
         """
-        widths = {f"10.0.0.{n}": 100 if n in (7, 19) else 5 for n in range(25)}
-        for own in widths:
-            members = Members(own, ZONE, link_mbps=widths[own])
-            for host, width in widths.items():
+        link_mbps = {
+            f"10.0.0.{n}": 100 if n in (7, 19) else 5 for n in range(25)
+        }
+        for own in link_mbps:
+            members = Members(own, ZONE, link_mbps=link_mbps[own])
+            for host, width in link_mbps.items():
                 members.on_heard(host, ZONE, 0.0, width)
             chosen = members.readers(0.0)
             self.assertEqual({"10.0.0.7", "10.0.0.19"}, set(chosen))
 
-    def test_wide_links_lost(self):
-        """Both VMs with a wide link died; others read, wide or not."""
+    def test_vms_with_fast_links_lost(self):
+        """If both VMs with a fast link fail, others become readers."""
         members = _members(9)
         for host in ("10.0.0.1", "10.0.0.2"):
             members.on_heard(host, ZONE, 0.0, 100)
@@ -93,8 +94,8 @@
         self.assertEqual(READERS_PER_ZONE, len(left))
         self.assertEqual(set(), left & {"10.0.0.1", "10.0.0.2"})
 
-    def test_asked_again(self):
-        """One that was passed over is asked again after some seconds."""
+    def test_exclusion_ends(self):
+        """An excluded VM is considered again after `EXCLUSION_S`."""
         members = _members(25)
         lost = next(h for h in members.readers(0.0) if h != "10.0.0.0")
         members.on_asked(lost, 0.0)
@@ -103,7 +104,7 @@
         self.assertIn(lost, members.readers(ANSWER_TIMEOUT_S + EXCLUSION_S))
 
     def test_lost_answer(self):
-        """One lost answer of a reader that answers the next changes nothing."""
+        """One lost answer does not change the readers."""
         members = _members(25)
         first = members.readers(0.0)
         asked = next(host for host in first if host != "10.0.0.0")
@@ -124,13 +125,14 @@
         self.assertEqual([OTHER], members.other_zones)
 
 
-class LifeTest(TestCase):
-    """VMs come and go, and nobody keeps a list."""
+class MembershipTest(TestCase):
+    """VMs join and leave without a central list of members."""
 
-    def test_hearsay(self):
-        """A VM died; two others that name it must not keep it alive.
+    def test_announcements_do_not_keep_alive(self):
+        """A VM is not kept alive by others that announce it.
 
-        It would be asked for ever, and be a reader that reads nothing.
+        Otherwise a dead VM would be queried forever, and could be a reader
+        that reads nothing.
         """
         members = _members(3)
         self.assertIn("10.0.0.1", members.heard(ZONE, HEARD_TIMEOUT_S - 0.1))
@@ -138,10 +140,11 @@
         members.on_named("10.0.0.1", ZONE, HEARD_TIMEOUT_S)
         self.assertNotIn("10.0.0.1", members.heard(ZONE, HEARD_TIMEOUT_S))
 
-    def test_lost_in_a_cut(self):
-        """A zone was cut off longer than its VMs are remembered.
+    def test_lost_vms_are_contacted(self):
+        """Lost VMs are contacted again, a limited number of times.
 
-        Nobody would speak first, and each half would go on alone.
+        Otherwise, after a partition that lasts longer than members are
+        remembered, neither side would contact the other.
         """
         members = _members(3)
         members.expire(MEMBER_TIMEOUT_S)
@@ -154,20 +157,22 @@
         self.assertEqual([], members.strangers())
 
     def test_seeds(self):
-        """The seeds were down when this VM started; they are asked on."""
+        """Seeds that are down are contacted without a limit of attempts."""
         members = Members("10.0.0.0", ZONE, ["10.0.0.0", "10.1.0.9"])
         for _ in range(2 * MAX_CONTACT_ATTEMPTS):
             self.assertEqual(["10.1.0.9"], members.strangers())
 
 
 class RankingTest(TestCase):
-    """Readers are kept between the datagrams of a zone's VMs."""
+    """Rankings are cached between the datagrams of a zone's VMs."""
 
     @parameterized.expand([(str(vms), vms) for vms in (70, 140, 280)])
-    def test_work(self, _, vms):
-        """A reader takes in two reports a second of each VM of its zone.
+    def test_ranking_is_cached(self, _, vms):
+        """Reports do not cause a new ranking each.
 
-        Ranking the zone for each would grow with the square of the fleet.
+        A reader receives two reports per second from each VM of its zone.
+        Ranking the zone for each of them would cost time that grows with the
+        square of the fleet.
         """
         members = _members(vms)
         ranked = []
@@ -193,17 +198,17 @@
         )
     )
     @settings(max_examples=150, deadline=None, derandomize=True)
-    def test_same_as_fresh(self, steps):
-        """Whatever happens, readers are those that a new ranking gives."""
+    def test_cache_equals_new_ranking(self, steps):
+        """After any events, cached readers equal those of a new ranking."""
         members, now = _members(3), 0.0
-        for what, number, zone, later_s, mbps in steps:
+        for event, number, zone, elapsed_s, mbps in steps:
             host = f"10.0.0.{number}"
-            now += later_s
-            if what == "heard":
+            now += elapsed_s
+            if event == "heard":
                 members.on_heard(host, zone, now, mbps)
-            elif what == "named":
+            elif event == "named":
                 members.on_named(host, zone, now, mbps)
-            elif what == "asked":
+            elif event == "asked":
                 members.on_asked(host, now)
             else:
                 members.expire(now)
