--- a/src/pollenmast/steering/_members.py
+++ b/src/pollenmast/steering/_members.py
@@ -1,18 +1,20 @@
-"""Which VMs there are, and which of each zone are its readers.
+"""Membership of the fleet, and the choice of each zone's readers.
 
 Load pattern: every call to the directory and every message between VMs is
-counted and paid for. If each VM watched the directory, a change would be told
-as often as there are VMs; if each VM told each other one its load, messages
-would grow with the square of the fleet. So a few VMs of each zone, its
-readers, watch the directory and gather the reports of the others.
-
-Nobody appoints a reader. Each VM computes them from the VMs that it knows and
-passes over one that does not answer it. The widest links come first: a
-configuration of a thousand routes takes a reader 0.6 s at 5 Mbit/s and is then
-handed on to the zone. Over a narrow link that kept out clients' packets and
-health checks, and the reader took living endpoints for dead. Views may differ
-for seconds: whoever is asked answers as well as it can, so a wrong choice costs
-freshness only.
+counted and paid for. If every VM watched the directory, each change would be
+sent once per VM; if every VM reported its load to every other, the number of
+messages would grow with the square of the fleet. So a few VMs of each zone,
+its readers, watch the directory and collect the reports of the others.
+
+Readers are not elected. Each VM computes them from the members that it knows
+and skips those that do not answer it. VMs with the highest link bandwidth are
+preferred: at 5 Mbit/s a reader needs 0.6 s to receive a configuration of a
+thousand routes, which it then forwards to its zone. On a slow link that
+transfer displaced clients' packets and health checks, and the reader took live
+endpoints for dead.
+
+The VMs' views may differ for seconds. Any VM that is asked answers with what
+it knows, so a wrong choice of reader only makes the data less fresh.
 """
 
 import math
@@ -21,38 +23,41 @@
 
 import attrs
 
-READERS = 2
-"""Readers of a zone: one can be lost without a gap."""
+READERS_PER_ZONE = 2
+"""Readers per zone: one can fail without an interruption."""
 
-SMALL_ZONE = 4
-"""Up to so many VMs a zone has one reader: the zones hear from each other,
-and the loss of one reader is bridged by them."""
+SINGLE_READER_MAX_VMS = 4
+"""The largest number of VMs with which a zone has only one reader. The zones
+exchange reports, which covers the loss of that reader."""
 
-SILENT_S = 1.4
-"""A reader that has not answered for so long is passed over. Readers are
-asked in turn twice a second: one lost answer alone does not change them."""
+ANSWER_TIMEOUT_S = 1.4
+"""Time without an answer after which a VM is not chosen as a reader, in
+seconds. Readers are queried in turn twice a second, so one lost answer alone
+does not change the choice."""
 
-AVOID_S = 6.0
-"""For how long; it is asked again after the usual restart or cut. Hearing
-from it ends this at once."""
+EXCLUSION_S = 6.0
+"""How long a VM that did not answer is not chosen as a reader, in seconds.
+After a restart or network partition of usual length it is queried again; a
+message from it ends the exclusion at once."""
 
-HEARD_S = 2.5
-"""A VM counts as heard from for so long: two of its reports were missed. Only
-who was heard from is named to others, so that a dead VM is not kept alive by
-hearsay."""
+HEARD_TIMEOUT_S = 2.5
+"""How long after its last message a VM counts as heard from, in seconds: time
+for two missed reports. Only VMs heard from directly are announced to others;
+otherwise VMs would keep a dead member alive by announcing it to each other."""
 
-MEMBER_LIFE_S = 6.0
-"""A VM that was neither heard from nor named for so long is lost."""
+MEMBER_TIMEOUT_S = 6.0
+"""A VM that was neither heard from nor announced by others for this many
+seconds is considered lost and removed."""
 
-MOST_TRIES = 60
-"""How often a lost VM is asked whether it is back, once a second or two: a
-zone may be cut off for longer than its VMs are remembered, and after the cut
-somebody must speak first."""
+MAX_CONTACT_ATTEMPTS = 60
+"""How many times a lost VM is contacted again, once every second or two. A
+zone may be partitioned for longer than its VMs are remembered; afterwards one
+side has to make contact first."""
 
 
 @attrs.frozen
 class _Ranking:
-    """A zone's readers, until one that is passed over is asked again."""
+    """A zone's readers, valid until an exclusion ends."""
 
     readers: list[str]
     valid_until: float
@@ -62,15 +67,15 @@
 class _Member:
     zone: str
     rank: int
-    known_at: float
+    last_seen_at: float
     link_mbps: int = 0
     heard_at: float = float("-inf")
-    asked_at: float | None = None
-    avoided_until: float = float("-inf")
+    queried_at: float | None = None
+    excluded_until: float = float("-inf")
 
 
 class Members:
-    """The VMs that one VM knows, by the address that they are told at."""
+    """The other VMs known to this one, by their address for reports."""
 
     def __init__(
         self,
@@ -79,28 +84,28 @@
         seeds: Iterable[str] = (),
         link_mbps: int = 0,
     ):
-        self._own = own
+        self._own_host = own
         self._zone = zone
         self._link_mbps = link_mbps
         self._members: dict[str, _Member] = {}
         self._seeds = set(seeds) - {own}
-        self._lost: dict[str, int] = {}
-        self._ranked: dict[str, _Ranking] = {}
+        self._contact_attempts: dict[str, int] = {}
+        self._rankings: dict[str, _Ranking] = {}
         self._joined_at = float("-inf")
 
     @property
     def joined_at(self) -> float:
-        """When this VM last learned of a VM that it had not known."""
+        """When this VM last learned of a new member."""
         return self._joined_at
 
     @property
     def hosts(self) -> list[str]:
-        """Every other VM known."""
+        """The addresses of all other known VMs."""
         return list(self._members)
 
     @property
     def mates(self) -> list[str]:
-        """The other VMs of the own zone."""
+        """The addresses of the other VMs of this VM's zone."""
         return [
             host
             for host, member in self._members.items()
@@ -109,104 +114,109 @@
 
     @property
     def other_zones(self) -> list[str]:
-        """The other zones that have a VM."""
+        """The other zones that have a known VM, sorted."""
         zones = {m.zone for m in self._members.values()}
         return sorted(zones - {self._zone})
 
     def heard(self, zone: str, now: float) -> list[str]:
-        """Returns the VMs of a zone that this one hears from."""
+        """Returns the VMs of a zone that were heard from recently."""
         return [
             host
             for host, member in self._members.items()
-            if member.zone == zone and now - member.heard_at < HEARD_S
+            if member.zone == zone and now - member.heard_at < HEARD_TIMEOUT_S
         ]
 
     def unheard(self, now: float) -> list[str]:
-        """Returns the VMs of the own zone that were only named to it.
+        """Returns the VMs of this VM's zone known only from others.
 
-        Two VMs that each take themselves for the reader meet only if one of
-        them asks.
+        Two VMs that each consider themselves the reader get in contact only if
+        one of them queries the other.
         """
         heard = self.heard(self._zone, now)
         return sorted(set(self.mates) - set(heard))
 
     def strangers(self) -> list[str]:
-        """Returns VMs to ask who they are: seeds and those that were lost."""
-        for host in list(self._lost):
-            self._lost[host] += 1
-            if self._lost[host] > MOST_TRIES:
-                del self._lost[host]
-        return sorted({*self._seeds, *self._lost} - set(self._members))
+        """Returns VMs to contact that are no members: seeds and lost VMs.
+
+        Each call counts as one attempt to contact every lost VM.
+        """
+        for host in list(self._contact_attempts):
+            self._contact_attempts[host] += 1
+            if self._contact_attempts[host] > MAX_CONTACT_ATTEMPTS:
+                del self._contact_attempts[host]
+        return sorted(
+            {*self._seeds, *self._contact_attempts} - set(self._members)
+        )
 
     def link_mbps(self, host: str) -> int:
-        """Returns the width of a VM's link, 0 if nobody has told it."""
+        """Returns the bandwidth of a VM's link in Mbit/s, 0 if unknown."""
         member = self._members.get(host)
         return member.link_mbps if member is not None else 0
 
     def on_heard(
         self, host: str, zone: str, now: float, link_mbps: int = 0
     ) -> None:
-        """A VM has sent something."""
-        if host == self._own:
+        """Handles any message received from a VM."""
+        if host == self._own_host:
             return
         self.on_named(host, zone, now, link_mbps)
         member = self._members[host]
-        if member.zone != zone or member.avoided_until > now:
-            self._ranked.clear()
+        if member.zone != zone or member.excluded_until > now:
+            self._rankings.clear()
         member.zone = zone
         member.heard_at = now
-        member.asked_at = None
-        member.avoided_until = float("-inf")
+        member.queried_at = None
+        member.excluded_until = float("-inf")
 
     def on_named(
         self, host: str, zone: str, now: float, link_mbps: int = 0
     ) -> None:
-        """Another VM has heard from this one lately."""
-        if host == self._own:
+        """Handles another VM's announcement that it has heard from `host`."""
+        if host == self._own_host:
             return
         member = self._members.get(host)
         if member is None:
             rank = zlib.crc32(f"{zone}/{host}".encode())
             member = self._members[host] = _Member(zone, rank, now)
-            self._lost.pop(host, None)
-            self._ranked.clear()
+            self._contact_attempts.pop(host, None)
+            self._rankings.clear()
             self._joined_at = now
-        member.known_at = now
+        member.last_seen_at = now
         if link_mbps and link_mbps != member.link_mbps:
             member.link_mbps = link_mbps
-            self._ranked.clear()
+            self._rankings.clear()
 
     def on_asked(self, host: str, now: float) -> None:
-        """This VM has asked another one and expects an answer."""
+        """Records a query to another VM whose answer is now expected."""
         member = self._members.get(host)
-        if member is not None and member.asked_at is None:
-            member.asked_at = now
+        if member is not None and member.queried_at is None:
+            member.queried_at = now
 
     def expire(self, now: float) -> None:
-        """Forgets who is lost, and passes over who does not answer."""
+        """Removes lost VMs and excludes VMs that did not answer in time."""
         for host, member in list(self._members.items()):
-            if now - member.known_at >= MEMBER_LIFE_S:
+            if now - member.last_seen_at >= MEMBER_TIMEOUT_S:
                 del self._members[host]
-                self._lost[host] = 0
-                self._ranked.clear()
+                self._contact_attempts[host] = 0
+                self._rankings.clear()
                 continue
-            asked_at = member.asked_at
-            if asked_at is not None and now - asked_at >= SILENT_S:
-                member.asked_at = None
-                member.avoided_until = now + AVOID_S
-                self._ranked.clear()
+            queried_at = member.queried_at
+            if queried_at is not None and now - queried_at >= ANSWER_TIMEOUT_S:
+                member.queried_at = None
+                member.excluded_until = now + EXCLUSION_S
+                self._rankings.clear()
 
     def readers(self, now: float, zone: str | None = None) -> list[str]:
-        """Returns the readers of a zone, by default the own one.
+        """Returns the readers of a zone, by default of this VM's zone.
 
-        Among links of the same width, rendezvous hashing: the loss of a VM
-        moves only its own turn.
+        Among links of equal bandwidth rendezvous hashing decides, so that the
+        loss of a VM reassigns only that VM's role.
         """
         zone = self._zone if zone is None else zone
-        known = self._ranked.get(zone)
-        if known is None or now >= known.valid_until:
-            known = self._ranked[zone] = self._rank(zone, now)
-        return list(known.readers)
+        ranking = self._rankings.get(zone)
+        if ranking is None or now >= ranking.valid_until:
+            ranking = self._rankings[zone] = self._rank(zone, now)
+        return list(ranking.readers)
 
     def _rank(self, zone: str, now: float) -> _Ranking:
         ranked = []
@@ -214,17 +224,17 @@
         for host, member in self._members.items():
             if member.zone != zone:
                 continue
-            if member.avoided_until > now:
-                valid_until = min(valid_until, member.avoided_until)
+            if member.excluded_until > now:
+                valid_until = min(valid_until, member.excluded_until)
                 continue
             ranked.append((-member.link_mbps, member.rank, host))
         if zone == self._zone:
-            rank = zlib.crc32(f"{zone}/{self._own}".encode())
-            ranked.append((-self._link_mbps, rank, self._own))
+            rank = zlib.crc32(f"{zone}/{self._own_host}".encode())
+            ranked.append((-self._link_mbps, rank, self._own_host))
         ranked.sort()
-        count = 1 if len(ranked) <= SMALL_ZONE else READERS
+        count = 1 if len(ranked) <= SINGLE_READER_MAX_VMS else READERS_PER_ZONE
         return _Ranking([host for *_, host in ranked[:count]], valid_until)
 
     def is_reader(self, now: float) -> bool:
         """Whether this VM is one of its zone's readers."""
-        return self._own in self.readers(now)
+        return self._own_host in self.readers(now)
--- a/src/pollenmast/steering/_watchlist.py
+++ b/src/pollenmast/steering/_watchlist.py
@@ -1,8 +1,8 @@
-"""Which endpoints need a look at their health, and when.
+"""Schedules when endpoints' health has to be evaluated.
 
 Load pattern: hundreds of endpoints, of which a VM's clients use a few at a
-time. A VM that looked at every endpoint on every tick would spend more on
-idle ones than on packets, and the more the larger the fleet is.
+time. Evaluating every endpoint on every tick would cost a VM more time for
+idle endpoints than for packets, and the more so the larger the fleet.
 """
 
 import math
@@ -12,19 +12,24 @@
 
 
 class Watchlist:
-    """The endpoints that wait for a sign of life or for a check."""
+    """The endpoints that wait for traffic or for a health check."""
 
     def __init__(self):
         self._records: dict[str, Record] = {}
         self._next_at = math.inf
-        self._on_earlier: Callable[[], None] = _nothing
+        self._on_earlier: Callable[[], None] = _do_nothing
 
     def notify(self, on_earlier: Callable[[], None]) -> None:
-        """Sets what is called when a look is due earlier than told."""
+        """Sets a callback for when the next evaluation moves forward.
+
+        Args:
+            on_earlier: Called when an evaluation is due earlier than the last
+                result of `next_at`.
+        """
         self._on_earlier = on_earlier
 
     def add(self, record: Record) -> None:
-        """Takes in an endpoint of which something is expected."""
+        """Adds an endpoint if its health has to be evaluated later."""
         at = record.health.look_at
         if at == math.inf:
             return
@@ -34,7 +39,7 @@
             self._on_earlier()
 
     def look(self, now: float) -> list[Record]:
-        """Looks at each of them; returns those to be checked now."""
+        """Evaluates all endpoints on the list; returns those to check now."""
         due = []
         for name, record in list(self._records.items()):
             record.health.look(now)
@@ -45,20 +50,21 @@
                 due.append(record)
         return due
 
-    def next_at(self, under_way: Container[str]) -> float:
-        """Returns when to look next, infinite while nothing is expected.
+    def next_at(self, in_progress: Container[str]) -> float:
+        """Returns the time of the next evaluation, infinity if none is due.
 
         Args:
-            under_way: Names of endpoints whose check will be heard of.
+            in_progress: Names of endpoints with a health check in progress,
+                whose result triggers the next evaluation.
         """
         times = (
             record.health.look_at
             for name, record in self._records.items()
-            if name not in under_way
+            if name not in in_progress
         )
         self._next_at = min(times, default=math.inf)
         return self._next_at
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     pass
