--- a/src/pollenmast/entry/_carrier.py
+++ b/src/pollenmast/entry/_carrier.py
@@ -1,7 +1,7 @@
-"""Carries clients' datagrams; needs no event loop.
+"""Forwards clients' datagrams without depending on the event loop.
 
-A VM carries packets before its event loop and most of its program are loaded
-(`_boot`), and from the loop afterwards (`_packets`).
+A VM forwards packets from `_boot` before its event loop and most of its program
+are loaded, and from the event loop (`_packets`) afterwards.
 """
 
 import socket
@@ -21,13 +21,21 @@
 from pollenmast.steering import Drop, Forward, Reset, Segment, Steering
 
 BATCH = 64
-"""Datagrams read in a row before other tasks get their turn, about 3 ms."""
+"""Limit on the datagrams read in a row before other tasks run, about 3 ms."""
 
-_MOST_DATAGRAM_BYTES = 2048
+_MAX_DATAGRAM_BYTES = 2048
 
 
 class Carrier:
-    """Takes clients' datagrams and sends them where steering says."""
+    """Receives clients' datagrams and forwards them as steering decides.
+
+    Args:
+        sock: The socket of clients' datagrams, which must not block.
+        packets: The format of the datagrams.
+        steering: Chooses the endpoint of each flow.
+        counters: Counts dropped datagrams.
+        log: The event log.
+    """
 
     def __init__(
         self,
@@ -46,7 +54,7 @@
 
     @property
     def sock(self) -> socket.socket:
-        """The socket of clients' datagrams."""
+        """The socket on which clients' datagrams arrive."""
         return self._sock
 
     def close(self) -> None:
@@ -54,32 +62,37 @@
         self._sock.close()
 
     def skip_syns(self) -> None:
-        """The VM stood still: SYNs that waited are from clients long gone.
+        """Drops the SYNs that are queued in the socket after a pause.
 
-        Passed on, each would take a connection of an endpoint for nobody.
+        Their clients have given up long ago. Forwarded, each SYN would occupy
+        a connection of an endpoint that no client uses.
         """
         self._skip_syns = True
 
     def carry_waiting(self, now: float) -> None:
-        """Carries the datagrams that wait in the socket, up to a batch."""
+        """Forwards the datagrams queued in the socket, at most `BATCH`.
+
+        Args:
+            now: Time of the event loop's clock in seconds.
+        """
         for _ in range(BATCH):
             try:
-                datagram = self._sock.recv(_MOST_DATAGRAM_BYTES)
+                datagram = self._sock.recv(_MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 self._skip_syns = False
                 return
             except OSError:
-                # A datagram sent before found no listener; the error is
-                # reported here and says nothing of this socket.
+                # The error concerns a datagram sent earlier, to an address
+                # without a listener, and says nothing of this socket.
                 continue
-            self._carry(datagram, now)
+            self._on_datagram(datagram, now)
 
-    def end(self, resets: list[Reset], now: float) -> None:
-        """Tells clients that their flows have ended."""
+    def send_resets(self, resets: list[Reset], now: float) -> None:
+        """Sends resets to the clients of flows that have ended."""
         for reset in resets:
             self._send_reset(reset, "", now)
 
-    def _carry(self, datagram: bytes, now: float) -> None:
+    def _on_datagram(self, datagram: bytes, now: float) -> None:
         decoded = self._packets.decode(datagram)
         if isinstance(decoded, Err):
             self._counters.add(c.DROPS, decoded.err_value)
@@ -96,11 +109,11 @@
             endpoint = outcome.endpoint
             data = self._packets.for_endpoint(segment, endpoint)
             self._send(data, (endpoint.host, endpoint.port))
-            self._tell_forward(segment, outcome, now)
+            self._log_forward(segment, outcome, now)
         elif isinstance(outcome, Reset):
             self._send_reset(outcome, self._packets.request_id(segment), now)
         else:
-            self._tell_drop(segment, outcome, now)
+            self._log_drop(segment, outcome, now)
 
     def _send_reset(self, reset: Reset, request: str, now: float) -> None:
         data, address = self._packets.for_reset(reset)
@@ -111,18 +124,18 @@
             reason=reset.reason,
             endpoint=reset.endpoint,
             request=request,
-            **self._inputs(now),
+            **self._state_fields(now),
         )
 
     def _send(self, data: bytes, address: Address) -> None:
         try:
             self._sock.sendto(data, address)
         except OSError:
-            # The link's queue is full or the address is out of reach; the
-            # ends send again, and the counter tells.
+            # The send queue is full or the address is unreachable. The client
+            # or endpoint retransmits; the drop is counted.
             self._counters.add(c.DROPS, DropReason.SEND_FAILED)
 
-    def _tell_forward(
+    def _log_forward(
         self, segment: Segment, outcome: Forward, now: float
     ) -> None:
         if outcome.placed is not None:
@@ -132,7 +145,7 @@
                 endpoint=outcome.endpoint.name,
                 reason=outcome.placed,
                 copies=segment.syn_copies,
-                **self._inputs(now),
+                **self._state_fields(now),
             )
         elif segment.length:
             request = self._packets.request_id(segment)
@@ -144,17 +157,17 @@
                     endpoint=outcome.endpoint.name,
                 )
 
-    def _tell_drop(self, segment: Segment, outcome: Drop, now: float) -> None:
+    def _log_drop(self, segment: Segment, outcome: Drop, now: float) -> None:
         self._log.write(
             SEGMENT_DROPPED,
             reason=outcome.reason,
             flow=str(segment.flow),
             token=segment.token,
-            **self._inputs(now),
+            **self._state_fields(now),
         )
 
-    def _inputs(self, now: float) -> dict[str, object]:
-        """Returns what decisions rest on, for the log: versions and age."""
+    def _state_fields(self, now: float) -> dict[str, object]:
+        """Returns the log fields for the version and age of the data in use."""
         table = self._steering.table
         return {
             "routes": table.version if table is not None else 0,
--- a/src/pollenmast/entry/_checks.py
+++ b/src/pollenmast/entry/_checks.py
@@ -1,4 +1,4 @@
-"""Asks doubted endpoints for their health, and ends the flows of dead ones."""
+"""Checks the health of suspect endpoints and resets flows of dead ones."""
 
 import anyio
 import anyio.abc
@@ -25,33 +25,47 @@
 )
 from pollenmast.steering import CheckResult, Presence, Record, Steering
 
-TICK_S = 0.03
-"""The least between two looks at which checks are due: below the time that a
-client's second packet may take. A VM whose endpoints all show life does not
-look: at 30 looks a second, waking up was most of a quiet VM's work."""
+MIN_SCAN_INTERVAL_S = 0.03
+"""Minimum number of seconds between two scans for due checks: less than the
+time that a client's second packet may take. A VM does not scan while all its
+endpoints show activity: at 30 scans per second, waking up was most of the work
+of an idle VM."""
 
 LAG_FACTOR = 4.0
-"""A check's timeouts grow by so many times this VM's own lag: its connection
-takes some turns of the loop, each of which may be as late."""
+"""Multiple of this VM's own lag by which the timeouts of a check are extended.
+A connection takes several iterations of the event loop, each of which may be
+late by the lag."""
 
-MOST_EXTRA_S = 2.0
-"""The most that they grow by; a lag of half a second is as good as a pause."""
+MAX_EXTRA_S = 2.0
+"""Limit on this extension, in seconds. A lag of half a second amounts to a
+pause."""
 
-LATE_S = 0.02
-"""A timeout that fires later than this says that the VM has just become late,
-and nothing of the endpoint."""
+TIMER_LATE_S = 0.02
+"""Delay in seconds beyond which a late timeout shows that this VM itself has
+just fallen behind, and says nothing of the endpoint."""
 
-MOST_CONTROLS = 2
-"""Living endpoints that are asked beside one that may be down. The first may
-have died a moment ago; both at once is less likely than a fault here."""
+MAX_CONTROLS = 2
+"""Limit on the control endpoints: endpoints known to be alive that are probed
+along with one that may be down. One of them may have died a moment ago; that
+both have died at once is less likely than a fault of this VM."""
 
-MOST_CHECKS = 16
-"""Checks under way at the same time; a whole zone of endpoints can become
-doubtful at once, and each check takes a descriptor and a little time."""
+MAX_CHECKS = 16
+"""Limit on concurrent checks. All endpoints of a zone can become suspect at
+once, and each check takes a file descriptor and some processor time."""
 
 
 class Checker:
-    """Makes the checks that steering asks for."""
+    """Runs the health checks that steering requests.
+
+    Args:
+        probe: Makes the connections.
+        steering: Decides which checks are due, and what their results mean.
+        carrier: Sends resets to clients of dead endpoints.
+        pauses: Detects pauses and the lag of this VM.
+        counters: Counts checks and their results.
+        histograms: Records how long checks take.
+        log: The event log.
+    """
 
     def __init__(
         self,
@@ -70,44 +84,44 @@
         self._counters = counters
         self._histograms = histograms
         self._log = log
-        self._under_way: set[str] = set()
-        self._told_down: set[str] = set()
+        self._in_progress: set[str] = set()
+        self._logged_down: set[str] = set()
         self._woken = anyio.Event()
         self._watchlist = steering.catalog.watchlist
         self._watchlist.notify(self._wake)
 
     async def run(self) -> None:
-        """Checks until cancelled."""
+        """Starts due checks until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
                 now = anyio.current_time()
                 for record in self._steering.due_checks(now):
-                    self._begin(record, tasks)
-                await self._until_due()
+                    self._start_check(record, tasks)
+                await self._wait_until_due()
 
     def _wake(self) -> None:
         self._woken.set()
 
-    async def _until_due(self) -> None:
-        """Waits until an endpoint has to be looked at."""
-        next_at = self._watchlist.next_at(self._under_way)
-        await anyio.sleep(TICK_S)
+    async def _wait_until_due(self) -> None:
+        """Waits until a check may be due, at least `MIN_SCAN_INTERVAL_S`."""
+        next_at = self._watchlist.next_at(self._in_progress)
+        await anyio.sleep(MIN_SCAN_INTERVAL_S)
         with anyio.move_on_after(next_at - anyio.current_time()):
             await self._woken.wait()
         self._woken = anyio.Event()
 
-    def _begin(self, record: Record, tasks: anyio.abc.TaskGroup) -> None:
+    def _start_check(self, record: Record, tasks: anyio.abc.TaskGroup) -> None:
         name = record.endpoint.name
-        if name in self._under_way or len(self._under_way) >= MOST_CHECKS:
+        if name in self._in_progress or len(self._in_progress) >= MAX_CHECKS:
             return
-        self._under_way.add(name)
+        self._in_progress.add(name)
         tasks.start_soon(self._check, record)
 
     async def _check(self, record: Record) -> None:
-        """Checks until it is decided whether an endpoint is down.
+        """Checks an endpoint until it is decided whether it is down.
 
-        Its clients wait meanwhile, so a check that was not answered is
-        repeated at once and not at the next look.
+        Its clients wait in the meantime, so an unanswered check is repeated at
+        once rather than at the next scan.
         """
         name = record.endpoint.name
         try:
@@ -115,27 +129,32 @@
                 if not await self._check_once(record):
                     return
         finally:
-            self._under_way.discard(name)
+            self._in_progress.discard(name)
             self._wake()
 
     async def _check_once(self, record: Record) -> bool:
-        """Makes one check; returns whether it says anything.
-
-        A VM whose link is full, or cut, reaches nobody. It would find every
-        endpoint down, end its clients' flows, and tell the others. So after
-        the first timeout, one counts only if an endpoint that has just shown
-        life was reached at the same moment: a link that is full for some
-        tenths of a second may let a later question through.
+        """Runs one check and applies its result if it is conclusive.
+
+        A VM whose own link is saturated or cut reaches no endpoint. It would
+        consider all of them down, reset the flows of its clients and report
+        the endpoints to other VMs. So after the first timeout, another one
+        counts only if a control endpoint, one that has just shown activity,
+        was reached at the same moment. A control probe sent later does not
+        suffice: a link that is saturated for some tenths of a second may let
+        it through.
+
+        Returns:
+            Whether the result was conclusive.
         """
-        extra_s = min(LAG_FACTOR * self._pauses.lag_s, MOST_EXTRA_S)
+        extra_s = min(LAG_FACTOR * self._pauses.lag_s, MAX_EXTRA_S)
         controls = []
         if record.health.failing:
-            controls = self._steering.doubts.controls(record, MOST_CONTROLS)
+            controls = self._steering.doubts.controls(record, MAX_CONTROLS)
         reached: list[bool] = []
         async with anyio.create_task_group() as tasks:
             for other in controls:
-                tasks.start_soon(self._reach, other, extra_s, reached)
-            result = await self._ask(record, extra_s)
+                tasks.start_soon(self._probe_control, other, extra_s, reached)
+            result = await self._probe_health(record, extra_s)
         if result is None:
             return False
         if result is CheckResult.TIMEOUT and controls and not any(reached):
@@ -147,11 +166,13 @@
                 lag_ms=round(1000.0 * self._pauses.lag_s),
             )
             return False
-        self._take(record, result)
+        self._apply_result(record, result)
         return True
 
-    async def _ask(self, record: Record, extra_s: float) -> CheckResult | None:
-        """Asks an endpoint; returns None if the answer says nothing."""
+    async def _probe_health(
+        self, record: Record, extra_s: float
+    ) -> CheckResult | None:
+        """Probes an endpoint; returns None if the result is inconclusive."""
         endpoint = record.endpoint
         table = self._steering.table
         paths = table.health_paths if table is not None else {}
@@ -174,16 +195,16 @@
             took_ms=round(1000.0 * took_s),
             flows=self._steering.flows.count(endpoint.name),
         )
-        self._pauses.look()
-        late = took_s > self._probe.timeout_s + extra_s + LATE_S
-        stood = self._pauses.count != pauses
-        if result is CheckResult.TIMEOUT and (late or stood):
-            # This VM stood still or was held up meanwhile: its own clock ran
-            # out, which says nothing of the endpoint.
+        self._pauses.check()
+        late = took_s > self._probe.timeout_s + extra_s + TIMER_LATE_S
+        paused = self._pauses.count != pauses
+        if result is CheckResult.TIMEOUT and (late or paused):
+            # This VM was suspended or delayed during the check, so its own
+            # timer expired, which says nothing of the endpoint.
             return None
         return result
 
-    async def _reach(
+    async def _probe_control(
         self, record: Record, extra_s: float, reached: list[bool]
     ) -> None:
         self._counters.add(CHECKS, CheckReason.CONTROL)
@@ -191,12 +212,12 @@
         self._counters.add(PROBES, "answered" if answered else "failed")
         reached.append(answered)
 
-    def _take(self, record: Record, result: CheckResult) -> None:
+    def _apply_result(self, record: Record, result: CheckResult) -> None:
         before = record.presence
         now = anyio.current_time()
         resets = self._steering.on_check(record, result, now)
-        self._carrier.end(resets, now)
-        event = self._event(record, before)
+        self._carrier.send_resets(resets, now)
+        event = self._state_event(record, before)
         if event is not None:
             self._log.write(
                 event,
@@ -209,16 +230,16 @@
                 flows=len(resets),
             )
 
-    def _event(self, record: Record, before: Presence) -> Event | None:
-        """Returns what a check has changed, if anything."""
+    def _state_event(self, record: Record, before: Presence) -> Event | None:
+        """Returns the event to log if the check changed the state, or None."""
         name = record.endpoint.name
         if record.presence is Presence.GONE and before is not Presence.GONE:
-            self._told_down.discard(name)
+            self._logged_down.discard(name)
             return ENDPOINT_GONE
-        if record.health.down and name not in self._told_down:
-            self._told_down.add(name)
+        if record.health.down and name not in self._logged_down:
+            self._logged_down.add(name)
             return ENDPOINT_DOWN
-        if not record.health.down and name in self._told_down:
-            self._told_down.discard(name)
+        if not record.health.down and name in self._logged_down:
+            self._logged_down.discard(name)
             return ENDPOINT_UP
         return None
--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -1,17 +1,20 @@
-"""Reports between VMs: load, dead endpoints, and what has changed.
-
-Load pattern: each VM sees a part of the requests and its own troubles. What
-another one knows already costs it a client's waiting time to find out: that
-an endpoint is full, that one is dead, that the directory has moved on while
-its own connection to it fell silent.
-
-Each VM tells its own load to a reader of its zone, twice a second, and gets
-the load of all in the answer. Readers of different zones tell each other
-their zones' sums. So a VM's messages do not grow with the fleet; a reader's
-grow with its zone. Changes travel with the reports, and at once when a reader
-learns of them; what is too long for a datagram, or was lost, is asked for.
-
-Reports are unacknowledged; what is lost comes again half a second later.
+"""Gossip between VMs: load, dead endpoints, and configuration changes.
+
+Load pattern: each VM sees only a part of the requests and only its own
+failures. To find out by itself what another VM already knows costs it a
+client's waiting time: that an endpoint is full, that one is dead, or that the
+directory has newer data while this VM's own connection to it has gone silent.
+
+Twice a second, each VM reports its own load to one of the readers of its
+zone, the VMs that watch the directory, and receives the total load in the
+answer. Readers of different zones exchange the sums of their zones. So the
+number of messages of a VM does not grow with the fleet; that of a reader grows
+with its zone. Changes are attached to the reports, and are also sent at once
+when a reader learns of them. Changes that are too long for a datagram, or that
+were lost, are requested over HTTP.
+
+Reports are not acknowledged; the content of a lost report is sent again half a
+second later.
 """
 
 import random
@@ -27,7 +30,7 @@
 from pollenmast.entry._pause import PauseWatch
 from pollenmast.entry._peers import PeerReader
 from pollenmast.entry._ports import Address
-from pollenmast.entry._report import MOST_CHANGE_BYTES, Kind, Report
+from pollenmast.entry._report import MAX_CHANGE_BYTES, Kind, Report
 from pollenmast.steering import (
     NOTHING_KNOWN,
     Failures,
@@ -37,39 +40,55 @@
     Steering,
 )
 
-EVERY_S = 0.5
-"""Between two reports. Load is measured over two seconds."""
+REPORT_INTERVAL_S = 0.5
+"""Seconds between two reports. Load is measured over two seconds."""
 
-STRANGERS_EVERY = 4
-"""Rounds between two questions to VMs that are not known: seeds that were
-down, and VMs lost in a cut. Often enough to join within a cut's usual time."""
+DISCOVERY_ROUNDS = 4
+"""Rounds between two attempts to contact VMs that are not current members:
+seeds that were down, and VMs lost in a network partition. This is often enough
+to rejoin within the usual duration of a partition."""
 
-MOST_STRANGERS = 3
-"""Of them asked at once."""
+MAX_DISCOVERY_TARGETS = 3
+"""Limit on how many of these VMs are contacted in one round."""
 
-STABLE_S = 2.0
-"""Without a new VM for so long a VM takes those that it knows for all. While a
-fleet starts each report names some more."""
+MEMBERS_STABLE_S = 2.0
+"""Seconds without a new member after which a VM considers its list of members
+complete. While a fleet starts, each report names some more VMs."""
 
-ALONE_ROUNDS = 10
-"""Rounds after which a VM that has never heard from another one takes itself
-for the only one."""
+SOLE_VM_ROUNDS = 10
+"""Rounds after which a VM that has never heard from another one assumes that
+it is the only one."""
 
-ANSWER_LIFE_S = 0.1
-"""For how long one answer serves all who ask: a reader of 30 VMs is asked 30
-times a second, and most of an answer's work is adding up the load. Each report
-counts its age as so much greater, as it may be sent so much later."""
+ANSWER_CACHE_S = 0.1
+"""Seconds for which an encoded answer is reused for all VMs that ask. A reader
+with 30 VMs is asked 30 times a second, and most of the work of an answer is
+adding up the load. As a report may be sent this much later, its age is
+increased by this much."""
 
-NEWS_PAUSE_S = 0.1
-"""The least between two rounds of news. While a service is released, changes
-come by the dozen a second, and each round costs a message a VM."""
+MIN_CHANGES_INTERVAL_S = 0.1
+"""Minimum number of seconds between two broadcasts of changes. While a service
+is released, dozens of changes arrive each second, and each broadcast costs one
+message per VM."""
 
-_MOST_DATAGRAM_BYTES = 8192
-_BATCH = 64
+_MAX_DATAGRAM_BYTES = 8192
+_MAX_BATCH = 64
 
 
 class Gossip:
-    """Sends and takes in reports."""
+    """Exchanges reports with other VMs over UDP.
+
+    Args:
+        vm: The name of this VM.
+        zone: Its availability zone.
+        address: Where it receives reports; all VMs use the same port.
+        seeds: Addresses of some VMs, which may be down.
+        steering: The routing state that reports are read from and applied to.
+        peers: Applies changes, and fetches those that do not fit a report.
+        counters: Counts malformed datagrams and the bytes sent.
+        rng: Source of randomness for intervals and samples.
+        link_mbps: Bandwidth of this VM's link in Mbit/s, 0 if unknown.
+        pauses: Detects that this VM was suspended.
+    """
 
     def __init__(
         self,
@@ -96,10 +115,10 @@
         self._counters = counters
         self._rng = rng
         self._round = 0
-        self._heard = False
-        self._told = NOTHING_KNOWN
-        self._answered = (float("-inf"), NOTHING_KNOWN, b"")
-        self._news = anyio.Event()
+        self._heard_any_peer = False
+        self._broadcast_position = NOTHING_KNOWN
+        self._cached_answer = (float("-inf"), NOTHING_KNOWN, b"")
+        self._changes_pending = anyio.Event()
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.setblocking(False)
         self._sock.bind(address)
@@ -109,83 +128,90 @@
         self._sock.close()
 
     def is_reader(self) -> bool:
-        """Whether this VM is one of its zone's that watch the directory."""
+        """Returns whether this VM watches the directory for its zone."""
         return self._members.is_reader(anyio.current_time())
 
     def sharers(self) -> tuple[str, list[str]] | None:
-        """Returns this VM and the others of its zone, None if not known yet.
+        """Returns the VMs that share an endpoint's allowance during warm-up.
 
-        A VM that has just started, or is cut off, does not know them.
+        Returns:
+            The address of this VM and those of the others of its zone. None if
+            they are not known: this VM has just started or is cut off.
         """
         return self.sharers_at(anyio.current_time())
 
     def sharers_at(self, now: float) -> tuple[str, list[str]] | None:
-        """Returns the same at a moment of the runtime's clock, in seconds."""
+        """Returns `sharers` for a given time.
+
+        Args:
+            now: Time of the event loop's clock in seconds.
+        """
         load = self._steering.load
         if load.is_settled(now):
             mates = self._members.mates
-            # A reader hears from all VMs of the zone; the others know those
-            # that reports have named.
+            # A reader hears from all VMs of the zone; other VMs know only
+            # those that reports have named.
             complete = len(mates) + 1 >= load.told_vms(now)
-            stable = now - self._members.joined_at >= STABLE_S
+            stable = now - self._members.joined_at >= MEMBERS_STABLE_S
             return (self._host, mates) if complete and stable else None
-        alone = not self._heard and self._round >= ALONE_ROUNDS
+        alone = not self._heard_any_peer and self._round >= SOLE_VM_ROUNDS
         return (self._host, []) if alone else None
 
     def push(self) -> None:
-        """Something has changed: the others are told soon."""
-        self._news.set()
+        """Schedules a broadcast of changes to the other VMs."""
+        self._changes_pending.set()
 
     async def send(self) -> None:
-        """Sends reports until cancelled."""
+        """Sends reports periodically until cancelled."""
         while True:
-            self.tell(anyio.current_time())
-            await anyio.sleep(EVERY_S * self._rng.uniform(0.9, 1.1))
+            self.send_reports(anyio.current_time())
+            await anyio.sleep(REPORT_INTERVAL_S * self._rng.uniform(0.9, 1.1))
 
     async def send_news(self) -> None:
-        """Tells what has changed until cancelled."""
+        """Broadcasts changes after each `push` until cancelled."""
         while True:
-            await self._news.wait()
-            self._news = anyio.Event()
-            self.tell_news(anyio.current_time())
-            await anyio.sleep(NEWS_PAUSE_S)
+            await self._changes_pending.wait()
+            self._changes_pending = anyio.Event()
+            self.broadcast_changes(anyio.current_time())
+            await anyio.sleep(MIN_CHANGES_INTERVAL_S)
 
     def discard_waiting(self) -> None:
-        """The VM stood still: what waits was sent before or meanwhile.
+        """Discards the datagrams that are queued in the socket after a pause.
 
-        A report tells how old its sender's view was when it was sent. Taken
-        in seconds later it would make this VM's old view look young: clients
-        of a route added meanwhile would be told that there is none.
+        They were sent before or during the pause. A report states the age of
+        its sender's data at the time of sending. Applied seconds later, it
+        would make this VM's outdated data appear recent: clients of a route
+        that was added meanwhile would be told that there is no such route.
         """
         while True:
             try:
-                self._sock.recvfrom(_MOST_DATAGRAM_BYTES)
+                self._sock.recvfrom(_MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError:
                 continue
 
     async def receive(self) -> None:
-        """Takes in reports until cancelled."""
+        """Receives reports until cancelled."""
         while True:
             await anyio.wait_readable(self._sock)
-            # A pause that has just ended discards what waits here.
-            self._pauses.look()
+            # If a pause has just ended, this discards the queued datagrams.
+            self._pauses.check()
             now = anyio.current_time()
-            for _ in range(_BATCH):
+            for _ in range(_MAX_BATCH):
                 try:
-                    datagram, sender = self._sock.recvfrom(_MOST_DATAGRAM_BYTES)
+                    datagram, sender = self._sock.recvfrom(_MAX_DATAGRAM_BYTES)
                 except BlockingIOError:
                     break
                 except OSError:
-                    # A peer has no listener any more; the error belongs to
-                    # a datagram sent before.
+                    # The error concerns a datagram sent earlier, to a peer
+                    # that no longer listens.
                     continue
                 self.take(datagram, sender[0], now)
             await anyio.lowlevel.checkpoint()
 
-    def tell(self, now: float) -> None:
-        """Sends this VM's reports of one round."""
+    def send_reports(self, now: float) -> None:
+        """Sends the reports of one round."""
         self._members.expire(now)
         self._round += 1
         readers = self._members.readers(now)
@@ -194,9 +220,13 @@
         if asked:
             asked = [asked[self._round % len(asked)]]
         if self._host in readers:
-            asked += self._some(self._members.unheard(now), MOST_STRANGERS)
-        if not self._members.hosts or self._round % STRANGERS_EVERY == 0:
-            asked += self._some(self._members.strangers(), MOST_STRANGERS)
+            asked += self._sample(
+                self._members.unheard(now), MAX_DISCOVERY_TARGETS
+            )
+        if not self._members.hosts or self._round % DISCOVERY_ROUNDS == 0:
+            asked += self._sample(
+                self._members.strangers(), MAX_DISCOVERY_TARGETS
+            )
         failures = self._steering.outliers.own(now)
         ask = self._report(
             Kind.ASK, now, 1, load.report(now), failures=failures
@@ -206,28 +236,32 @@
             self._members.on_asked(host, now)
         if self._host in readers:
             self._steering.outliers.eject(now)
-            self._tell_zones(now)
+            self._report_to_zones(now)
 
-    def tell_news(self, now: float) -> None:
-        """Tells the VMs of the zone what this one has learned since.
+    def broadcast_changes(self, now: float) -> None:
+        """Sends changes since the last call to VMs of this zone.
 
-        Readers share them out, as each of them learns of a change itself.
+        Only readers send them. Each reader learns of a change by itself, so
+        the VMs to be notified are divided among the readers by hash.
         """
-        after, self._told = self._told, self._position
+        after, self._broadcast_position = (
+            self._broadcast_position,
+            self._position,
+        )
         changes = self._changes(after)
         readers = self._members.readers(now)
         if self._host not in readers or not changes:
             return
         own = readers.index(self._host)
         news = self._report(
-            Kind.NEWS, now, after=after.revision, changes=changes
+            Kind.CHANGES, now, after=after.revision, changes=changes
         )
         for host in set(self._members.mates) - set(readers):
             if zlib.crc32(host.encode()) % len(readers) == own:
                 self._send(news, host)
 
     def take(self, datagram: bytes, host: str, now: float) -> None:
-        """Takes in one report."""
+        """Handles a datagram from another VM."""
         decoded = reports.decode(datagram)
         if isinstance(decoded, Err):
             self._counters.add(ENVELOPE_FAULTS, "malformed")
@@ -235,27 +269,29 @@
         report = decoded.ok_value
         if report.vm == self._vm:
             return
-        self._heard = True
+        self._heard_any_peer = True
         self._members.on_heard(host, report.zone, now, report.link_mbps)
         for named, link_mbps in report.members.items():
             self._members.on_named(named, report.members_zone, now, link_mbps)
-        self._learn_load(report, now)
-        self._learn_down(report, now)
-        self._learn_changes(report, host, now)
+        self._record_load(report, now)
+        self._record_down(report, now)
+        self._apply_changes(report, host, now)
         if report.kind is Kind.ASK:
             self._answer(report, host, now)
         elif report.kind is Kind.ZONE and not self._members.is_reader(now):
-            # Its sender does not know this zone's readers.
+            # The sender does not know the readers of this zone; the answer
+            # names VMs of this zone.
             self._send(self._report(Kind.ANSWER, now), host)
 
     @property
     def _position(self) -> Position:
         return self._steering.position
 
-    def _learn_down(self, report: Report, now: float) -> None:
+    def _record_down(self, report: Report, now: float) -> None:
         if not report.down:
             return
-        # Readers that left the looking to each other would all stop.
+        # A reader always checks by itself: readers that relied on each other's
+        # checks would all stop checking.
         if self._members.is_reader(now):
             for number in report.down:
                 self._steering.doubts.on_reported_down(number, now)
@@ -263,10 +299,12 @@
             for number in report.down:
                 self._steering.doubts.on_told_down(number, now)
 
-    def _learn_load(self, report: Report, now: float) -> None:
+    def _record_load(self, report: Report, now: float) -> None:
         load = self._steering.load
         if report.kind is Kind.ANSWER and report.zone == self._zone:
-            load.on_total(report.rates, report.vms, now, report.floor)
+            load.on_total(
+                report.rates, report.vms, now, report.unlisted_rate_bound
+            )
             self._steering.outliers.on_told(report.ejected, now)
         elif report.kind is Kind.ZONE:
             load.on_zone(report.zone, report.rates, report.vms, now)
@@ -274,18 +312,18 @@
             load.on_mate(report.vm, report.rates, now)
             self._steering.outliers.on_mate(report.vm, report.failures, now)
 
-    def _learn_changes(self, report: Report, host: str, now: float) -> None:
-        """Learns from a peer that knows more, or that it knows no more."""
+    def _apply_changes(self, report: Report, host: str, now: float) -> None:
+        """Applies a report's changes and compares the peer's position."""
         follows = Position(report.position.epoch, report.after)
-        if report.changes and self._is_reached(follows):
-            self._peers.told(report.changes, host)
+        if report.changes and self._has_reached(follows):
+            self._peers.on_update(report.changes, host)
         if report.position > self._position:
-            self._peers.behind(host, report.position)
+            self._peers.on_peer_ahead(host, report.position)
         elif report.position == self._position:
             self._steering.on_confirmed(now - report.age_s)
 
-    def _is_reached(self, position: Position) -> bool:
-        """Whether what follows a position continues what is known."""
+    def _has_reached(self, position: Position) -> bool:
+        """Returns whether changes after a position can be applied here."""
         same_epoch = position.epoch == self._position.epoch
         return same_epoch and position <= self._position
 
@@ -293,24 +331,33 @@
         if NOTHING_KNOWN < report.position < self._position:
             after = report.position
             changes = self._changes(after)
-            answer = self._total(now, report.zone, after.revision, changes)
+            answer = self._total_report(
+                now, report.zone, after.revision, changes
+            )
         elif report.zone != self._zone:
-            answer = self._total(now, report.zone)
+            answer = self._total_report(now, report.zone)
         else:
-            answer = self._same_answer(now)
+            answer = self._shared_answer(now)
         self._send(answer, host)
 
-    def _same_answer(self, now: float) -> bytes:
-        at, position, answer = self._answered
-        if now - at >= ANSWER_LIFE_S or position != self._position:
-            answer = self._total(now, self._zone)
-            self._answered = (now, self._position, answer)
+    def _shared_answer(self, now: float) -> bytes:
+        at, position, answer = self._cached_answer
+        if now - at >= ANSWER_CACHE_S or position != self._position:
+            answer = self._total_report(now, self._zone)
+            self._cached_answer = (now, self._position, answer)
         return answer
 
-    def _total(
+    def _total_report(
         self, now: float, zone: str, after: int = 0, changes: bytes = b""
     ) -> bytes:
-        """Returns an answer that names the VMs of the asker's zone."""
+        """Returns an answer with the total load.
+
+        Args:
+            now: Time of the event loop's clock in seconds.
+            zone: The zone whose VMs are named, which is that of the asker.
+            after: The revision that the changes follow.
+            changes: Encoded changes, empty if none.
+        """
         load = self._steering.load
         vms, rates = load.vms(now), load.gathered(now)
         ejected = ()
@@ -320,30 +367,36 @@
             Kind.ANSWER, now, vms, rates, after, changes, zone, ejected=ejected
         )
 
-    def _tell_zones(self, now: float) -> None:
-        """Tells a reader of each other zone this zone's load."""
+    def _report_to_zones(self, now: float) -> None:
+        """Reports the load of this zone to a reader of each other zone."""
         load = self._steering.load
         zones = self._members.other_zones
         if not zones:
             return
-        # Zones that only a third one knows meet by being named.
+        # Two zones that know only a third one learn of each other from the
+        # VMs that it names.
         named = self._rng.choice([self._zone, *zones])
         vms, rates = load.vms(now), load.zone(now)
-        told = self._report(Kind.ZONE, now, vms, rates, zone=named)
+        report = self._report(Kind.ZONE, now, vms, rates, zone=named)
         for zone in zones:
             readers = self._members.readers(now, zone)
             if readers:
-                self._send(told, readers[self._round % len(readers)])
+                self._send(report, readers[self._round % len(readers)])
 
-    def _some(self, hosts: list[str], most: int) -> list[str]:
+    def _sample(self, hosts: list[str], most: int) -> list[str]:
         return hosts if len(hosts) <= most else self._rng.sample(hosts, most)
 
     def _changes(self, after: Position) -> bytes:
-        """Returns the changes after a position, empty if they are too long."""
+        """Returns the encoded changes after a position.
+
+        Returns:
+            The changes; empty if they are not kept any more or are too long for
+            a report.
+        """
         if snapshot.changes_since(self._steering, after) is None:
             return b""
         changes = snapshot.encode(self._steering, after)
-        return changes if len(changes) <= MOST_CHANGE_BYTES else b""
+        return changes if len(changes) <= MAX_CHANGE_BYTES else b""
 
     def _report(
         self,
@@ -363,17 +416,20 @@
             for record in self._steering.catalog.records
             if record.health.down and record.presence is not Presence.GONE
         ]
-        named = self._some(self._members.heard(zone, now), reports.MOST_MEMBERS)
+        named = self._sample(
+            self._members.heard(zone, now), reports.MAX_MEMBERS
+        )
         report = Report(
             kind,
             self._vm,
             self._zone,
             self._position,
-            self._steering.age_s(now) + ANSWER_LIFE_S,
+            self._steering.age_s(now) + ANSWER_CACHE_S,
             vms,
             rates or {},
-            # Where a report cannot name them all, each gets its turn.
-            tuple(self._some(down, reports.MOST_ENDPOINTS)),
+            # If they do not all fit, a random sample is sent, so that each is
+            # included in some report.
+            tuple(self._sample(down, reports.MAX_ENDPOINTS)),
             {host: self._members.link_mbps(host) for host in named},
             zone,
             after,
@@ -388,6 +444,7 @@
         try:
             self._sock.sendto(datagram, (host, self._port))
         except (OSError, ValueError):
-            # Full, out of reach, or no address: the next report is due soon.
+            # The send queue is full, the host is unreachable, or the address
+            # is invalid. The next report is due soon.
             return
         self._counters.add(CONTROL_BYTES, "gossip", len(datagram))
--- a/src/pollenmast/entry/_packets.py
+++ b/src/pollenmast/entry/_packets.py
@@ -1,4 +1,4 @@
-"""Clients' datagrams, from the event loop."""
+"""Forwards clients' datagrams from the event loop."""
 
 import anyio
 
@@ -6,16 +6,18 @@
 from pollenmast.entry._pause import PauseWatch
 from pollenmast.steering import Steering
 
-HOLD_S = 0.8
-"""How long packets wait for the first routes and endpoints after a start. A
-client gives a SYN up after 1.4 s; the directory answers within milliseconds,
-so that a longer wait means that it is away."""
+MAX_HOLD_S = 0.8
+"""Maximum time in seconds that packets are held after a start until the first
+routes and endpoints are known. A client gives up a SYN after 1.4 s; the
+directory answers within milliseconds, so a longer wait means that it is
+unavailable."""
 
-HOLD_TICK_S = 0.005
+HOLD_POLL_S = 0.005
+"""Seconds between two checks whether routes and endpoints are known."""
 
 
 class PacketLoop:
-    """Has datagrams carried as they arrive."""
+    """Forwards datagrams as they arrive."""
 
     def __init__(
         self, carrier: Carrier, steering: Steering, pauses: PauseWatch
@@ -25,19 +27,20 @@
         self._pauses = pauses
 
     async def run(self) -> None:
-        """Carries datagrams until cancelled."""
-        await self._hold()
+        """Forwards datagrams until cancelled."""
+        await self._wait_until_ready()
         while True:
             await anyio.wait_readable(self._carrier.sock)
-            self._pauses.look()
+            self._pauses.check()
             self._carrier.carry_waiting(anyio.current_time())
             await anyio.lowlevel.checkpoint()
 
-    async def _hold(self) -> None:
-        """Leaves packets in the socket until they can be carried.
+    async def _wait_until_ready(self) -> None:
+        """Leaves packets queued in the socket until they can be forwarded.
 
-        Thrown away, each would be sent again only after 0.2 to 1.6 s.
+        If they were dropped, clients would retransmit them only after 0.2 to
+        1.6 s.
         """
-        with anyio.move_on_after(HOLD_S):
+        with anyio.move_on_after(MAX_HOLD_S):
             while not self._steering.ready:
-                await anyio.sleep(HOLD_TICK_S)
+                await anyio.sleep(HOLD_POLL_S)
--- a/src/pollenmast/entry/_peers.py
+++ b/src/pollenmast/entry/_peers.py
@@ -1,8 +1,9 @@
-"""Asks other VMs for endpoints and routes while the directory is away.
+"""Fetches endpoints and routes from other VMs during a directory outage.
 
-Load pattern: the directory is down, or turns this VM away, and many VMs are
-restarted meanwhile. Without peers a VM that has just started knows nothing
-until the directory is back, and a VM that runs falls behind the others.
+Load pattern: the directory is down, or refuses this VM, and many VMs are
+restarted meanwhile. Without peers, a VM that has just started has no endpoints
+or routes until the directory is back, and a running VM falls behind the
+others.
 """
 
 import anyio
@@ -17,21 +18,31 @@
 
 PATH = "/snapshot"
 
-PATIENCE_S = 0.7
-"""The directory's outage from which peers are asked: a few of its answers."""
+OUTAGE_S = 0.7
+"""Length of a directory outage, in seconds, from which on peers are asked. In
+this time the directory normally answers a few times."""
 
-EVERY_S = 1.0
-"""Between two rounds of questions."""
+POLL_INTERVAL_S = 1.0
+"""Seconds between two rounds of requests to the seeds."""
 
-PATIENCE = http1.Patience(first_s=0.4, idle_s=0.4, total_s=2.0)
-"""A peer in the region answers within milliseconds, or is down or cut off. Its
-link may be narrow, and all VMs of a zone ask it at once."""
+TIMEOUTS = http1.Patience(first_s=0.4, idle_s=0.4, total_s=2.0)
+"""Timeouts of a request to a peer. A peer in the region answers within
+milliseconds unless it is down or cut off. The total is longer because the
+peer's link may be slow while all VMs of a zone ask it at once."""
 
 _OK = 200
 
 
 class PeerReader:
-    """Asks the seeds, one after the other."""
+    """Fetches directory data from the seeds and from peers that are ahead.
+
+    Args:
+        seeds: Control addresses of some VMs, which may be down.
+        own: Control address of this VM, None if it has none.
+        steering: Holds the position that this VM has reached.
+        follower: Applies the updates, and knows of directory outages.
+        log: The event log.
+    """
 
     def __init__(
         self,
@@ -43,37 +54,37 @@
     ):
         self._seeds = [seed for seed in seeds if seed != own]
         self._port = own[1] if own is not None else 0
-        self._ahead: dict[str, Position] = {}
-        self._woken = anyio.Event()
-        self._lost_track = False
+        self._positions_ahead: dict[str, Position] = {}
+        self._peer_ahead = anyio.Event()
+        self._needs_full_state = False
         self._steering = steering
         self._follower = follower
         self._log = log
 
-    def behind(self, host: str, position: Position) -> None:
-        """A peer knows more: it is asked for what is missing."""
-        self._ahead[host] = position
-        self._woken.set()
+    def on_peer_ahead(self, host: str, position: Position) -> None:
+        """Schedules a request to a peer that has reached a later position."""
+        self._positions_ahead[host] = position
+        self._peer_ahead.set()
 
     async def run(self) -> None:
-        """Asks whenever the directory is away, until cancelled."""
+        """Asks the seeds during directory outages, until cancelled."""
         while True:
             lost_at = self._follower.lost_at
             now = anyio.current_time()
-            if lost_at is not None and now - lost_at >= PATIENCE_S:
+            if lost_at is not None and now - lost_at >= OUTAGE_S:
                 await self._ask_all()
-            await anyio.sleep(EVERY_S if self._steering.ready else 0.2)
+            await anyio.sleep(POLL_INTERVAL_S if self._steering.ready else 0.2)
 
     async def catch_up(self) -> None:
-        """Asks peers that know more, one at a time, until cancelled.
+        """Asks the peers that are ahead, one at a time, until cancelled.
 
-        One answer mostly makes the other peers' news known too.
+        One answer mostly covers what the other peers are ahead by as well.
         """
         while True:
-            await self._woken.wait()
-            self._woken = anyio.Event()
-            while self._ahead:
-                host, position = self._ahead.popitem()
+            await self._peer_ahead.wait()
+            self._peer_ahead = anyio.Event()
+            while self._positions_ahead:
+                host, position = self._positions_ahead.popitem()
                 if position > self._steering.position:
                     await self._ask((host, self._port))
 
@@ -84,27 +95,35 @@
 
     async def _ask(self, seed: Address) -> None:
         connection = http1.Connection(*seed)
-        known = NOTHING_KNOWN if self._lost_track else self._steering.position
+        known = (
+            NOTHING_KNOWN if self._needs_full_state else self._steering.position
+        )
         target = f"{PATH}?epoch={known.epoch}&after={known.revision}"
         try:
-            answer = await connection.get(target, PATIENCE)
+            answer = await connection.get(target, TIMEOUTS)
         finally:
             await connection.aclose()
         if isinstance(answer, Err) or answer.ok_value.status != _OK:
             return
-        self.told(answer.ok_value.body, f"{seed[0]}:{seed[1]}")
+        self.on_update(answer.ok_value.body, f"{seed[0]}:{seed[1]}")
 
-    def told(self, body: bytes, source: str) -> None:
-        """Takes in what a peer has told."""
-        told = snapshot.decode(body)
-        if isinstance(told, Err):
-            self._log.write(PEER_TOLD, peer=source, fault=told.err_value)
+    def on_update(self, body: bytes, source: str) -> None:
+        """Applies an encoded update received from a peer.
+
+        Args:
+            body: The encoded update.
+            source: The peer, for the log.
+        """
+        decoded = snapshot.decode(body)
+        if isinstance(decoded, Err):
+            self._log.write(PEER_TOLD, peer=source, fault=decoded.err_value)
             return
-        update = told.ok_value
+        update = decoded.ok_value
         if update.position <= self._steering.position:
             return
-        # Changes of a table that this VM does not have: it asks for it all.
-        self._lost_track = not self._steering.fits(update)
+        # If the changes start from a route table that this VM does not have,
+        # the next request asks for the complete state.
+        self._needs_full_state = not self._steering.fits(update)
         self._log.write(
             PEER_TOLD,
             peer=source,
--- a/src/pollenmast/entry/_ports.py
+++ b/src/pollenmast/entry/_ports.py
@@ -1,4 +1,4 @@
-"""What the program of a VM needs from the place it runs in."""
+"""Interfaces through which a VM's program uses its environment."""
 
 import abc
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 EXIT_OK = 0
 EXIT_FAILED = 1
 EXIT_SETTINGS = 2
-"""The settings file cannot be used."""
+"""Exit code if the settings file is unusable."""
 
 
 @attrs.frozen
@@ -31,19 +31,19 @@
     Attributes:
         vm: The VM's name.
         zone: Its availability zone.
-        packets: Where clients' datagrams arrive.
-        ready: Where readiness is asked for, over HTTP.
-        control: Where peers and operators ask, over HTTP, or None.
-        metrics: Where metrics are asked for, over HTTP.
-        gossip: Where reports of other VMs arrive, over UDP.
-        directory: Where endpoints and routes are published.
-        seeds: Control addresses of some VMs, that may be down.
-        apply_s: Seconds within which what is published has to be in force.
-        grace_s: Seconds from the signal to stop until the process is killed.
-        ready_path: The path at which readiness is asked for.
-        link_mbps: The width of the VM's link in Mbit/s, 0 if not known.
-        allowance: How far endpoints that warm up may be overrun, None for no
-            limit.
+        packets: Address that receives clients' datagrams.
+        ready: Address that serves readiness over HTTP.
+        control: Address that serves peers and operators over HTTP, or None.
+        metrics: Address that serves metrics over HTTP.
+        gossip: Address that receives reports of other VMs over UDP.
+        directory: Address at which endpoints and routes are published.
+        seeds: Control addresses of some VMs, which may be down.
+        apply_s: Seconds within which a published change has to be in force.
+        grace_s: Seconds from the stop signal until the process is killed.
+        ready_path: HTTP path of the readiness check.
+        link_mbps: Bandwidth of the VM's link in Mbit/s, 0 if unknown.
+        allowance: By how much endpoints that are warming up may be overrun,
+            None for no limit.
     """
 
     vm: str
@@ -63,67 +63,71 @@
 
 
 class PacketFormat(abc.ABC):
-    """How clients' packets look on the wire."""
+    """The wire format of clients' packets."""
 
     @abc.abstractmethod
     def decode(self, datagram: bytes) -> Result[Segment, DropReason]:
-        """Returns what a client's datagram says, or why it says nothing."""
+        """Decodes a client's datagram.
+
+        Returns:
+            The segment, or the reason to drop the datagram.
+        """
 
     @abc.abstractmethod
     def for_endpoint(self, segment: Segment, endpoint: Endpoint) -> bytes:
-        """Returns the datagram that carries a segment to its endpoint."""
+        """Returns the datagram that forwards a segment to its endpoint."""
 
     @abc.abstractmethod
     def for_reset(self, reset: Reset) -> tuple[bytes, Address]:
-        """Returns a reset for a client and the address that it goes to."""
+        """Returns the datagram of a reset and the client's address."""
 
     @abc.abstractmethod
     def request_id(self, segment: Segment) -> str:
-        """Returns the id of the request that a segment begins, or empty."""
+        """Returns the id of the request that a segment starts, or ""."""
 
 
 class HealthProbe(abc.ABC):
-    """How an endpoint is asked whether it lives."""
+    """Probes whether an endpoint is alive."""
 
     @property
     @abc.abstractmethod
     def timeout_s(self) -> float:
-        """After how many seconds a check says that nobody answers."""
+        """Seconds after which an unanswered check times out."""
 
     @abc.abstractmethod
     async def check(
         self, endpoint: Endpoint, path: str, extra_s: float
     ) -> CheckResult:
-        """Asks an endpoint.
+        """Checks the health of an endpoint.
 
         Args:
             endpoint: The endpoint.
-            path: The path of its service's health check.
-            extra_s: Added to each timeout, in seconds, as this VM itself is
+            path: The HTTP path of its service's health check.
+            extra_s: Seconds added to each timeout because this VM itself is
                 late.
         """
 
     @abc.abstractmethod
     async def reaches(self, endpoint: Endpoint, extra_s: float) -> bool:
-        """Returns whether an endpoint's machine answers, taking no slot.
+        """Returns whether an endpoint's machine answers.
+
+        The probe occupies no slot of the endpoint.
 
         Args:
             endpoint: The endpoint.
-            extra_s: Added to the timeout, in seconds.
+            extra_s: Seconds added to the timeout.
         """
 
 
 @attrs.frozen
 class Ports:
-    """The outside world of one VM.
+    """The environment of one VM.
 
     Attributes:
-        packets: The format of clients' packets.
-        metrics: Where metrics are asked for, over HTTP.
-        gossip: Where reports of other VMs arrive, over UDP.
-        directory: Where endpoints and routes are read.
-        probe: How endpoints are asked.
-        load: Reads the settings again.
+        packets: The wire format of clients' packets.
+        directory: The source of endpoints and routes.
+        probe: Probes endpoints.
+        load: Reloads the settings; returns them or a description of the fault.
     """
 
     packets: PacketFormat
--- a/src/pollenmast/entry/_reach.py
+++ b/src/pollenmast/entry/_reach.py
@@ -1,4 +1,4 @@
-"""Tries the paths to other zones while the own one is drained."""
+"""Probes the paths to other zones while this VM's own zone is drained."""
 
 import anyio
 
@@ -8,12 +8,12 @@
 from pollenmast.events import ZONES_REACHED, ZONES_UNREACHED, EventLog
 from pollenmast.steering import Reach, Record
 
-EVERY_S = 0.25
-"""Between two looks."""
+PROBE_INTERVAL_S = 0.25
+"""Seconds between two rounds of probes."""
 
 
 class ReachWatch:
-    """Makes the connections that steering asks for."""
+    """Connects to the endpoints that `steering.Reach` selects."""
 
     def __init__(
         self,
@@ -30,20 +30,21 @@
         self._log = log
 
     async def run(self) -> None:
-        """Looks until cancelled."""
+        """Probes periodically until cancelled."""
         while True:
-            await self.look()
-            await anyio.sleep(EVERY_S)
+            await self.probe_once()
+            await anyio.sleep(PROBE_INTERVAL_S)
 
-    async def look(self) -> None:
-        """Looks once."""
+    async def probe_once(self) -> None:
+        """Runs one round of probes and logs a change of the result."""
         before = self._reach.cut_off
         targets = self._reach.targets(anyio.current_time())
         if targets:
             pauses = self._pauses.count
             reached = await self._reaches_any(targets)
-            self._pauses.look()
-            # A VM that stood still meanwhile knows nothing of its paths.
+            self._pauses.check()
+            # A failure says nothing of the paths if this VM was suspended
+            # during the probe.
             if reached or self._pauses.count == pauses:
                 self._reach.on_probed(reached)
         if self._reach.cut_off == before:
@@ -57,10 +58,12 @@
         reached: list[bool] = []
         async with anyio.create_task_group() as tasks:
             for record in targets:
-                tasks.start_soon(self._connect, record, reached)
+                tasks.start_soon(self._probe_endpoint, record, reached)
         return any(reached)
 
-    async def _connect(self, record: Record, reached: list[bool]) -> None:
+    async def _probe_endpoint(
+        self, record: Record, reached: list[bool]
+    ) -> None:
         self._counters.add(CHECKS, CheckReason.REACH)
         answered = await self._probe.reaches(
             record.endpoint, self._pauses.lag_s
--- a/src/pollenmast/entry/_report.py
+++ b/src/pollenmast/entry/_report.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other, as msgpack in one datagram."""
+"""The reports that VMs exchange, each encoded as one msgpack datagram."""
 
 import enum
 
@@ -9,67 +9,72 @@
 from pollenmast.steering import Failures, Position, Rates
 
 FORMAT = 6
-"""Number of this format; others are ignored."""
+"""Version of this format; reports of other versions are rejected."""
 
-MOST_ENDPOINTS = 90
-"""Endpoints named in one report, at about 12 bytes each, so that it fits a
-datagram that needs no fragments. The busiest are named."""
+MAX_ENDPOINTS = 90
+"""Limit on the endpoints in each list of a report, at about 12 bytes each, so
+that the datagram needs no fragmentation. Of the rates, the highest are
+sent."""
 
-MOST_FAILURES = 1000
-"""Failures of one endpoint that one VM is believed."""
+MAX_FAILURES = 1000
+"""Limit on the failures of one endpoint that are accepted from one VM."""
 
-MOST_MEMBERS = 12
-"""Other VMs named in one report; a VM that has just started learns of a fleet
-of 9 from the first, and of one of 30 within two seconds."""
+MAX_MEMBERS = 12
+"""Limit on the other VMs named in one report. A VM that has just started learns
+all members of a fleet of 9 from the first report, and those of a fleet of 30
+within two seconds."""
 
-MOST_CHANGE_BYTES = 900
-"""Changes that travel with a report; a peer that lacks more asks for them."""
+MAX_CHANGE_BYTES = 900
+"""Limit on the length of the changes in a report, in bytes. A peer that lacks
+more requests them over HTTP."""
 
-MOST_AGE_MS = 1_000_000
-"""Ages from here on, a quarter of an hour, all mean that it is old."""
+MAX_AGE_MS = 1_000_000
+"""Greatest age that is sent, in milliseconds: about a quarter of an hour. All
+greater ages equally mean that the data is old."""
 
-_MILLIS = 1000
-_SCALE = 8
-"""Rates travel as whole eighths of a request a second."""
+_MS_PER_S = 1000
+_RATE_SCALE = 8
+"""Rates are sent as integers in units of 1/8 request per second."""
 
 
 class Kind(enum.IntEnum):
-    """What a report is for."""
+    """The purpose of a report."""
 
     ASK = 1
-    """Tells a VM's own rates to a reader, and asks for an answer."""
+    """Sends a VM's own rates to a reader and requests an answer."""
 
     ANSWER = 2
-    """Tells the rates of all VMs, as far as the sender knows them."""
+    """Sends the summed rates of all VMs that the sender knows of."""
 
     ZONE = 3
-    """Tells the rates of the sender's zone to a reader of another one."""
+    """Sends the rates of the sender's zone to a reader of another zone."""
 
-    NEWS = 4
-    """Tells only changes."""
+    CHANGES = 4
+    """Sends changes only."""
 
 
 @attrs.frozen
 class Report:
-    """What a VM tells.
+    """A report from one VM to another.
 
     Attributes:
-        kind: What for.
-        vm: Its name.
-        zone: Its availability zone.
-        position: How far it follows the directory.
-        age_s: How long ago the directory said that nothing is newer.
-        vms: How many VMs of its zone the rates are summed over.
-        rates: Requests a second to each endpoint.
-        down: Endpoints that it found dead or out of reach.
-        members: VMs that it has heard from lately: the width of each one's
-            link in Mbit/s, 0 if not known, by address.
-        members_zone: The zone of these.
-        after: The revision of its epoch that `changes` follow.
-        changes: Changes of endpoints and routes, encoded; empty if none.
-        link_mbps: The width of its own link in Mbit/s, 0 if not known.
-        failures: Requests that failed lately, by endpoint.
-        ejected: Endpoints that are to get no new flows, as they fail.
+        kind: The purpose of the report.
+        vm: The name of the sender.
+        zone: The sender's availability zone.
+        position: The position in the directory that the sender has reached.
+        age_s: Seconds since the directory confirmed that the sender's data was
+            current.
+        vms: Number of VMs of the sender's zone that the rates are summed over.
+        rates: Requests per second by endpoint.
+        down: Endpoints that the sender found dead or unreachable.
+        members: VMs that the sender has heard from recently. Maps the address
+            of each to the bandwidth of its link in Mbit/s, 0 if unknown.
+        members_zone: The zone of the VMs in `members`.
+        after: The revision, in the epoch of `position`, that `changes` follow.
+        changes: Encoded changes of endpoints and routes; empty if none.
+        link_mbps: Bandwidth of the sender's link in Mbit/s, 0 if unknown.
+        failures: Number of recently failed requests by endpoint.
+        ejected: Endpoints that get no new flows because requests to them fail.
     """
 
     kind: Kind
@@ -89,22 +94,22 @@
     ejected: tuple[int, ...] = ()
 
     @property
-    def floor(self) -> float:
-        """The most that an endpoint which is not named can have.
+    def unlisted_rate_bound(self) -> float:
+        """Upper bound for the rate of an endpoint that `rates` does not list.
 
-        Requests a second; 0 where all busy endpoints are named.
+        In requests per second; 0 if `rates` lists all busy endpoints.
         """
-        if len(self.rates) < MOST_ENDPOINTS:
+        if len(self.rates) < MAX_ENDPOINTS:
             return 0.0
         return min(self.rates.values())
 
 
 def encode(report: Report) -> bytes:
-    """Returns the datagram."""
+    """Encodes a report as a datagram."""
     busiest = sorted(report.rates.items(), key=lambda pair: -pair[1])
     rates = {
-        endpoint: round(rate * _SCALE)
-        for endpoint, rate in busiest[:MOST_ENDPOINTS]
+        endpoint: round(rate * _RATE_SCALE)
+        for endpoint, rate in busiest[:MAX_ENDPOINTS]
     }
     fields = (
         FORMAT,
@@ -113,54 +118,58 @@
         report.zone,
         report.position.epoch,
         report.position.revision,
-        round(min(report.age_s * _MILLIS, MOST_AGE_MS)),
+        round(min(report.age_s * _MS_PER_S, MAX_AGE_MS)),
         report.vms,
         rates,
-        report.down[:MOST_ENDPOINTS],
-        dict(list(report.members.items())[:MOST_MEMBERS]),
+        report.down[:MAX_ENDPOINTS],
+        dict(list(report.members.items())[:MAX_MEMBERS]),
         report.members_zone,
         report.after,
         report.changes,
         report.link_mbps,
         report.failures,
-        report.ejected[:MOST_ENDPOINTS],
+        report.ejected[:MAX_ENDPOINTS],
     )
     return msgpack.packb(fields)
 
 
 def decode(datagram: bytes) -> Result[Report, str]:
-    """Returns the report, or what is wrong with the datagram."""
+    """Decodes a datagram.
+
+    Returns:
+        The report, or a short description of why the datagram is malformed.
+    """
     try:
         fields = msgpack.unpackb(datagram, strict_map_key=False)
         number, kind, vm, zone, *rest = fields
-        epoch, revision, age, vms, rates, down, members, of, *rest = rest
+        epoch, revision, age, vms, rates, down, members, of_zone, *rest = rest
         after, changes, link_mbps, failures, ejected = rest
         if number != FORMAT:
-            return Err(f"format {number!r}")
-        if not all(isinstance(each, str) for each in (vm, zone, of)):
-            return Err("names")
+            return Err(f"unsupported report format {number!r}")
+        if not all(isinstance(each, str) for each in (vm, zone, of_zone)):
+            return Err("names are not strings")
         numbers = (epoch, revision, age, vms, after, link_mbps)
         if not all(isinstance(each, int) for each in numbers):
-            return Err("numbers")
+            return Err("numeric fields are not integers")
         if not isinstance(changes, bytes):
-            return Err("changes")
+            return Err("changes are not bytes")
         return Ok(
             Report(
                 Kind(kind),
                 vm,
                 zone,
                 Position(epoch, revision),
-                max(0, age) / _MILLIS,
+                max(0, age) / _MS_PER_S,
                 vms,
                 _rates(rates),
                 tuple(int(each) for each in down),
                 {str(host): max(0, int(m)) for host, m in members.items()},
-                of,
+                of_zone,
                 after,
                 changes,
                 max(0, link_mbps),
                 _failures(failures),
-                tuple(int(each) for each in ejected[:MOST_ENDPOINTS]),
+                tuple(int(each) for each in ejected[:MAX_ENDPOINTS]),
             )
         )
     except (
@@ -175,15 +184,15 @@
 
 def _rates(rates: dict[int, int]) -> Rates:
     return {
-        int(endpoint): max(0, int(rate)) / _SCALE
+        int(endpoint): max(0, int(rate)) / _RATE_SCALE
         for endpoint, rate in rates.items()
     }
 
 
 def _failures(failures: dict[int, int]) -> Failures:
-    if len(failures) > MOST_ENDPOINTS:
-        raise ValueError("failures")
+    if len(failures) > MAX_ENDPOINTS:
+        raise ValueError("failures of too many endpoints")
     return {
-        int(endpoint): min(max(0, int(count)), MOST_FAILURES)
+        int(endpoint): min(max(0, int(count)), MAX_FAILURES)
         for endpoint, count in failures.items()
     }
--- a/tests/entry_checks_test.py
+++ b/tests/entry_checks_test.py
@@ -54,7 +54,7 @@
     def __init__(self):
         self.ended = []
 
-    def end(self, resets, now):
+    def send_resets(self, resets, now):
         self.ended += resets
 
 
@@ -134,7 +134,7 @@
         """
         times = iter(range(0, 10_000, 5))
         pauses = PauseWatch(lambda: float(next(times)))
-        probe = _Probe(CheckResult.TIMEOUT, pauses.look)
+        probe = _Probe(CheckResult.TIMEOUT, pauses.check)
         self.assertEqual([], self._run(probe, 1.0, pauses))
         self.assertGreater(probe.checks, FAILED_CHECKS)
 
@@ -290,7 +290,7 @@
         told = {}
 
         class Packets:
-            def end(self, resets, now):
+            def send_resets(self, resets, now):
                 for reset in resets:
                     told.setdefault(reset.flow.client_port - 1024, now)
 
--- a/tests/entry_gossip_test.py
+++ b/tests/entry_gossip_test.py
@@ -8,7 +8,7 @@
 
 from pollenmast.counters import Counters
 from pollenmast.entry import _snapshot as snapshot
-from pollenmast.entry._gossip import ALONE_ROUNDS, EVERY_S, Gossip
+from pollenmast.entry._gossip import REPORT_INTERVAL_S, SOLE_VM_ROUNDS, Gossip
 from pollenmast.steering import CheckResult, EndpointAnnounced, Update
 from pollenmast.steering._load import REPORT_LIFE_S
 from tests import steering_group as group
@@ -22,13 +22,13 @@
 
     def __init__(self, core):
         self._core = core
-        self.behind_of = []
+        self.peers_ahead = []
 
-    def told(self, body, host):
+    def on_update(self, body, host):
         self._core.apply(snapshot.decode(body).ok_value, 0.0)
 
-    def behind(self, host, revision):
-        self.behind_of.append(host)
+    def on_peer_ahead(self, host, revision):
+        self.peers_ahead.append(host)
 
 
 class _Vm(Gossip):
@@ -89,10 +89,10 @@
 
     def round(self, count: int = 1):
         for _ in range(count):
-            self.now += EVERY_S
+            self.now += REPORT_INTERVAL_S
             for name, vm in self.vms.items():
                 if name not in self.down:
-                    vm.tell(self.now)
+                    vm.send_reports(self.now)
                     self.deliver()
 
     def up(self):
@@ -135,7 +135,7 @@
         vm = network.vms["pos-frederick.0"]
         network.round()
         self.assertIsNone(vm.sharers_at(network.now))
-        network.round(ALONE_ROUNDS)
+        network.round(SOLE_VM_ROUNDS)
         self.assertEqual(("pos-frederick.0", []), vm.sharers_at(network.now))
 
 
@@ -235,9 +235,9 @@
                 inner(sender, host, datagram)
 
         network.send = send
-        network.round(int(10 / EVERY_S))
+        network.round(int(10 / REPORT_INTERVAL_S))
         network.send = inner
-        network.round(int(8 / EVERY_S))
+        network.round(int(8 / REPORT_INTERVAL_S))
         self._work(network)
         self._assert_known(network, 12)
 
@@ -250,14 +250,14 @@
         network = self._network(a=9)
         network.round(12)
         for vm in network.vms.values():
-            vm.tell_news(network.now)
+            vm.broadcast_changes(network.now)
         news = EndpointAnnounced(group.endpoint(11), 11)
         for name in network.readers("a"):
             core = network.vms[name].core
             core.apply(Update((news,), 11), network.now)
         network.sent.clear()
         for vm in network.vms.values():
-            vm.tell_news(network.now)
+            vm.broadcast_changes(network.now)
         network.deliver()
         self.assertEqual(9 - 2, network.sent.total())
         revisions = {vm.core.revision for vm in network.vms.values()}
@@ -273,7 +273,7 @@
         network.round()
         for vm in network.vms.values():
             self.assertEqual(11, vm.core.revision)
-            self.assertEqual([], vm.peers.behind_of)
+            self.assertEqual([], vm.peers.peers_ahead)
 
     def _checking(self, network: _Network) -> list[str]:
         return [
--- a/tests/entry_packets_test.py
+++ b/tests/entry_packets_test.py
@@ -9,7 +9,7 @@
 from pollenmast.counters import DROPS, Counters, DropReason
 from pollenmast.entry._carrier import Carrier
 from pollenmast.entry._packets import PacketLoop
-from pollenmast.entry._pause import PAUSE_S, PauseWatch
+from pollenmast.entry._pause import MIN_PAUSE_S, PauseWatch
 from pollenmast.events import EventLog
 from pollenmast.platform._packet import PlatformPackets
 from standins import segments
@@ -54,7 +54,9 @@
         anyio.run(main)
         return counters.value(DROPS, DropReason.BACKLOG)
 
-    @parameterized.expand([("stood", 2 * PAUSE_S, 1), ("ran", PAUSE_S / 2, 0)])
+    @parameterized.expand(
+        [("stood", 2 * MIN_PAUSE_S, 1), ("ran", MIN_PAUSE_S / 2, 0)]
+    )
     def test_first_packets(self, _, gap_s, dropped):
         """A VM wakes; its packets and its timers are due at once.
 
--- a/tests/entry_pause_test.py
+++ b/tests/entry_pause_test.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from pollenmast.entry import _snapshot as snapshot
-from pollenmast.entry._pause import PAUSE_S, PauseWatch
+from pollenmast.entry._pause import MIN_PAUSE_S, PauseWatch
 from pollenmast.steering import (
     EndpointAnnounced,
     EndpointRemoved,
@@ -39,7 +39,7 @@
     """A VM notices that it stood still."""
 
     @parameterized.expand(
-        [("busy_neighbour", PAUSE_S / 2, 0), ("suspended", 4.0, 1)]
+        [("busy_neighbour", MIN_PAUSE_S / 2, 0), ("suspended", 4.0, 1)]
     )
     def test_gap(self, _, gap, count):
         """A suspension is told from a short wait for the processor.
@@ -48,8 +48,8 @@
         """
         times = iter([0.0, 0.1, 0.1 + gap])
         watch = PauseWatch(lambda: next(times))
-        self.assertEqual(0.0, watch.look())
-        self.assertEqual(bool(count), watch.look() > 0.0)
+        self.assertEqual(0.0, watch.check())
+        self.assertEqual(bool(count), watch.check() > 0.0)
         self.assertEqual(count, watch.count)
 
 
--- a/tests/entry_reach_test.py
+++ b/tests/entry_reach_test.py
@@ -8,7 +8,7 @@
 
 from pollenmast.counters import CHECKS, CheckReason, Counters, Histograms
 from pollenmast.entry._pause import PauseWatch
-from pollenmast.entry._reach import EVERY_S, ReachWatch
+from pollenmast.entry._reach import PROBE_INTERVAL_S, ReachWatch
 from pollenmast.entry._site import Site
 from pollenmast.events import EventLog
 from pollenmast.http1 import Request
@@ -27,7 +27,7 @@
 FAR = group.endpoint(2, group.OTHER_ZONE)
 THIRD = group.endpoint(3, "pos-laventille")
 
-NOTICED_S = QUIET_S + (FAILED_PROBES + 1) * (EVERY_S + 0.1)
+NOTICED_S = QUIET_S + (FAILED_PROBES + 1) * (PROBE_INTERVAL_S + 0.1)
 """Within which a cut must be noticed; routers ask twice a second."""
 
 
@@ -127,7 +127,7 @@
             for _ in range(20):
                 now = anyio.current_time()
                 core.catalog.get(FAR.name).health.on_advance(now)
-                await anyio.sleep(EVERY_S)
+                await anyio.sleep(PROBE_INTERVAL_S)
                 self.assertFalse(await ready())
 
         self._play(_Probing(), script)
@@ -148,7 +148,7 @@
         async def script(core, ready):
             await anyio.sleep(NOTICED_S)
             probe.zones.add(THIRD.zone)
-            await anyio.sleep(2 * EVERY_S)
+            await anyio.sleep(2 * PROBE_INTERVAL_S)
             self.assertTrue(await ready())
 
         self._play(probe, script)
@@ -178,7 +178,7 @@
         probe = _Probing()
 
         async def script(core, ready):
-            await anyio.sleep(EVERY_S)
+            await anyio.sleep(PROBE_INTERVAL_S)
             for step in range(50):
                 now = anyio.current_time()
                 core.catalog.get(FAR.name).health.on_advance(now)
@@ -204,7 +204,7 @@
             self.assertFalse(await ready())
             self._change(core, ZoneDrained(THIRD.zone, 12))
             self._change(core, change)
-            await anyio.sleep(2 * EVERY_S)
+            await anyio.sleep(2 * PROBE_INTERVAL_S)
             self.assertTrue(await ready())
 
         self._play(_Probing(), script)
@@ -215,7 +215,7 @@
 
         async def script(core, ready):
             await anyio.sleep(10.0)
-            self.assertLessEqual(len(probe.asked), 2 * 10.0 / EVERY_S)
+            self.assertLessEqual(len(probe.asked), 2 * 10.0 / PROBE_INTERVAL_S)
             asked = self.counters.value(CHECKS, CheckReason.REACH)
             self.assertEqual(len(probe.asked), asked)
 
--- a/tests/entry_report_test.py
+++ b/tests/entry_report_test.py
@@ -106,10 +106,10 @@
         self.ahead = []
         self.bodies = []
 
-    def behind(self, host, position):
+    def on_peer_ahead(self, host, position):
         self.ahead.append((host, position))
 
-    def told(self, body, host):
+    def on_update(self, body, host):
         self.bodies.append(body)
 
 
