--- a/tests/entry_checks_test.py
+++ b/tests/entry_checks_test.py
@@ -1,4 +1,4 @@
-"""Tests of entry._checks: from a doubt to the end of an endpoint's flows."""
+"""Tests of entry._checks: from a suspicion to the reset of flows."""
 
 import anyio
 import trio
@@ -16,14 +16,15 @@
 from tests import steering_group as group
 
 CHECK_S = 0.05
-"""How long the probe of these tests takes."""
+"""Duration in seconds of a probe in these tests."""
 
-FOURTH_TRY_S = 1.4
-"""When a client sends data for the fourth time: after 0.2, 0.4 and 0.8 s."""
+FOURTH_SEND_S = 1.4
+"""Seconds until a client sends data for the fourth time: after 0.2, 0.4 and
+0.8 s."""
 
 
 class _Probe(HealthProbe):
-    """Answers as told."""
+    """A probe that returns a fixed result."""
 
     def __init__(self, result, on_check=lambda: None, took_s=CHECK_S):
         self._result = result
@@ -49,13 +50,13 @@
 
 
 class _Packets:
-    """Keeps the resets that it is told to send."""
+    """Records the resets to be sent."""
 
     def __init__(self):
-        self.ended = []
+        self.resets = []
 
     def send_resets(self, resets, now):
-        self.ended += resets
+        self.resets += resets
 
 
 def _checker(probe, core, packets, pauses=None, counters=None) -> Checker:
@@ -71,7 +72,7 @@
 
 
 def _three_endpoints(now: float):
-    """Returns endpoints of two zones, with a flow on each, and a core."""
+    """Returns three endpoints of two zones and a core with a flow on each."""
     known = [
         group.endpoint(1),
         group.endpoint(2),
@@ -84,7 +85,7 @@
 
 
 class CheckerTest(TestCase):
-    """Doubted endpoints are asked, and the flows of dead ones ended."""
+    """Suspect endpoints are checked, and the flows of dead ones are reset."""
 
     def _run(self, probe, within_s: float, pauses=None):
         packets = _Packets()
@@ -104,15 +105,15 @@
 
         clock = trio.testing.MockClock(autojump_threshold=0)
         trio.run(main, clock=clock)
-        return packets.ended
+        return packets.resets
 
-    def test_dark_endpoint(self):
-        """An endpoint went dark; its idle client is told within 0.2 s.
+    def test_unresponsive_endpoint(self):
+        """The idle client of an unresponsive endpoint is reset within 0.2 s.
 
-        Each further tenth of a second is missing to the client's next try.
+        Each further tenth of a second is lost for the client's next attempt.
         """
-        ended = self._run(_Probe(CheckResult.TIMEOUT), 0.2)
-        self.assertEqual([group.flow()], [reset.flow for reset in ended])
+        resets = self._run(_Probe(CheckResult.TIMEOUT), 0.2)
+        self.assertEqual([group.flow()], [reset.flow for reset in resets])
 
     @parameterized.expand(
         [
@@ -121,16 +122,16 @@
         ]
     )
     def test_living_endpoint(self, _, result):
-        """An endpoint that answers is asked once, and keeps its flows."""
+        """An endpoint that answers is checked once and keeps its flows."""
         probe = _Probe(result)
         self.assertEqual([], self._run(probe, 1.0))
         self.assertEqual(1, probe.checks)
 
     def test_own_pause(self):
-        """This VM stood still while it checked.
+        """A timeout is ignored if this VM was suspended during the check.
 
-        Its own clock ran out, not the endpoint; ending the flows would cut
-        every client of a healthy endpoint.
+        Its own timer expired, and the endpoint may be healthy: resetting the
+        flows would disconnect all its clients.
         """
         times = iter(range(0, 10_000, 5))
         pauses = PauseWatch(lambda: float(next(times)))
@@ -139,18 +140,18 @@
         self.assertGreater(probe.checks, FAILED_CHECKS)
 
     def test_late_timer(self):
-        """This VM is held up; its timers fire late.
+        """A timeout is ignored if this VM's timers fire late.
 
-        The endpoint's answer waits in its own socket. Ending the flows would
-        cut every client of a healthy endpoint, and reported to others it
-        makes them all ask.
+        The endpoint's answer may be queued in the VM's own socket. Resetting
+        the flows would disconnect all clients of a healthy endpoint, and
+        reporting it would make all other VMs check it.
         """
         probe = _Probe(CheckResult.TIMEOUT, took_s=3 * CHECK_S)
         self.assertEqual([], self._run(probe, 1.0))
         self.assertGreater(probe.checks, FAILED_CHECKS)
 
     def test_slow_vm(self):
-        """The VM's processor is slow: its checks have more time."""
+        """A VM with a slow processor extends the timeouts of its checks."""
         pauses = PauseWatch(lambda: 0.0)
         pauses._lag_s = 0.1
         probe = _Probe(CheckResult.ANSWERED)
@@ -159,10 +160,14 @@
 
 
 class OwnFaultTest(TestCase):
-    """A VM whose own link is full or cut reaches nobody."""
+    """A VM whose own link is saturated or cut reaches no endpoint."""
 
-    def _ended(self, dead: set[int]) -> list[int]:
-        """Returns whose flows were ended, where some do not answer."""
+    def _reset_flows(self, dead: set[int]) -> list[int]:
+        """Returns the numbers of the flows that were reset.
+
+        Args:
+            dead: Numbers of the endpoints that do not answer.
+        """
         packets = _Packets()
 
         class Probe(_Probe):
@@ -183,7 +188,7 @@
                 await checker.run()
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-        return [reset.flow.client_port - 1024 for reset in packets.ended]
+        return [reset.flow.client_port - 1024 for reset in packets.resets]
 
     @parameterized.expand(
         [
@@ -192,20 +197,22 @@
             ("own_link", {1, 2, 3}, []),
         ]
     )
-    def test_timeouts(self, _, dead, ended):
-        """A VM's link is full of configurations; no check gets through.
+    def test_timeouts(self, _, dead, expected):
+        """Timeouts that this VM's own link may cause reset no flows.
 
-        Taken for dead endpoints, every flow that passes by would be reset
-        though its endpoint serves, and clients would lose their sessions.
+        The link may be saturated by configuration transfers, so that no check
+        gets through. If that counted as dead endpoints, all flows through this
+        VM would be reset although their endpoints serve, and clients would
+        lose their sessions.
         """
-        self.assertEqual(ended, self._ended(dead))
+        self.assertEqual(expected, self._reset_flows(dead))
 
 
 class ReasonTest(TestCase):
-    """Each check is counted by its reason."""
+    """Checks are counted by reason."""
 
     def test_dead_endpoint(self):
-        """An endpoint died; its checks are told from their controls."""
+        """Checks of a dead endpoint and its control probes count separately."""
         counters = Counters()
 
         class Probe(_Probe):
@@ -239,17 +246,23 @@
 
 
 class FullLinkTest(TestCase):
-    """A VM's link is full by turns, some tenths of a second each."""
+    """A VM's link is saturated for some tenths of a second at a time."""
 
-    def _ended(self, spell_s: float) -> list[int]:
-        """Returns whose flows were ended in a minute of such spells."""
+    def _reset_flows(self, period_s: float) -> list[int]:
+        """Returns the numbers of the flows that were reset within a minute.
+
+        Args:
+            period_s: Seconds of each saturated and of each free period.
+        """
         packets = _Packets()
 
         class Probe(_Probe):
             async def check(self, endpoint, path, extra_s):
-                full = anyio.current_time() % (2 * spell_s) < spell_s
+                saturated = anyio.current_time() % (2 * period_s) < period_s
                 await super().check(endpoint, path, extra_s)
-                return CheckResult.TIMEOUT if full else CheckResult.ANSWERED
+                return (
+                    CheckResult.TIMEOUT if saturated else CheckResult.ANSWERED
+                )
 
         async def main() -> None:
             now = anyio.current_time()
@@ -266,33 +279,33 @@
                 tasks.cancel_scope.cancel()
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-        return [reset.flow.client_port - 1024 for reset in packets.ended]
+        return [reset.flow.client_port - 1024 for reset in packets.resets]
 
     @parameterized.expand([(f"{ms}_ms", ms) for ms in range(60, 700, 40)])
-    def test_spells(self, _, spell_ms):
-        """A reader hands a great configuration on to its zone.
+    def test_saturated_periods(self, _, period_ms):
+        """Flows are not reset while a VM's link is saturated at times.
 
-        Its checks fail in a row while the link is full; the moment after,
-        another endpoint answers. Taken for a proof that the link is free, it
-        would end the flows of endpoints that serve, and clients would lose
-        sessions that work.
+        A reader that sends a large configuration to its zone saturates its own
+        link. Its checks fail in a row; a moment later another endpoint answers.
+        If that counted as proof that the link was free, the VM would reset the
+        flows of endpoints that serve, and clients would lose working sessions.
         """
-        self.assertEqual([], self._ended(spell_ms / 1000.0))
+        self.assertEqual([], self._reset_flows(period_ms / 1000.0))
 
 
 class ManyDeadTest(TestCase):
-    """Many endpoints die at the same moment, as when a machine room fails."""
+    """Many endpoints die at once, as when a machine room loses power."""
 
     DEAD, ALIVE = 47, 12
 
-    def _told(self, reads: bool) -> dict[int, float]:
-        """Returns when each flow was ended, by its number."""
-        told = {}
+    def _reset_times(self, is_reader: bool) -> dict[int, float]:
+        """Returns when each flow was reset, by flow number."""
+        reset_times = {}
 
         class Packets:
             def send_resets(self, resets, now):
                 for reset in resets:
-                    told.setdefault(reset.flow.client_port - 1024, now)
+                    reset_times.setdefault(reset.flow.client_port - 1024, now)
 
         class Probe(_Probe):
             async def check(self, endpoint, path, extra_s):
@@ -309,40 +322,41 @@
             ]
             now = anyio.current_time()
             core = group.steering(*known, now=now)
-            core.doubts.join(lambda: reads)
+            core.doubts.join(lambda: is_reader)
             for number in numbers:
-                asked = group.segment(group.flow(number), number, length=10)
-                core.on_segment(asked, now)
+                request = group.segment(group.flow(number), number, length=10)
+                core.on_segment(request, now)
             checker = _checker(Probe(None), core, Packets())
             with anyio.move_on_after(2.0):
                 await checker.run()
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-        return told
+        return reset_times
 
     @parameterized.expand([("reader", True), ("other_vm", False)])
-    def test_flows_told(self, _, reads):
-        """Clients of a live feed wait on endpoints that lost power together.
+    def test_flows_reset_in_time(self, _, is_reader):
+        """Clients of endpoints that lost power together are reset in time.
 
-        Each is told before it sends its request for the fourth time, and no
-        client of an endpoint that lives is.
+        Clients of a live feed wait on these endpoints. Each is reset before it
+        sends its request for the fourth time; no client of a live endpoint is
+        reset.
         """
-        told = self._told(reads)
-        self.assertEqual(set(range(1, self.DEAD + 1)), set(told))
-        self.assertLess(max(told.values()), FOURTH_TRY_S)
+        reset_times = self._reset_times(is_reader)
+        self.assertEqual(set(range(1, self.DEAD + 1)), set(reset_times))
+        self.assertLess(max(reset_times.values()), FOURTH_SEND_S)
 
 
-class WakeTest(TestCase):
-    """The checker looks when a look is due and sleeps otherwise."""
+class ScanTest(TestCase):
+    """The checker scans for due checks only when one may be due."""
 
-    def _looks(self, busy: bool) -> int:
-        """Returns how often it looked in ten seconds."""
-        looks = []
+    def _scans(self, busy: bool) -> int:
+        """Returns the number of scans in ten seconds."""
+        scans = []
 
         async def main() -> None:
             core = group.steering(group.endpoint(1))
             inner = core.due_checks
-            core.due_checks = lambda now: (looks.append(now), inner(now))[1]
+            core.due_checks = lambda now: (scans.append(now), inner(now))[1]
             checker = _checker(_Probe(CheckResult.ANSWERED), core, _Packets())
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(checker.run)
@@ -356,16 +370,16 @@
                 tasks.cancel_scope.cancel()
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-        return len(looks)
+        return len(scans)
 
     def test_idle(self):
-        """No client is there: the VM's processor is left alone.
+        """A VM without clients hardly wakes up.
 
-        With a fixed pace, 75 quiet VMs wake 30 times a second each, and all
-        of their users pay for it.
+        At a fixed rate, 75 idle VMs would wake up 30 times a second each, and
+        all of their users would pay for it.
         """
-        self.assertLess(self._looks(False), 5)
+        self.assertLess(self._scans(False), 5)
 
     def test_opened_flows(self):
-        """Flows that open at once cost two looks each at most."""
-        self.assertLessEqual(self._looks(True), 21)
+        """Each flow that is opened causes at most two scans."""
+        self.assertLessEqual(self._scans(True), 21)
--- a/tests/entry_gossip_test.py
+++ b/tests/entry_gossip_test.py
@@ -1,4 +1,4 @@
-"""Tests of entry._gossip among many VMs, on a network kept in memory."""
+"""Tests of entry._gossip with many VMs on an in-memory network."""
 
 import collections
 import random
@@ -18,7 +18,7 @@
 
 
 class _Peers:
-    """Takes changes in as the program does, and notes what it cannot."""
+    """Applies updates as the program does, and records peers that are ahead."""
 
     def __init__(self, core):
         self._core = core
@@ -32,7 +32,7 @@
 
 
 class _Vm(Gossip):
-    """A VM whose messages go through memory."""
+    """A VM that sends its messages over the in-memory network."""
 
     def __init__(self, network, host, zone, seeds):
         self.core = group.steering(*ENDPOINTS, zone=zone)
@@ -60,7 +60,7 @@
 
 
 class _Network:
-    """Some VMs, the messages under way, and how many each one sent."""
+    """VMs, the messages in transit, and the number that each VM has sent."""
 
     def __init__(self, zones: dict[str, int]):
         self.now = 0.0
@@ -107,13 +107,13 @@
 
 
 class SharersTest(TestCase):
-    """Which VMs each one shares a cold endpoint's allowance with."""
+    """Which VMs share the allowance of an endpoint that is warming up."""
 
     @parameterized.expand([("small", 6), ("usual", 62), ("great", 150)])
     def test_start(self, _, vms):
-        """All VMs of a zone start at once and learn of each other by and by.
+        """All VMs of a zone start at once and discover each other gradually.
 
-        One that knows only some of them would take a part that is too large.
+        A VM that knows only some of them would claim too large a share.
         """
         network = _Network({"pos-frederick": vms, "pos-woodbrook": 3})
         self.addCleanup(network.close)
@@ -128,8 +128,8 @@
                 self.assertEqual(vms, len(sharers[1]) + 1)
         self.assertGreater(shares, 0)
 
-    def test_alone(self):
-        """The only VM of a fleet has the whole allowance, after a while."""
+    def test_sole_vm(self):
+        """The only VM of a fleet gets the whole allowance after some rounds."""
         network = _Network({"pos-frederick": 1})
         self.addCleanup(network.close)
         vm = network.vms["pos-frederick.0"]
@@ -140,27 +140,32 @@
 
 
 class FleetTest(TestCase):
-    """What every VM comes to know, and what it costs."""
+    """How information spreads to all VMs, and how many messages it takes."""
 
     def _network(self, **zones: int) -> _Network:
         network = _Network(zones)
         self.addCleanup(network.close)
         return network
 
-    def _work(self, network: _Network, rounds: int = 12) -> None:
-        """Each VM sends two requests a second to each endpoint."""
+    def _send_load(self, network: _Network, rounds: int = 12) -> None:
+        """Simulates two requests per second from each VM to each endpoint."""
         for _ in range(rounds):
             for vm in network.up():
                 for endpoint in ENDPOINTS:
                     vm.core.load.on_work(endpoint.number, network.now)
             network.round()
 
-    def _assert_known(self, network: _Network, vms: int) -> None:
-        """Each VM knows the work of so many, but for the latest tenths."""
-        self.assertGreaterEqual(self._least_known(network), 0.7 * 2.0 * vms)
+    def _assert_load_known(self, network: _Network, vms: int) -> None:
+        """Asserts that each VM knows the load that so many VMs send.
 
-    def _least_known(self, network: _Network) -> float:
-        """Returns the least load that any VM believes of any endpoint."""
+        A tolerance of 30 % allows for the load of the last tenths of a second.
+        """
+        self.assertGreaterEqual(
+            self._lowest_known_load(network), 0.7 * 2.0 * vms
+        )
+
+    def _lowest_known_load(self, network: _Network) -> float:
+        """Returns the lowest load that any VM assumes for any endpoint."""
         return min(
             vm.core.load.rate(each.number, network.now)
             for vm in network.up()
@@ -171,18 +176,18 @@
         [("one_zone", {"a": 2}), ("many", {"a": 9, "b": 7, "c": 1})]
     )
     def test_total(self, _, zones):
-        """Each VM knows the load that all of them send together.
+        """Each VM knows the total load that all VMs send.
 
-        By its own part alone it would send all its flows to an endpoint
+        Knowing only its own part, it would send all its flows to an endpoint
         that the others have filled.
         """
         network = self._network(**zones)
         network.round(6)
-        self._work(network)
-        self._assert_known(network, len(network.vms))
+        self._send_load(network)
+        self._assert_load_known(network, len(network.vms))
 
-    def test_cost_does_not_grow(self):
-        """Four times as many VMs: each still sends two messages a second."""
+    def test_message_rate_is_constant(self):
+        """With four times the VMs, each still sends two messages per second."""
         sent = {}
         for count in (10, 40):
             network = self._network(a=count)
@@ -196,7 +201,7 @@
         self.assertLessEqual(sent[40], 5)
 
     def test_agreed_readers(self):
-        """Two VMs of a zone watch the directory, and all know which."""
+        """Two VMs of a zone watch the directory, and all agree which."""
         network = self._network(a=20, b=3)
         network.round(12)
         self.assertEqual(2, len(network.readers("a")))
@@ -205,8 +210,8 @@
     def test_readers_die(self):
         """Both readers of a zone lose power at the same moment.
 
-        The others notice that nobody answers, choose two anew, and know the
-        load again a few seconds later.
+        The other VMs notice the missing answers, choose two new readers, and
+        know the total load again a few seconds later.
         """
         network = self._network(a=12)
         network.round(12)
@@ -216,45 +221,45 @@
         readers = network.readers("a")
         self.assertEqual(2, len(readers))
         self.assertFalse(set(lost) & set(readers))
-        self._work(network)
-        self._assert_known(network, 10)
+        self._send_load(network)
+        self._assert_load_known(network, 10)
 
-    def test_cut_heals(self):
-        """Two zones were cut from each other for ten seconds.
+    def test_partition_ends(self):
+        """Two zones are partitioned from each other for ten seconds.
 
-        They find each other again without the settings' seeds, which are
-        all in one of them.
+        They find each other again without relying on the configured seeds,
+        which are all in one of the zones.
         """
         network = self._network(a=6, b=6)
         network.round(12)
-        cut = {name for name in network.vms if name.startswith("b")}
+        isolated = {name for name in network.vms if name.startswith("b")}
         inner = network.send
 
         def send(sender, host, datagram):
-            if (sender in cut) == (host in cut):
+            if (sender in isolated) == (host in isolated):
                 inner(sender, host, datagram)
 
         network.send = send
         network.round(int(10 / REPORT_INTERVAL_S))
         network.send = inner
         network.round(int(8 / REPORT_INTERVAL_S))
-        self._work(network)
-        self._assert_known(network, 12)
+        self._send_load(network)
+        self._assert_load_known(network, 12)
 
-    def test_news(self):
-        """An endpoint is announced; each VM knows it from one message.
+    def test_announced_endpoint(self):
+        """An announced endpoint reaches each VM by one message.
 
-        Asked for over a connection by each VM, a release would cost more
-        than the requests that it serves.
+        If each VM fetched it over a connection, a release would cost more than
+        the requests that are served.
         """
         network = self._network(a=9)
         network.round(12)
         for vm in network.vms.values():
             vm.broadcast_changes(network.now)
-        news = EndpointAnnounced(group.endpoint(11), 11)
+        announced = EndpointAnnounced(group.endpoint(11), 11)
         for name in network.readers("a"):
             core = network.vms[name].core
-            core.apply(Update((news,), 11), network.now)
+            core.apply(Update((announced,), 11), network.now)
         network.sent.clear()
         for vm in network.vms.values():
             vm.broadcast_changes(network.now)
@@ -263,28 +268,29 @@
         revisions = {vm.core.revision for vm in network.vms.values()}
         self.assertEqual({11}, revisions)
 
-    def test_lost_news(self):
-        """The message with the news was lost; the next answer has it."""
+    def test_lost_change(self):
+        """If the message with a change is lost, the next answer contains it."""
         network = self._network(a=3)
         network.round(12)
         reader = network.readers("a")[0]
-        news = EndpointAnnounced(group.endpoint(11), 11)
-        network.vms[reader].core.apply(Update((news,), 11), network.now)
+        announced = EndpointAnnounced(group.endpoint(11), 11)
+        network.vms[reader].core.apply(Update((announced,), 11), network.now)
         network.round()
         for vm in network.vms.values():
             self.assertEqual(11, vm.core.revision)
             self.assertEqual([], vm.peers.peers_ahead)
 
-    def _checking(self, network: _Network) -> list[str]:
+    def _checking_vms(self, network: _Network) -> list[str]:
         return [
             vm.name for vm in network.up() if vm.core.due_checks(network.now)
         ]
 
     def test_false_report(self):
-        """A slow VM takes ten living endpoints for dead and reports them.
+        """A slow VM wrongly reports ten healthy endpoints as dead.
 
-        If all VMs asked at once, the endpoints' machines could not take the
-        connections, more checks would fail, and more would be reported.
+        Only readers check them. If all VMs checked at once, the endpoints'
+        machines could not take the connections, more checks would fail, and
+        more endpoints would be reported.
         """
         network = self._network(a=12)
         network.round(12)
@@ -294,13 +300,14 @@
             record = slow.core.catalog.get(endpoint.name)
             record.health.on_check(CheckResult.REFUSED, network.now)
         network.round(2)
-        asking = set(self._checking(network)) - {slow.name}
+        asking = set(self._checking_vms(network)) - {slow.name}
         self.assertEqual(set(readers), asking)
 
     def test_dead_endpoint(self):
-        """A reader finds an endpoint dead; a VM with flows there asks too.
+        """VMs with flows to an endpoint that a reader found dead check it too.
 
-        Its idle clients have to be told; the others only keep away.
+        They have to reset the flows of idle clients. The other VMs only stop
+        sending new flows there.
         """
         network = self._network(a=12)
         network.round(12)
@@ -313,16 +320,16 @@
         opened = group.segment(group.flow(1), dead.token)
         plain[0].core.on_segment(opened, network.now)
         network.round(2)
-        asking = set(self._checking(network)) - set(readers)
+        asking = set(self._checking_vms(network)) - set(readers)
         self.assertEqual({plain[0].name}, asking)
         health = plain[1].core.catalog.get(dead.name).health
         self.assertFalse(health.is_sure(network.now))
 
-    def test_load_is_forgotten(self):
-        """A VM dies with its load; the total follows within seconds."""
+    def test_load_expires(self):
+        """The load of VMs that died leaves the total within seconds."""
         network = self._network(a=5)
         network.round(12)
-        self._work(network)
+        self._send_load(network)
         network.now += REPORT_LIFE_S
         network.round(4)
-        self.assertEqual(0.0, self._least_known(network))
+        self.assertEqual(0.0, self._lowest_known_load(network))
--- a/tests/entry_packets_test.py
+++ b/tests/entry_packets_test.py
@@ -1,4 +1,4 @@
-"""Tests of entry._packets: what a VM does with what waited in its socket."""
+"""Tests of entry._packets: datagrams that are queued in the socket."""
 
 import socket
 
@@ -17,10 +17,10 @@
 
 
 class BacklogTest(TestCase):
-    """A SYN that waited in the socket while the VM stood still."""
+    """A SYN that was queued in the socket while the VM was suspended."""
 
     def _dropped(self, gap_s: float) -> int:
-        """Carries one SYN after a gap; returns how many were dropped."""
+        """Forwards one SYN after a gap; returns the number of backlog drops."""
         times = iter([0.0, *[gap_s] * 1000])
         counters = Counters()
 
@@ -55,12 +55,13 @@
         return counters.value(DROPS, DropReason.BACKLOG)
 
     @parameterized.expand(
-        [("stood", 2 * MIN_PAUSE_S, 1), ("ran", MIN_PAUSE_S / 2, 0)]
+        [("suspended", 2 * MIN_PAUSE_S, 1), ("running", MIN_PAUSE_S / 2, 0)]
     )
     def test_first_packets(self, _, gap_s, dropped):
-        """A VM wakes; its packets and its timers are due at once.
+        """A VM drops queued SYNs when it resumes, even before its timers run.
 
-        Its client gave the SYN up long ago. Sent on, each takes a place at
-        an endpoint for nobody, and others are refused.
+        Packets and timers are due at the same moment. The client has given up
+        the SYN long ago. Forwarded, it would occupy a slot of the endpoint for
+        no client, and other clients would be refused.
         """
         self.assertEqual(dropped, self._dropped(gap_s))
--- a/tests/entry_pause_test.py
+++ b/tests/entry_pause_test.py
@@ -36,15 +36,16 @@
 
 
 class PauseTest(TestCase):
-    """A VM notices that it stood still."""
+    """A VM detects that it was suspended."""
 
     @parameterized.expand(
         [("busy_neighbour", MIN_PAUSE_S / 2, 0), ("suspended", 4.0, 1)]
     )
     def test_gap(self, _, gap, count):
-        """A suspension is told from a short wait for the processor.
+        """A suspension is distinguished from a short wait for the processor.
 
-        Unnoticed, a VM would place flows by a list that is seconds old.
+        A VM that missed it would place flows by endpoints and routes that are
+        seconds old.
         """
         times = iter([0.0, 0.1, 0.1 + gap])
         watch = PauseWatch(lambda: next(times))
@@ -54,10 +55,10 @@
 
 
 class SnapshotTest(TestCase):
-    """What a VM tells a peer that cannot ask the directory."""
+    """The data that a VM sends to a peer that cannot reach the directory."""
 
     def test_round_trip(self):
-        """The peer knows the same endpoints and routes."""
+        """The peer receives the same endpoints and routes."""
         known = group.steering(group.endpoint(1), group.endpoint(2))
         update = snapshot.decode(snapshot.encode(known)).ok_value
         learner = group.steering()
@@ -67,8 +68,8 @@
         self.assertEqual({r.endpoint for r in known.catalog.records}, names)
         self.assertEqual(known.table, learner.table)
 
-    def test_only_what_is_missing(self):
-        """A peer that is a little behind is told the changes, not all."""
+    def test_only_changes(self):
+        """A peer that is slightly behind receives only the changes."""
         known = group.steering(group.endpoint(1), group.endpoint(2))
         learner = group.steering(group.endpoint(1), group.endpoint(2))
         removed = EndpointRemoved(group.endpoint(1).name, 11)
@@ -83,90 +84,99 @@
         self.assertIs(Presence.LAPSED, record.presence)
 
     def test_grown_configuration(self):
-        """A configuration grows by 840 routes; 15 VMs ask one reader for it.
+        """840 added routes fit the link of a reader that 15 VMs ask for them.
 
-        Clients' packets share that reader's link; at 5 Mbit/s it carries 312 kB
-        in half a second.
+        Clients' packets share that link, which carries 312 kB in half a second
+        at 5 Mbit/s.
         """
         known = group.steering(group.endpoint(1), routes=_routes(1, 240))
         learner = group.steering(group.endpoint(1), routes=_routes(1, 240))
         published = RoutesPublished(_routes(2, 1080), 11)
         known.apply(Update((published,), 11), 1.0)
-        told = snapshot.encode(known, Position(0, 10))
-        self.assertLess(15 * len(told), 312_000)
-        learner.apply(snapshot.decode(told).ok_value, 1.0)
+        encoded = snapshot.encode(known, Position(0, 10))
+        self.assertLess(15 * len(encoded), 312_000)
+        learner.apply(snapshot.decode(encoded).ok_value, 1.0)
         self.assertEqual(known.table, learner.table)
 
-    def test_inflates_without_end(self):
-        """A few bytes of a peer inflate to more than a VM's memory holds."""
+    def test_inflates_beyond_limit(self):
+        """Data that inflates beyond the size limit is rejected.
+
+        A few bytes of a peer could otherwise exhaust the VM's memory.
+        """
         huge = zlib.compress(bytes(2 * snapshot.MOST_BYTES), 9)
         self.assertLess(len(huge), 100_000)
         self.assertTrue(snapshot.decode(huge).is_err())
 
     @parameterized.expand([("whole", 0), ("changes", 10)])
-    def test_cut_short(self, _, after):
-        """An answer that ends early changes nothing."""
+    def test_truncated(self, _, after):
+        """A truncated answer is rejected."""
         known = group.steering(group.endpoint(1), group.endpoint(2))
         changed = EndpointAnnounced(group.endpoint(3), 11)
         known.apply(Update((changed,), 11), 1.0)
-        told = snapshot.encode(known, Position(0, after))
-        for length in range(len(told)):
-            self.assertTrue(snapshot.decode(told[:length]).is_err())
+        encoded = snapshot.encode(known, Position(0, after))
+        for length in range(len(encoded)):
+            self.assertTrue(snapshot.decode(encoded[:length]).is_err())
 
     def test_changed_route(self):
-        """A route is added to hundreds; a peer is told that one only.
+        """If one route is added to hundreds, a peer receives only that one.
 
-        Told whole, the configuration fills the link of whoever tells it.
+        Sending the whole configuration would saturate the sender's link.
         """
         many = _routes(1, 300)
         known = group.steering(group.endpoint(1), routes=many)
         learner = group.steering(group.endpoint(1), routes=many)
         published = RoutesPublished(_routes(2, 301), 11)
         known.apply(Update((published,), 11), 1.0)
-        told = snapshot.encode(known, Position(0, 10))
-        self.assertLess(len(told), 300)
-        learner.apply(snapshot.decode(told).ok_value, 1.0)
+        encoded = snapshot.encode(known, Position(0, 10))
+        self.assertLess(len(encoded), 300)
+        learner.apply(snapshot.decode(encoded).ok_value, 1.0)
         self.assertEqual(known.table, learner.table)
         gone = RoutesPublished(_routes(3, 200), 12)
         known.apply(Update((gone,), 12), 1.0)
-        told = snapshot.decode(snapshot.encode(known, Position(0, 11))).ok_value
-        learner.apply(told, 1.0)
+        update = snapshot.decode(
+            snapshot.encode(known, Position(0, 11))
+        ).ok_value
+        learner.apply(update, 1.0)
         self.assertEqual(200, len(learner.table.routes))
         self.assertEqual(3, learner.table.version)
 
-    def test_other_base(self):
-        """The change does not start from the version that this VM has.
+    def test_change_of_other_version(self):
+        """A change to another route table version than the VM's is not applied.
 
-        Taken in, routes would be missing without anybody noticing; it is
-        left, and the revision stays, so that the VM asks again for all.
+        Applied, it would leave routes missing unnoticed. It is ignored and the
+        revision stays, so that the VM asks again for the complete state.
         """
         known = group.steering(group.endpoint(1), routes=_routes(2, 5))
         learner = group.steering(group.endpoint(1), routes=_routes(1, 4))
         published = RoutesPublished(_routes(7, 6), 11)
         known.apply(Update((published,), 11), 1.0)
-        told = snapshot.decode(snapshot.encode(known, Position(0, 10))).ok_value
-        self.assertFalse(learner.fits(told))
-        learner.apply(told, 1.0)
+        update = snapshot.decode(
+            snapshot.encode(known, Position(0, 10))
+        ).ok_value
+        self.assertFalse(learner.fits(update))
+        learner.apply(update, 1.0)
         self.assertEqual((1, 10), (learner.table.version, learner.revision))
         whole = snapshot.decode(snapshot.encode(known)).ok_value
         self.assertTrue(learner.fits(whole))
         learner.apply(whole, 1.0)
         self.assertEqual(known.table, learner.table)
 
-    def test_known_already(self):
-        """A change that was heard of by another way changes nothing."""
+    def test_already_known(self):
+        """A change that is already known changes nothing."""
         known = group.steering(group.endpoint(1), routes=_routes(1, 4))
         learner = group.steering(group.endpoint(1), routes=_routes(1, 4))
         published = RoutesPublished(_routes(2, 5), 11)
         known.apply(Update((published,), 11), 1.0)
         learner.apply(Update((published,), 11), 1.0)
-        told = snapshot.decode(snapshot.encode(known, Position(0, 10))).ok_value
-        self.assertTrue(learner.fits(told))
-        learner.apply(told, 1.0)
+        update = snapshot.decode(
+            snapshot.encode(known, Position(0, 10))
+        ).ok_value
+        self.assertTrue(learner.fits(update))
+        learner.apply(update, 1.0)
         self.assertEqual(known.table, learner.table)
 
     def test_too_far_behind(self):
-        """A peer that missed more than is kept is told everything."""
+        """A peer that missed more changes than are kept receives everything."""
         known = group.steering(group.endpoint(1))
         for revision in range(11, 20 + MOST_CHANGES):
             changed = EndpointAnnounced(group.endpoint(2), revision)
@@ -180,5 +190,5 @@
     @given(st.binary(max_size=200))
     @settings(max_examples=300, deadline=None, derandomize=True)
     def test_any_bytes(self, data):
-        """No answer of a peer raises anything."""
+        """Decoding arbitrary bytes raises no exception."""
         snapshot.decode(data)
--- a/tests/entry_reach_test.py
+++ b/tests/entry_reach_test.py
@@ -1,4 +1,4 @@
-"""Tests of entry._reach and steering._reach: a drained zone that is cut off."""
+"""Tests of entry._reach and steering._reach: a drained zone cut off."""
 
 import anyio
 import trio
@@ -27,29 +27,32 @@
 FAR = group.endpoint(2, group.OTHER_ZONE)
 THIRD = group.endpoint(3, "pos-laventille")
 
-NOTICED_S = QUIET_S + (FAILED_PROBES + 1) * (PROBE_INTERVAL_S + 0.1)
-"""Within which a cut must be noticed; routers ask twice a second."""
+DETECTION_S = QUIET_S + (FAILED_PROBES + 1) * (PROBE_INTERVAL_S + 0.1)
+"""Seconds within which a partition must be detected; routers check readiness
+twice a second."""
 
 
-class _Probing(_Probe):
-    """Reaches the zones that it is told to."""
+class _ZoneProbe(_Probe):
+    """A probe that reaches only the given zones."""
 
     def __init__(self, *zones: str):
         super().__init__(None)
         self.zones = set(zones)
-        self.asked = []
+        self.probed = []
 
     async def reaches(self, endpoint, extra_s):
-        """Whether the endpoint's zone can be reached."""
-        self.asked.append(endpoint)
+        """Returns whether the endpoint's zone can be reached."""
+        self.probed.append(endpoint)
         await anyio.sleep(0.05)
         return endpoint.zone in self.zones
 
 
 class ReachTest(TestCase):
-    """When a VM says that it is not ready."""
+    """When a VM reports that it is not ready."""
 
-    def _play(self, probe: _Probing, script, drained: bool = True) -> None:
+    def _run_script(
+        self, probe: _ZoneProbe, script, drained: bool = True
+    ) -> None:
         core = group.steering(NEAR, FAR, THIRD)
         counters = Counters()
         site = Site("/ready", core, counters, Histograms())
@@ -82,19 +85,22 @@
         core.apply(Update((change,), change.revision), anyio.current_time())
 
     def test_cut_off(self):
-        """No other zone is reached: other VMs get the clients."""
+        """A VM that reaches no other zone is not ready.
+
+        Its clients go to other VMs.
+        """
 
         async def script(core, ready):
-            await anyio.sleep(NOTICED_S)
+            await anyio.sleep(DETECTION_S)
             self.assertFalse(await ready())
 
-        self._play(_Probing(group.ZONE), script)
+        self._run_script(_ZoneProbe(group.ZONE), script)
 
-    def test_starts(self):
-        """A VM starts in a zone that is drained and cut off.
+    def test_starts_cut_off(self):
+        """A VM that starts in a drained zone that is cut off is never ready.
 
-        Ready for a moment, it would draw all clients of the zone back to VMs
-        that cannot serve them.
+        If it were ready for a moment, all clients of the zone would return to
+        VMs that cannot serve them.
         """
 
         async def script(core, ready):
@@ -102,10 +108,10 @@
                 self.assertFalse(await ready())
                 await anyio.sleep(0.05)
 
-        self._play(_Probing(), script)
+        self._run_script(_ZoneProbe(), script)
 
-    def test_learns_of_drain_last(self):
-        """The same VM looks before it knows that its zone is drained."""
+    def test_drain_known_later(self):
+        """The same holds if targets are queried before the drain is known."""
         catalog = Catalog()
         reach = Reach(group.ZONE, catalog)
         self.assertEqual([], reach.targets(0.0))
@@ -116,66 +122,67 @@
         catalog.drains.apply(Update((drained,), 10))
         self.assertTrue(reach.cut_off)
 
-    def test_carried_by_others(self):
-        """A client comes back that other zones' VMs have carried meanwhile.
+    def test_served_by_other_zones(self):
+        """A client returns that VMs of other zones have served meanwhile.
 
-        That it received something says nothing of this VM's paths.
+        The data that it received says nothing of this VM's paths, so the VM
+        does not become ready.
         """
 
         async def script(core, ready):
-            await anyio.sleep(NOTICED_S)
+            await anyio.sleep(DETECTION_S)
             for _ in range(20):
                 now = anyio.current_time()
                 core.catalog.get(FAR.name).health.on_advance(now)
                 await anyio.sleep(PROBE_INTERVAL_S)
                 self.assertFalse(await ready())
 
-        self._play(_Probing(), script)
+        self._run_script(_ZoneProbe(), script)
 
     def test_starts_connected(self):
-        """A VM that starts in a drained zone is ready once it reaches one."""
+        """A VM that starts in a drained zone is ready if it reaches another."""
 
         async def script(core, ready):
             await anyio.sleep(0.2)
             self.assertTrue(await ready())
 
-        self._play(_Probing(FAR.zone), script)
+        self._run_script(_ZoneProbe(FAR.zone), script)
 
-    def test_returns(self):
-        """The cut ends: the VM is ready at the next look."""
-        probe = _Probing()
+    def test_partition_ends(self):
+        """When the partition ends, the VM is ready after the next probe."""
+        probe = _ZoneProbe()
 
         async def script(core, ready):
-            await anyio.sleep(NOTICED_S)
+            await anyio.sleep(DETECTION_S)
             probe.zones.add(THIRD.zone)
             await anyio.sleep(2 * PROBE_INTERVAL_S)
             self.assertTrue(await ready())
 
-        self._play(probe, script)
+        self._run_script(probe, script)
 
     def test_one_zone_is_enough(self):
-        """Of two other zones one is lost: the VM carries on."""
+        """A VM that reaches one of two other zones stays ready."""
 
         async def script(core, ready):
             await anyio.sleep(10.0)
             self.assertTrue(await ready())
 
-        self._play(_Probing(THIRD.zone), script)
+        self._run_script(_ZoneProbe(THIRD.zone), script)
 
     def test_not_drained(self):
-        """A zone in use serves its clients through a cut, and asks nobody."""
-        probe = _Probing()
+        """A VM of a zone in use stays ready when cut off and never probes."""
+        probe = _ZoneProbe()
 
         async def script(core, ready):
             await anyio.sleep(10.0)
             self.assertTrue(await ready())
-            self.assertEqual([], probe.asked)
+            self.assertEqual([], probe.probed)
 
-        self._play(probe, script, drained=False)
+        self._run_script(probe, script, drained=False)
 
-    def test_clients_go_on(self):
-        """While clients receive answers no connection is made."""
-        probe = _Probing()
+    def test_clients_receive_answers(self):
+        """No probes are sent while clients receive answers."""
+        probe = _ZoneProbe()
 
         async def script(core, ready):
             await anyio.sleep(PROBE_INTERVAL_S)
@@ -186,9 +193,9 @@
                     self._change(core, ZoneDrained(group.ZONE, 11))
                 await anyio.sleep(0.2)
             self.assertTrue(await ready())
-            self.assertEqual([], probe.asked)
+            self.assertEqual([], probe.probed)
 
-        self._play(probe, script, drained=False)
+        self._run_script(probe, script, drained=False)
 
     @parameterized.expand(
         [
@@ -197,26 +204,29 @@
         ]
     )
     def test_drain_changes(self, _, change):
-        """A VM that depends on no path is ready: it serves, or refuses."""
+        """A VM that depends on no other zone is ready.
+
+        It serves its clients again, or refuses them at once.
+        """
 
         async def script(core, ready):
-            await anyio.sleep(NOTICED_S)
+            await anyio.sleep(DETECTION_S)
             self.assertFalse(await ready())
             self._change(core, ZoneDrained(THIRD.zone, 12))
             self._change(core, change)
             await anyio.sleep(2 * PROBE_INTERVAL_S)
             self.assertTrue(await ready())
 
-        self._play(_Probing(), script)
+        self._run_script(_ZoneProbe(), script)
 
-    def test_cost(self):
-        """Connections are few: one a zone at each look."""
-        probe = _Probing()
+    def test_probe_count(self):
+        """Each round makes at most one connection per zone."""
+        probe = _ZoneProbe()
 
         async def script(core, ready):
             await anyio.sleep(10.0)
-            self.assertLessEqual(len(probe.asked), 2 * 10.0 / PROBE_INTERVAL_S)
-            asked = self.counters.value(CHECKS, CheckReason.REACH)
-            self.assertEqual(len(probe.asked), asked)
+            self.assertLessEqual(len(probe.probed), 2 * 10.0 / PROBE_INTERVAL_S)
+            counted = self.counters.value(CHECKS, CheckReason.REACH)
+            self.assertEqual(len(probe.probed), counted)
 
-        self._play(probe, script)
+        self._run_script(probe, script)
--- a/tests/entry_report_test.py
+++ b/tests/entry_report_test.py
@@ -44,21 +44,22 @@
 
 
 class ReportTest(TestCase):
-    """Reports travel whole, and nothing else is taken for one."""
+    """Reports survive encoding, and other datagrams are rejected."""
 
     def test_round_trip(self):
-        """What was told is what is heard."""
-        heard = reports.decode(reports.encode(REPORT)).ok_value
-        self.assertEqual(REPORT, heard)
+        """Decoding returns the report that was encoded."""
+        decoded = reports.decode(reports.encode(REPORT)).ok_value
+        self.assertEqual(REPORT, decoded)
 
-    def test_bounded(self):
-        """A report of a great fleet fits a datagram.
+    def test_size_limit(self):
+        """A report of a large fleet fits a datagram.
 
-        That of a VM which never heard of the directory does, too.
+        So does that of a VM that never had an answer of the directory, whose
+        data has no finite age.
         """
         many = {n << 30: float(n) for n in range(1, 1000)}
         named = {f"10.10.10.{n}": 100_000 for n in range(99)}
-        told = Report(
+        report = Report(
             Kind.ANSWER,
             "v",
             "z",
@@ -69,14 +70,14 @@
             tuple(many),
             named,
         )
-        data = reports.encode(told)
+        data = reports.encode(report)
         self.assertLess(len(data), 2 * 1400)
         self.assertIn(999 << 30, reports.decode(data).ok_value.rates)
 
     @given(st.binary(max_size=200))
     @settings(max_examples=300, deadline=None, derandomize=True)
     def test_any_bytes(self, data):
-        """No datagram raises anything."""
+        """Decoding arbitrary bytes raises no exception."""
         reports.decode(data)
 
     @given(
@@ -90,7 +91,7 @@
     )
     @settings(max_examples=300, deadline=None, derandomize=True)
     def test_any_fields(self, value):
-        """Well-formed msgpack of the wrong shape raises nothing."""
+        """Decoding well-formed msgpack of a wrong shape raises no exception."""
         try:
             data = msgpack.packb(
                 [reports.FORMAT, 1, "vm", "z", 1, 1, 0, 1]
@@ -114,10 +115,10 @@
 
 
 class GossipTest(TestCase):
-    """What a VM makes of the others' reports."""
+    """How a VM handles reports of other VMs."""
 
     def setUp(self):
-        """Makes the gossip of one VM."""
+        """Creates the gossip of one VM."""
         super().setUp()
         self.core = group.steering(
             group.endpoint(1), group.endpoint(2), epoch=1
@@ -142,49 +143,49 @@
         self.addCleanup(made.close)
         return made
 
-    def _take(self, now: float = 1.0, **fields) -> None:
+    def _receive(self, now: float = 1.0, **fields) -> None:
         report = Report(**{**_values(REPORT), **fields})
         self.gossip.take(reports.encode(report), "127.0.0.2", now)
 
     def test_dead_endpoint(self):
-        """Another VM found an endpoint dead; this one asks for itself.
+        """A VM checks an endpoint that another VM reported as dead.
 
-        Its own clients need not find out one by one.
+        Otherwise each of its own clients would have to find out by itself.
         """
-        self._take()
+        self._receive()
         due = [r.endpoint.number for r in self.core.due_checks(1.0)]
         self.assertEqual([1], due)
 
-    def test_many_down(self):
-        """More endpoints are down than one report names: each gets its turn.
+    def test_more_down_than_listed(self):
+        """If more endpoints are down than a report holds, all appear in turn.
 
-        The VMs of the zone would never learn of those at the list's end, and
-        go on sending new flows there.
+        Otherwise the VMs of the zone would never learn of those at the end of
+        the list and would keep sending new flows there.
         """
         known = [group.endpoint(number) for number in range(1, 201)]
         self.core = group.steering(*known)
         for record in self.core.catalog.records:
             self.core.on_check(record, CheckResult.REFUSED, 1.0)
         self.gossip = self._gossip()
-        told = set()
+        reported = set()
         for _ in range(20):
             report = self.gossip._report(Kind.ANSWER, 1.0)
-            told.update(reports.decode(report).ok_value.down)
-        self.assertEqual(200, len(told))
+            reported.update(reports.decode(report).ok_value.down)
+        self.assertEqual(200, len(reported))
 
     def test_load(self):
-        """The load that another VM reports counts here."""
-        self._take()
+        """The load that another VM reports is added to the total."""
+        self._receive()
         self.assertEqual({1: 2.5}, dict(self.core.load.gathered(1.0)))
         self.assertEqual(2.5, self.core.load.rate(1, 1.0))
 
     def test_silent_connection(self):
-        """The connection to the directory fell silent; a peer knows more.
+        """A VM whose directory connection is silent asks a peer that is ahead.
 
-        The VM would go on with an old configuration until its own timeout;
-        it asks that peer at once.
+        Otherwise it would use an outdated configuration until the connection
+        times out.
         """
-        self._take(1.0, position=Position(1, 99))
+        self._receive(1.0, position=Position(1, 99))
         self.assertEqual([("127.0.0.2", Position(1, 99))], self.peers.ahead)
 
     @parameterized.expand(
@@ -197,26 +198,27 @@
         ]
     )
     def test_confirmed(self, _, position, age_s):
-        """A peer that knows as much vouches for its age, no other does."""
-        self._take(5.0, position=position, age_s=0.8)
+        """Only a peer at the same position confirms that data is current."""
+        self._receive(5.0, position=position, age_s=0.8)
         self.assertEqual(age_s, round(self.core.age_s(5.0), 3))
 
     def test_changes_of_another_epoch(self):
-        """Changes that follow the same revision of a restored store.
+        """Changes after the same revision of a restored store are not applied.
 
-        Taken in, they would pass for all that the VM lacks.
+        Applied, they would count as everything that the VM lacks.
         """
         position = Position(2, 12)
-        self._take(1.0, position=position, after=10, changes=b"changes")
+        self._receive(1.0, position=position, after=10, changes=b"changes")
         self.assertEqual([], self.peers.bodies)
         self.assertEqual([("127.0.0.2", position)], self.peers.ahead)
 
     @parameterized.expand([("all_named", 40, True), ("cut_off", 200, False)])
-    def test_more_endpoints_than_named(self, _, others, leaves):
-        """A fleet has more endpoints than a report names, all but two busy.
+    def test_more_endpoints_than_listed(self, _, others, leaves):
+        """A fleet has more endpoints than a report lists; all but two are busy.
 
-        Those left out were taken for idle: in a rush flows left their zone
-        for endpoints as full as their own, and broke with the next cut.
+        Guards against treating unlisted endpoints as idle: under peak load,
+        flows left their zone for endpoints as full as their own, and broke in
+        the next network partition.
         """
         near = [group.endpoint(n) for n in range(1, 41)]
         far = [
@@ -237,20 +239,20 @@
         ]
         self.assertEqual(leaves, PlacementReason.OTHER_ZONE in placed)
 
-    @parameterized.expand([("stood", 4.0, True), ("ran", 0.1, False)])
-    def test_waited_in_socket(self, _, gap_s, discarded):
-        """A VM wakes, and a report from before its pause is in its socket.
+    @parameterized.expand([("suspended", 4.0, True), ("running", 0.1, False)])
+    def test_queued_during_pause(self, _, gap_s, discarded):
+        """A VM resumes with a report from before the pause in its socket.
 
-        It says that its sender's view was young then. Taken in now, this VM
-        would believe its own old view confirmed, and refuse clients of a
-        route that was added meanwhile.
+        The report states that its sender's data was recent then. Applied now,
+        it would confirm this VM's outdated data, and the VM would refuse
+        clients of a route that was added meanwhile.
         """
         times = iter([0.0, *[gap_s] * 1000])
         pauses = PauseWatch(lambda: next(times))
         woken = self._gossip(pauses=pauses)
         pauses.notify(lambda gap_s: woken.discard_waiting())
-        heard = []
-        woken.take = lambda datagram, host, now: heard.append(datagram)
+        received = []
+        woken.take = lambda datagram, host, now: received.append(datagram)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
             peer.sendto(b"report", woken._sock.getsockname())
 
@@ -259,13 +261,13 @@
                 await woken.receive()
 
         anyio.run(main)
-        self.assertEqual([] if discarded else [b"report"], heard)
+        self.assertEqual([] if discarded else [b"report"], received)
 
     @parameterized.expand(
         [("empty", b""), ("junk", b"\xc1\xff"), ("int", b"\x01")]
     )
-    def test_junk(self, _, data):
-        """Junk is counted and changes nothing."""
+    def test_malformed(self, _, data):
+        """Malformed datagrams are counted and change nothing."""
         self.gossip.take(data, "127.0.0.2", 1.0)
         self.assertEqual(1, self.counters.value(ENVELOPE_FAULTS, "malformed"))
         self.assertEqual({}, dict(self.core.load.gathered(1.0)))
