--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -49,7 +49,8 @@
 to rejoin within the usual duration of a partition."""
 
 MAX_DISCOVERY_TARGETS = 3
-"""Limit on how many of these VMs are contacted in one round."""
+"""Limit on how many of these VMs are contacted in one round. A reader
+also contacts up to as many VMs of its zone that it has not heard from."""
 
 MEMBERS_STABLE_S = 2.0
 """Seconds without a new member after which a VM considers its list of members
@@ -216,22 +217,22 @@
         self._round += 1
         readers = self._members.readers(now)
         load = self._steering.load
-        asked = [host for host in readers if host != self._host]
-        if asked:
-            asked = [asked[self._round % len(asked)]]
+        targets = [host for host in readers if host != self._host]
+        if targets:
+            targets = [targets[self._round % len(targets)]]
         if self._host in readers:
-            asked += self._sample(
+            targets += self._sample(
                 self._members.unheard(now), MAX_DISCOVERY_TARGETS
             )
         if not self._members.hosts or self._round % DISCOVERY_ROUNDS == 0:
-            asked += self._sample(
+            targets += self._sample(
                 self._members.strangers(), MAX_DISCOVERY_TARGETS
             )
         failures = self._steering.outliers.own(now)
         ask = self._report(
             Kind.ASK, now, 1, load.report(now), failures=failures
         )
-        for host in asked:
+        for host in targets:
             self._send(ask, host)
             self._members.on_asked(host, now)
         if self._host in readers:
@@ -253,12 +254,12 @@
         if self._host not in readers or not changes:
             return
         own = readers.index(self._host)
-        news = self._report(
+        report = self._report(
             Kind.CHANGES, now, after=after.revision, changes=changes
         )
         for host in set(self._members.mates) - set(readers):
             if zlib.crc32(host.encode()) % len(readers) == own:
-                self._send(news, host)
+                self._send(report, host)
 
     def take(self, datagram: bytes, host: str, now: float) -> None:
         """Handles a datagram from another VM."""
