--- a/src/pollenmast/decisions/_acceptance.py
+++ b/src/pollenmast/decisions/_acceptance.py
@@ -1,9 +1,10 @@
-"""Which manifest is in force: the greatest, and never an older one again.
+"""Selection of the manifest in force.
 
-The pattern: a platform that is stale or down, two pipelines that publish at
-once, peers that are ahead or behind. Without one order over all manifests,
-VMs would follow whoever spoke last; operators would see a change that they
-had made vanish again on some of the VMs.
+The manifest with the greatest key is in force, and an older one never replaces
+it. The platform may be stale or down, two pipelines may publish at the same
+time, and peers may be ahead or behind. Without a total order of manifests, VMs
+would use the last one received, and operators would see a change of theirs
+disappear again on some VMs.
 """
 
 import attrs
@@ -12,16 +13,17 @@
 from pollenmast.manifest import Manifest, ManifestKey
 
 MOST_REFUSED = 64
-"""Refused contents remembered, so that each is fetched and logged once."""
+"""Maximum number of refused keys to remember, so that each content is fetched
+and logged once."""
 
 
 @attrs.frozen
 class Offer:
-    """What became of an offered manifest.
+    """The result of offering a manifest.
 
     Attributes:
-        outcome: Counted.
-        conflict: Whether one version came with two contents.
+        outcome: The outcome, as counted in the metrics.
+        conflict: Whether the version in force was offered with other content.
     """
 
     outcome: ManifestOutcome
@@ -33,9 +35,10 @@
     """The manifest in force.
 
     Attributes:
-        manifest: Its checked form.
-        text: Its text as published, handed to peers and the relay.
-        since: When it came into force, by the runtime's clock in seconds.
+        manifest: The parsed and validated manifest.
+        text: The text as published, which is passed to peers and the relay.
+        since: Time at which it came into force on the runtime's clock, in
+            seconds.
     """
 
     manifest: Manifest
@@ -44,12 +47,12 @@
 
     @property
     def key(self) -> ManifestKey:
-        """Its place in the order."""
+        """The manifest's key, by which manifests are ordered."""
         return self.manifest.key
 
 
 class Acceptance:
-    """Takes a manifest only where it is greater than the one in force."""
+    """Accepts a manifest only if its key is greater than the one in force."""
 
     def __init__(self):
         self._in_force: InForce | None = None
@@ -58,26 +61,26 @@
 
     @property
     def in_force(self) -> InForce | None:
-        """The manifest in force, if any has been accepted."""
+        """The manifest in force, or None if none has been accepted."""
         return self._in_force
 
     @property
     def key(self) -> ManifestKey:
-        """The key of the manifest in force, the least one without."""
+        """The key of the manifest in force, or the least key without one."""
         return self._in_force.key if self._in_force else ManifestKey()
 
     @property
     def heard(self) -> ManifestKey:
-        """The greatest key that any VM was heard to have in force."""
+        """The greatest key that any VM is known to have in force."""
         return max(self._heard, self.key)
 
     def wants(self, key: ManifestKey) -> bool:
-        """Notes what a peer has in force; returns whether to fetch it."""
+        """Records a peer's key in force; returns whether to fetch the text."""
         self._heard = max(self._heard, key)
         return key > self.key and key not in self._refused
 
     def offer(self, manifest: Manifest, text: bytes, now: float) -> Offer:
-        """Takes the manifest into force if it is greater."""
+        """Puts the manifest into force if its key is greater."""
         key = manifest.key
         if key == self.key:
             return Offer(ManifestOutcome.KNOWN)
@@ -90,11 +93,11 @@
         return Offer(ManifestOutcome.ACCEPTED, conflict)
 
     def refuse(self, key: ManifestKey) -> None:
-        """Remembers a key whose content was refused, so as not to ask again.
+        """Remembers a key whose content was refused, to not fetch it again.
 
-        A peer of another release may have in force what this one finds
-        invalid; asking for it with each heartbeat would cost a megabyte
-        twice a second.
+        A peer of another release may have a manifest in force that this
+        release considers invalid. Fetching it with each heartbeat would
+        transfer a megabyte twice a second.
         """
         while len(self._refused) >= MOST_REFUSED:
             del self._refused[next(iter(self._refused))]
--- a/src/pollenmast/decisions/_dissemination.py
+++ b/src/pollenmast/decisions/_dissemination.py
@@ -1,9 +1,9 @@
-"""Which news rides on the next message, and when it has ridden enough.
+"""Dissemination of updates by piggybacking them on gossip messages.
 
-The pattern: a fleet of any size learns of a change by messages that go out
-anyway. Without a bound on sends, old news would crowd out new; without a
-byte budget, a burst of news (a cut, a rolling replacement) would cost each
-node more the larger the fleet is.
+A fleet of any size learns of a change through messages that are sent anyway.
+Without a limit on the number of transmissions, old updates would displace new
+ones. Without a byte budget, the cost per node of a burst of updates (a network
+partition, a rolling replacement) would grow with the size of the fleet.
 """
 
 import math
@@ -13,13 +13,14 @@
 import attrs
 
 SENDS_PER_LOG = 3
-"""Sends of one piece of news, times log2 of the fleet. Each send reaches a
-member picked as good as at random; three times log2 leaves a member
-uninformed about once in n squared cases (the SWIM paper's bound), and what is
-missed comes with the next contact of the VM itself."""
+"""Transmissions of one update, as a multiple of log2 of the fleet's size. Each
+transmission reaches a practically random member. Three times log2 leaves a
+member uninformed in about one of n squared cases (the bound in the SWIM
+paper); that member learns of a missed update at its next contact with the VM
+concerned."""
 
 MOST_QUEUED = 4096
-"""Pieces of news kept at the most."""
+"""Maximum number of queued updates; further ones are dropped."""
 
 _Item = TypeVar("_Item")
 
@@ -33,7 +34,7 @@
 
 
 class Dissemination(Generic[_Item]):
-    """News by key; the newest under a key replaces the one before it."""
+    """A queue of updates by key; a newer update replaces an older one."""
 
     def __init__(self, sends_per_log: int = SENDS_PER_LOG):
         self._sends_per_log = sends_per_log
@@ -49,13 +50,15 @@
         size: int,
         sends_per_log: int | None = None,
     ) -> None:
-        """Queues news.
+        """Queues an update.
 
         Args:
-            key: What the news is about; newer news replaces it.
-            item: The news.
-            size: Bytes that it takes in a message.
-            sends_per_log: Sends of this one, if not the usual ones.
+            key: Subject of the update. An update that is queued under the
+                same key is replaced.
+            item: The update.
+            size: Size of the update in a message, in bytes.
+            sends_per_log: Transmissions of this update as a multiple of log2
+                of the fleet's size, if not the default of the queue.
         """
         self._queue.pop(key, None)
         if len(self._queue) < MOST_QUEUED:
@@ -63,11 +66,11 @@
             self._queue[key] = _Queued(item, size, sends)
 
     def pick(self, budget: int, fleet: int) -> tuple[_Item, ...]:
-        """Returns news for one message, the least sent first.
+        """Returns the updates for one message, the least transmitted first.
 
         Args:
-            budget: Bytes that the news may take.
-            fleet: Members of the fleet.
+            budget: Maximum total size of the updates, in bytes.
+            fleet: Number of members of the fleet.
         """
         logarithm = max(1, math.ceil(math.log2(fleet + 1)))
         picked = []
@@ -84,7 +87,7 @@
 
 
 class ByteBudget:
-    """How many bytes may be sent now, at a constant rate."""
+    """A token bucket of bytes that refills at a constant rate."""
 
     def __init__(self, bytes_per_s: float, burst: float, now: float):
         self._rate = bytes_per_s
@@ -93,12 +96,12 @@
         self._at = now
 
     def left(self, now: float) -> int:
-        """Returns the bytes that may be sent now, never below zero."""
+        """Returns the number of bytes that may be sent now, at least zero."""
         grown = self._left + (now - self._at) * self._rate
         self._left = min(self._burst, grown)
         self._at = now
         return max(0, int(self._left))
 
     def spend(self, amount: int) -> None:
-        """Notes bytes as sent; what must be sent may overdraw."""
+        """Deducts sent bytes; mandatory messages may overdraw the budget."""
         self._left -= amount
--- a/src/pollenmast/decisions/_fleet.py
+++ b/src/pollenmast/decisions/_fleet.py
@@ -1,21 +1,21 @@
-"""What this VM believes of the others: who owns a flow, and whom to ask."""
+"""The local view of the fleet: owners, backups and holders of flows."""
 
 from pollenmast.decisions._ownership import Member, Ring
 from pollenmast.fleet import Vm, VmState
 from pollenmast.peers._envelope import sender_id, standby_name
 
 ASKED = 2
-"""VMs asked about a flow that nobody here knows: the one that owned it before
-the last change, and the one that would keep its record."""
+"""VMs asked about a flow that is unknown locally: the owner before the last
+change of members, and the VM that would store the flow's record."""
 
 KEEPERS = 2
-"""VMs that keep a connection id, so that the loss of one loses none."""
+"""VMs that store a connection id, so that the loss of one VM loses no id."""
 
 _OWNS = (VmState.ALIVE, VmState.SUSPECT)
 
 
 class Fleet:
-    """The VMs by number, and the ring of those that own flows."""
+    """The VMs by number, and the hash rings of flow owners and holders."""
 
     def __init__(self, name: str, zone: str):
         self._me = Member(sender_id(name), name, zone)
@@ -28,26 +28,26 @@
 
     @property
     def me(self) -> Member:
-        """This VM."""
+        """The local VM."""
         return self._me
 
     @property
     def changed_at(self) -> float:
-        """When flows may last have got other owners, on the runtime's clock."""
+        """Time on the runtime's clock of the last possible change of owners."""
         return self._changed_at
 
     @property
     def changes(self) -> int:
-        """How often the ring of owners has changed."""
+        """Number of changes of the ring of owners."""
         return self._changes
 
     @property
     def owners(self) -> tuple[Member, ...]:
-        """The VMs that own flows."""
+        """The VMs that can own flows."""
         return self._owners.members
 
     def update(self, vms: tuple[Vm, ...], now: float) -> bool:
-        """Takes a new list; returns whether the owners changed."""
+        """Replaces the list of VMs; returns whether the owners changed."""
         self._vms = {sender_id(vm.name): vm for vm in vms}
         self._standbys = None
         owners = _members(self._vms, _OWNS)
@@ -62,26 +62,26 @@
         return True
 
     def note_absence(self, now: float) -> None:
-        """Notes that others may have opened flows which this VM owns.
+        """Records that other VMs may have opened flows that this VM owns.
 
-        They are to be asked as after a change of owners.
+        They must be asked, as after a change of owners.
         """
         self._changed_at = now
 
     def vm(self, number: int) -> Vm | None:
-        """Returns the VM with this number, unless it is dead."""
+        """Returns the VM with this number, or None if it is dead or unknown."""
         return self._vms.get(number)
 
     def vm_behind(self, sender: int) -> int:
-        """Returns the VM that an envelope's sender number stands for.
+        """Returns the number of the VM that sent an envelope.
 
-        An agent that sends in its relay's place has a number of its own.
+        An agent that sends on behalf of its relay uses a number of its own.
         """
         if sender in self._vms:
             return sender
         if self._standbys is None:
-            # Made when it is needed: in a great fleet it takes a millisecond,
-            # and views come each second.
+            # Computed on demand: in a large fleet it takes a millisecond, and
+            # the view is updated every second.
             self._standbys = {
                 sender_id(standby_name(vm.name)): number
                 for number, vm in self._vms.items()
@@ -89,42 +89,45 @@
         return self._standbys.get(sender, sender)
 
     def carries(self, number: int) -> bool:
-        """Returns whether this VM's relay can be sent packets."""
+        """Returns whether packets can be sent to the relay of a VM."""
         vm = self._vms.get(number)
         return vm is not None and vm.relay_up
 
     def owner(self, key: int) -> Member | None:
-        """Returns the VM that owns the flow with this hash."""
+        """Returns the VM that owns the flow with hash `key`."""
         return self._owners.owner(key)
 
     def successor(self, key: int) -> Member | None:
-        """Returns the VM that would own this VM's flow, were it gone."""
+        """Returns the VM that would own a flow without the local VM."""
         for member in self._owners.ranks(key, 2):
             if member.number != self._me.number:
                 return member
         return None
 
     def owns(self, key: int) -> bool:
-        """Returns whether this VM owns the flow with this hash."""
+        """Returns whether the local VM owns the flow with hash `key`."""
         owner = self._owners.owner(key)
         return owner is not None and owner.number == self._me.number
 
     def backup(self, key: int) -> int:
-        """Returns the number of the VM that keeps this VM's record, or 0."""
+        """Returns the number of the VM that backs up the flow, or 0.
+
+        The local VM holds the flow, and its backup stores the flow's record.
+        """
         member = self._owners.backup(key, self._me)
         return member.number if member else 0
 
     def keepers(self, key: int) -> list[int]:
-        """Returns the VMs that keep the connection id with this hash."""
+        """Returns the VMs that store the connection id with hash `key`."""
         ranks = self._owners.ranks(key, KEEPERS)
         return [member.number for member in ranks]
 
     def asked(self, key: int, but: int = 0) -> list[int]:
-        """Returns the VMs to ask about a flow, the likeliest first.
+        """Returns the VMs to ask about a flow, the most likely holder first.
 
         Args:
             key: The flow's hash.
-            but: Number of a VM that need not be asked, or 0.
+            but: Number of a VM to exclude, or 0.
         """
         candidates = [*self._holders.ranks(key, ASKED + 2)]
         keeper = self._owners.backup(key, self._me)
--- a/src/pollenmast/decisions/_freshness.py
+++ b/src/pollenmast/decisions/_freshness.py
@@ -1,18 +1,22 @@
-"""Whether what this VM believes of the fleet may be acted on.
-
-The pattern: a process is paused for seconds or minutes, or cut off from all
-others, and wakes with old beliefs. Acting on them, it would open flows that
-others own, towards endpoints that have left, under an old manifest; callers
-would see flows broken by the two owners. So it first hears one peer again
-and takes that peer's members and manifest. When nobody answers it is cut off
-and goes on with what it reaches.
+"""Whether decisions may be based on the local view of the fleet.
+
+After a pause of seconds or minutes, or after isolation from all peers, the
+view of a process is stale. If the process acted on it, it would open flows
+that other VMs own, to endpoints that have left, under an old manifest; with
+two owners per flow, callers would see broken flows. The process therefore
+first fetches the members and the manifest of one peer. If no peer answers, it
+is cut off and continues with the VMs that it reaches.
 """
 
 from pollenmast.manifest import ManifestKey
 
 
 class Freshness:
-    """Stale after a pause or a silence; fresh again after a refresh."""
+    """Tracks whether the view is fresh.
+
+    The view becomes stale after a pause of the process or a time without
+    messages from peers, and fresh again after a refresh.
+    """
 
     def __init__(self, lease_s: float, refresh_s: float, now: float):
         self._lease_s = lease_s
@@ -26,12 +30,15 @@
 
     @property
     def fresh(self) -> bool:
-        """Whether the beliefs may be acted on."""
+        """Whether decisions may be based on the view."""
         return self._began is None
 
     @property
     def number(self) -> int:
-        """Counts the refreshes; an answer to an earlier one is old."""
+        """The number of the latest refresh.
+
+        An answer to a refresh with a lower number is outdated.
+        """
         return self._number
 
     @property
@@ -40,21 +47,33 @@
         return self._alone
 
     def begin(self, now: float) -> None:
-        """Starts a refresh: the beliefs may be stale."""
+        """Starts a refresh, because the view may be stale."""
         self._began = now
         self._number += 1
         self._synced = False
         self._awaited = ManifestKey()
 
     def ran(self, gap_s: float, now: float) -> bool:
-        """Notes that this process ran; returns whether a refresh begins."""
+        """Starts a refresh if the process has not run for the lease time.
+
+        Args:
+            gap_s: Time since the process last ran, in seconds.
+            now: Current time of the runtime's clock, in seconds.
+
+        Returns:
+            Whether a refresh was started.
+        """
         if gap_s <= self._lease_s:
             return False
         self.begin(now)
         return True
 
     def silent(self, has_peers: bool, now: float) -> bool:
-        """Returns whether a refresh begins because nobody was heard."""
+        """Starts a refresh if no peer was heard for the lease time.
+
+        Returns:
+            Whether a refresh was started.
+        """
         over = now - self._heard_s > self._lease_s
         if not over or not has_peers or not self.fresh or self._alone:
             return False
@@ -62,18 +81,26 @@
         return True
 
     def heard(self, now: float) -> bool:
-        """Notes a peer's message; returns whether a cut has just ended."""
+        """Records a message from a peer.
+
+        Returns:
+            Whether the message ends a time of isolation.
+        """
         self._heard_s = now
         ended, self._alone = self._alone, False
         return ended
 
     def synced(self, theirs: ManifestKey) -> None:
-        """Notes that a peer has told its members and its manifest's key."""
+        """Records that a peer has sent all its members and its manifest key."""
         self._synced = True
         self._awaited = max(self._awaited, theirs)
 
     def check(self, in_force: ManifestKey, now: float) -> bool:
-        """Returns whether a refresh has just ended."""
+        """Ends the refresh if it is complete or has timed out.
+
+        Returns:
+            Whether the refresh was ended.
+        """
         if self._began is None:
             return False
         if self._synced and in_force >= self._awaited:
--- a/src/pollenmast/decisions/_heartbeats.py
+++ b/src/pollenmast/decisions/_heartbeats.py
@@ -1,8 +1,9 @@
-"""Pings: whom, when, and what a missing ack means.
+"""Heartbeat scheduling: which member to ping, when, and after a missing ack.
 
-The pattern: a VM dies without a word, or only the way between two VMs is
-broken. One ping an interval keeps the cost constant; asking others before a
-member is suspected keeps one bad way from looking like a death.
+A VM may crash without notice, or only the network path between two VMs may
+fail. One ping per interval keeps the cost constant. Indirect pings through
+other members, sent before a member is suspected, keep the failure of one path
+from being taken for the failure of a VM.
 """
 
 import itertools
@@ -17,21 +18,23 @@
 from pollenmast.peers._gossip import Act
 
 MOST_PINGS = 256
-"""Pings without an answer yet; a peer that asks for more is not served."""
+"""Maximum number of outstanding pings; beyond it, peers' requests for indirect
+pings are ignored."""
 
 Address = tuple[str, int]
 
 
 @attrs.frozen
 class Send:
-    """A message to send; news is added where it is sent.
+    """A message to send; the sender adds further updates to it.
 
     Attributes:
-        to: IP number and port.
-        act: What it asks for.
-        sequence: Ties an answer to what it answers.
-        target: The VM that is spoken of.
-        members: News that must be in it.
+        to: IP address and port of the receiver.
+        act: Type of the message.
+        sequence: Number that matches an answer to its request.
+        target: Name that the message refers to: the VM to ping or that
+            answered, or the last name of a sync's page.
+        members: Updates that the message must contain.
     """
 
     to: Address
@@ -43,13 +46,14 @@
 
 @attrs.define
 class Ping:
-    """A ping without an answer yet.
+    """An outstanding ping.
 
     Attributes:
-        target: The pinged VM's name; empty when only its address is known.
-        sent_s: When it was sent.
-        asked: Whether others were asked to ping as well.
-        relayed: Whom to tell of the answer, with which sequence.
+        target: Name of the pinged VM; empty if only its address is known.
+        sent_s: Time at which the ping was sent.
+        asked: Whether other members were asked for indirect pings.
+        relayed: Address and sequence number for the ack to the member that
+            requested this ping, or None for a ping of the local VM's own.
     """
 
     target: str
@@ -59,12 +63,12 @@
 
 
 def gossip_address(vm: Vm) -> Address:
-    """Returns where a VM's agent takes gossip."""
+    """Returns the gossip address of a VM's agent."""
     return vm.address, vm.gossip_port
 
 
 class Heartbeats:
-    """Sends pings and notices what stays unanswered."""
+    """Schedules pings and detects missing acks."""
 
     def __init__(
         self,
@@ -86,7 +90,7 @@
         self._next_dead = now + times.retry_dead
 
     def due(self) -> float:
-        """Returns when `beat` or `check` has something to do."""
+        """Returns the time at which `beat` or `check` must run next."""
         due = min(self._next_ping, self._next_dead)
         for ping in self._pings.values():
             wait = self._times.total if ping.asked else self._times.direct
@@ -94,22 +98,25 @@
         return due
 
     def shift(self, late: float) -> None:
-        """Gives open pings more time: this process was paused."""
+        """Extends the time-outs of outstanding pings after a pause."""
         for ping in self._pings.values():
             ping.sent_s += late
 
     def joined(self, name: str) -> None:
-        """Lets a new member take its turn in this round."""
+        """Adds a new member to the current round at a random position."""
         place = self._rng.randint(0, len(self._order))
         self._order.insert(place, name)
 
     def retry_soon(self, now: float) -> None:
-        """Tries the next dead one soon: a cut heals for many at once."""
+        """Schedules the next ping of a dead member soon.
+
+        When a network partition heals, many members return at once.
+        """
         soon = now + self._times.heartbeat / 2
         self._next_dead = min(self._next_dead, soon)
 
     def beat(self, now: float) -> list[Send]:
-        """Sends the pings that are due."""
+        """Returns the pings that are due."""
         sends = []
         if now >= self._next_ping:
             self._next_ping = now + self._times.heartbeat
@@ -120,7 +127,7 @@
         return sends
 
     def check(self, now: float) -> tuple[list[Send], list[Member]]:
-        """Returns whom to ask about open pings, and who failed to answer."""
+        """Returns indirect ping requests, and the members that timed out."""
         sends, silent = [], []
         for sequence, ping in list(self._pings.items()):
             waited = now - ping.sent_s
@@ -133,14 +140,14 @@
         return sends, silent
 
     def ping(self, vm: Vm, now: float) -> Send:
-        """Returns a ping of a VM."""
+        """Returns a ping to a VM."""
         sequence = next(self._sequences)
         self._pings[sequence] = Ping(vm.name, now)
         to = gossip_address(vm)
         return Send(to, Act.PING, sequence, vm.name, self.told(vm.name))
 
     def greet(self, to: Address, now: float) -> Send:
-        """Returns a ping of whoever has this address."""
+        """Returns a ping to an address whose VM is not known."""
         sequence = next(self._sequences)
         self._pings[sequence] = Ping("", now)
         return Send(to, Act.PING, sequence)
@@ -148,7 +155,7 @@
     def ping_for(
         self, vm: Vm, asker: Address, sequence: int, now: float
     ) -> list[Send]:
-        """Pings a VM for another one that did not hear from it."""
+        """Pings a VM on behalf of a member that received no ack from it."""
         if len(self._pings) >= MOST_PINGS:
             return []
         send = self.ping(vm, now)
@@ -156,13 +163,13 @@
         return [send]
 
     def answered(self, sequence: int) -> Ping | None:
-        """Takes an ack; returns the ping that it answers."""
+        """Removes and returns the ping that an ack answers, if any."""
         return self._pings.pop(sequence, None)
 
     def told(self, name: str) -> tuple[Vm, ...]:
-        """Returns what a VM must hear of itself.
+        """Returns the update about itself that a VM must receive.
 
-        It can only refute a suspicion, or its death, that it knows of.
+        A VM can refute a suspicion or its own death only if it knows of it.
         """
         member = self._members.get(name)
         if member is None or member.vm.state is VmState.ALIVE:
@@ -170,10 +177,10 @@
         return (member.vm,)
 
     def _ping_next(self, now: float) -> list[Send]:
-        """Pings the VM after this one by name, and a random one, in turns.
+        """Pings the successor by name and a random member alternately.
 
-        With random ones alone, a killed VM now and then went unpinged for
-        three intervals. Its predecessor pings it every other interval.
+        With random members alone, a killed VM sometimes received no ping for
+        three intervals. Its predecessor now pings it every other interval.
         """
         self._in_ring = not self._in_ring
         successor = self._successor() if self._in_ring else None
@@ -193,7 +200,7 @@
     def _successor(self) -> Vm | None:
         vms = [each.vm for each in self._members.live()]
         own = self._own_name
-        # Names above the own one come first, then the ring starts again.
+        # Names greater than the local one come first, then the ring wraps.
         return min(vms, key=lambda vm: (vm.name < own, vm.name), default=None)
 
     def _ask_others(self, sequence: int, ping: Ping) -> list[Send]:
@@ -225,7 +232,7 @@
         return [] if heard or member.suspect_since is not None else [member]
 
     def _retry_dead(self, now: float) -> list[Send]:
-        """Pings one dead member, so that a healed cut is noticed."""
+        """Pings one dead member, to detect that a partition has healed."""
         dead = self._members.dead()
         if not dead:
             return []
--- a/src/pollenmast/decisions/_introductions.py
+++ b/src/pollenmast/decisions/_introductions.py
@@ -1,6 +1,7 @@
-"""The platform's list and the seeds: whom to greet, and whom to forget.
+"""VMs known from the platform's list and the seeds.
 
-The list lags, so it never says anything about a VM that was heard itself.
+They are used to find unknown VMs to ping and dead members to remove. The
+list lags, so it never overrides what is known from a VM itself.
 """
 
 from collections.abc import Iterable
@@ -11,7 +12,7 @@
 
 
 class Introductions:
-    """Who is said to exist."""
+    """VMs that the platform's list or the seeds name."""
 
     def __init__(self, own_name: str, seeds: Iterable[Address]):
         self._own_name = own_name
@@ -19,11 +20,14 @@
         self._listed: dict[str, Vm] | None = None
 
     def take(self, vms: Iterable[Vm]) -> None:
-        """Takes the platform's list."""
+        """Replaces the platform's list."""
         self._listed = {vm.name: vm for vm in vms if vm.name != self._own_name}
 
     def strangers(self, members: Members) -> list[Address]:
-        """Returns who was never heard; the seeds too while alone."""
+        """Returns the addresses of listed VMs that are not members.
+
+        Without a live member, the seeds are returned too.
+        """
         strangers = [
             gossip_address(vm)
             for name, vm in (self._listed or {}).items()
@@ -34,10 +38,15 @@
         return strangers
 
     def forget(self, members: Members, now: float, after_s: float) -> None:
-        """Forgets the dead that the platform no longer lists.
+        """Removes dead members that the platform no longer lists.
+
+        Without this, a fleet whose VMs are replaced daily would keep pinging
+        every VM that ever existed.
 
-        Without this, a fleet whose VMs are replaced each day would ping all
-        that ever lived.
+        Args:
+            members: The member table.
+            now: Current time of the runtime's clock, in seconds.
+            after_s: Time for which a member must have been dead, in seconds.
         """
         if self._listed is None:
             return
--- a/src/pollenmast/decisions/_members.py
+++ b/src/pollenmast/decisions/_members.py
@@ -1,4 +1,4 @@
-"""The table of members: what is believed of each VM, and which news wins."""
+"""The member table and the precedence of membership updates."""
 
 import enum
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 
 
 class Why(str, enum.Enum):
-    """What made a member's state change."""
+    """The reason for a change of a member's state."""
 
     JOINED = "joined"
     RETURNED = "returned"
@@ -31,12 +31,12 @@
 
 @attrs.frozen
 class Change:
-    """A member's state changed.
+    """A change of a member's state.
 
     Attributes:
-        vm: The member as it is now believed to be.
-        before: The state before, None for a new member.
-        why: What made it change.
+        vm: The member after the change.
+        before: The state before the change, or None for a new member.
+        why: The reason for the change.
     """
 
     vm: Vm
@@ -46,16 +46,17 @@
 
 @attrs.define
 class Member:
-    """What is believed of one other VM.
+    """The local view of one other VM.
 
     Attributes:
-        vm: The newest news of it.
-        leaving: Whether it announced that it leaves. A suspicion keeps this:
-            a leaving VM that misses a heartbeat must not own new flows.
-        suspect_since: When it became suspect, else None.
-        dead_since: When it was declared dead, else None.
-        heard_s: When it was last heard itself.
-        asked_s: When a dead one was last tried again.
+        vm: The latest update about the VM.
+        leaving: Whether the VM has announced that it leaves. The flag is kept
+            when the VM becomes suspect: a leaving VM that misses a heartbeat
+            must not own new flows.
+        suspect_since: Time at which the VM became suspect, or None.
+        dead_since: Time at which the VM was declared dead, or None.
+        heard_s: Time of the last message from the VM itself.
+        asked_s: Time of the last ping to the VM while it was dead.
     """
 
     vm: Vm
@@ -67,12 +68,12 @@
 
     @property
     def dead(self) -> bool:
-        """Whether it is believed dead."""
+        """Whether the member has been declared dead."""
         return self.vm.state is VmState.DEAD
 
     @property
     def view(self) -> Vm:
-        """The member as the relay shall see it."""
+        """The member as reported to the relay."""
         if self.leaving and not self.dead:
             return attrs.evolve(self.vm, state=VmState.LEAVING)
         return self.vm
@@ -83,7 +84,7 @@
 
 
 class Members:
-    """Every other VM that was heard of, by name."""
+    """All other known VMs, by name."""
 
     def __init__(self):
         self._by_name: dict[str, Member] = {}
@@ -95,27 +96,36 @@
         return len(self._by_name)
 
     def get(self, name: str) -> Member | None:
-        """Returns the member with this name, if there is one."""
+        """Returns the member with this name, or None if it is unknown."""
         return self._by_name.get(name)
 
     def live(self) -> list[Member]:
-        """Returns all that are not dead."""
+        """Returns the members that are not dead."""
         return [member for member in self if not member.dead]
 
     def dead(self) -> list[Member]:
-        """Returns all that are dead and not yet forgotten."""
+        """Returns the dead members that have not been removed yet."""
         return [member for member in self if member.dead]
 
     def forget(self, name: str) -> None:
-        """Forgets one."""
+        """Removes the member with this name, if it is known."""
         self._by_name.pop(name, None)
 
     def merge(self, vm: Vm, now: float, why: Why) -> Change | None:
-        """Takes news of another VM; returns the change where it is new.
+        """Applies an update about another VM.
 
-        A greater incarnation always wins, as only the VM itself raises it.
-        Within one incarnation the graver state wins, so that all VMs end
-        with the same belief in whatever order they hear.
+        A greater incarnation always takes precedence, because only the VM
+        itself increments it. Within one incarnation the more severe state
+        takes precedence, so that all VMs converge to the same state in
+        whatever order they receive the updates.
+
+        Args:
+            vm: The updated state of the VM.
+            now: Current time of the runtime's clock, in seconds.
+            why: Reason for the change, unless the states imply another.
+
+        Returns:
+            The change, or None if the update changes nothing.
         """
         known = self._by_name.get(vm.name)
         if known is None:
@@ -144,11 +154,15 @@
         member.vm = vm
 
     def page(self, after: str, budget: int) -> tuple[list[Vm], str]:
-        """Returns members by name after `after`, and where the next begin.
+        """Returns a page of members in the order of their names.
 
         Args:
-            after: A name; empty for the first page.
-            budget: Bytes that the page may take.
+            after: Name after which the page starts; empty for the first page.
+            budget: Maximum size of the page, in bytes.
+
+        Returns:
+            The members, and the name after which the next page starts; the
+            name is empty after the last page.
         """
         names = sorted(name for name in self._by_name if name > after)
         vms = [self._by_name[name].vm for name in names]
@@ -157,7 +171,7 @@
 
 
 def fitting(vms: list[Vm], budget: int) -> list[Vm]:
-    """Returns the first VMs that fit into so many bytes of a message."""
+    """Returns the longest prefix of `vms` that fits into `budget` bytes."""
     taken = []
     for vm in vms:
         budget -= member_size(vm)
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -1,12 +1,15 @@
-"""Which VMs are alive, by heartbeats at a cost that no fleet size changes.
-
-The pattern: VMs die, join, leave and freeze at any time, while the platform's
-list lags. If each VM pinged all others, a fleet of 1,400 would spend
-megabytes a second on heartbeats; if the list were trusted, flows would go to
-dead VMs for as long as it lags. So each VM pings one other per interval (the
-SWIM protocol), asks three more before it suspects one, and tells news on
-messages that go out anyway. One class of some length: its parts that stand
-alone (heartbeats, introductions, freshness, members) are modules already.
+"""Group membership and failure detection with the SWIM protocol.
+
+VMs crash, join, leave and freeze at any time, and the platform's list of VMs
+lags behind. If every VM pinged all others, heartbeats in a fleet of 1,400 VMs
+would take megabytes per second. If the platform's list were trusted, flows
+would be sent to dead VMs for as long as the list lags. Each VM therefore pings
+one other VM per interval, asks three more to ping a VM before suspecting it,
+and piggybacks membership updates on messages that are sent anyway. The cost
+per VM does not depend on the size of the fleet.
+
+`Membership` is a long class. Its independent parts (heartbeats, introductions,
+freshness and the member table) are modules of their own.
 """
 
 import random
@@ -37,7 +40,11 @@
 
 
 class Membership:
-    """This VM's beliefs of the others. Every method is told the time."""
+    """The local VM's view of the fleet.
+
+    The class reads no clock: methods that depend on time take it as an
+    argument.
+    """
 
     def __init__(
         self,
@@ -47,14 +54,15 @@
         times: Times | None = None,
         seeds: Iterable[Address] = (),
     ):
-        """Starts alone.
+        """Creates a membership without other members.
 
         Args:
-            own: This VM, with a greater incarnation than in its life before.
-            now: The runtime's clock, in seconds.
-            rng: Randomness.
-            times: The figures.
-            seeds: Gossip addresses to greet while nobody is known.
+            own: The local VM. Its incarnation must be greater than in any
+                earlier run of the process.
+            now: Current time of the runtime's clock, in seconds.
+            rng: Random number generator.
+            times: Intervals and time-outs; defaults to `Times()`.
+            seeds: Gossip addresses to ping while no live member is known.
         """
         self._own = own
         self._rng = rng
@@ -72,46 +80,46 @@
         self._ran_s = now
         self._due_s = now
         self._next_greet = now
-        # What a starting VM believes is no better than what a paused one does.
+        # After a start the view is as unreliable as after a pause.
         self._fresh.begin(now)
 
-    # What others read.
+    # State for callers.
 
     @property
     def own(self) -> Vm:
-        """This VM as it tells others."""
+        """The local VM as announced to peers."""
         return self._own
 
     @property
     def fresh(self) -> bool:
-        """Whether the beliefs may be acted on."""
+        """Whether decisions may be based on this view."""
         return self._fresh.fresh
 
     @property
     def alone(self) -> bool:
-        """Whether nobody answered the last refresh."""
+        """Whether the last refresh ended without an answer."""
         return self._fresh.alone
 
     def vms(self) -> tuple[Vm, ...]:
-        """Returns every VM not dead, the own one first."""
+        """Returns all VMs that are not dead, the local VM first."""
         return (self._own, *(each.view for each in self._members.live()))
 
     def known(self) -> tuple[Vm, ...]:
-        """Returns every VM known, dead ones included, the own one first."""
+        """Returns all known VMs, dead ones included, the local VM first."""
         return (self._own, *(each.view for each in self._members))
 
     @property
     def has_urgent(self) -> bool:
-        """Whether `tick` has something to tell at once."""
+        """Whether `tick` has urgent updates to send."""
         return bool(self._urgent)
 
     def take_changes(self) -> list[Change]:
-        """Returns the changes since the last call; they are news to tell."""
+        """Returns the changes since the last call, to be disseminated."""
         changes, self._changes = self._changes, []
         return changes
 
     def due(self) -> float:
-        """Returns when `tick` must be called next."""
+        """Returns the time at which `tick` must be called next."""
         due = [self._heartbeats.due(), self._next_greet]
         for member in self._members:
             if member.suspect_since is not None:
@@ -119,54 +127,60 @@
         self._due_s = min(due)
         return self._due_s
 
-    # What this VM says of itself.
+    # State of the local VM.
 
     def set_relay_up(self, up: bool) -> None:
-        """Tells whether the relay of this VM answers its agent."""
+        """Announces whether the local relay answers its agent."""
         if up != self._own.relay_up:
             self._restate(relay_up=up, why=Why.UPDATED)
 
     def leave(self) -> None:
-        """Announces that this VM stops in an orderly way."""
+        """Announces a planned shutdown of the local VM."""
         if self._own.state is VmState.ALIVE:
             self._restate(state=VmState.LEAVING, why=Why.LEAVES)
 
     def gone(self) -> list[Send]:
-        """Announces the end, so that nobody needs to find out."""
+        """Announces that the local VM stops now.
+
+        Peers then need not detect its failure.
+        """
         self._own = attrs.evolve(self._own, state=VmState.DEAD)
         return self._push((self._own,))
 
     def stay(self) -> None:
-        """Takes back that this VM leaves: its relay was replaced."""
+        """Cancels a planned shutdown, because the relay was replaced."""
         if self._own.state is VmState.LEAVING:
             self._restate(state=VmState.ALIVE, why=Why.UPDATED)
 
     def set_in_force(self, key: ManifestKey) -> None:
-        """Notes the manifest in force here."""
+        """Sets the key of the manifest in force on the local VM."""
         self._in_force = key
 
     def stale(self, now: float) -> list[Send]:
-        """Starts a refresh: something says that the beliefs are old."""
+        """Starts a refresh, because the view appears to be stale."""
         self._fresh.begin(now)
         return self._ask_around(now)
 
-    # What happens.
+    # Events.
 
     def look(self, now: float) -> list[Send]:
-        """Notes that the process runs, before its beliefs are used.
+        """Checks for a pause of the process before the view is used.
 
-        After a pause this may be the first thing that runs; without it, old
-        beliefs would go out once as fresh ones.
+        This may be the first code to run after a pause. Without the check, a
+        stale view would be handed out once as a fresh one.
         """
         return self._notice(now)
 
     def introduce(self, listed: Iterable[Vm], now: float) -> list[Send]:
-        """Takes the platform's list: whom to greet, and whom to forget."""
+        """Takes the platform's list of VMs and pings those not yet known.
+
+        Dead members that are missing from the list are removed later.
+        """
         self._introductions.take(listed)
         return self._greet(now)
 
     def tick(self, now: float) -> list[Send]:
-        """Does what time demands."""
+        """Runs all timers that have expired."""
         sends = self._notice(now)
         asked, silent = self._heartbeats.check(now)
         sends += asked
@@ -187,7 +201,7 @@
     def receive(
         self, message: Gossip, source: Address, now: float
     ) -> list[Send]:
-        """Takes a peer's message; `source` is where it came from."""
+        """Handles a message from a peer at the address `source`."""
         if message.sender.name == self._own.name:
             return []
         sends = self._notice(now)
@@ -199,16 +213,16 @@
         if member is not None:
             member.heard_s = now
         if self._fresh.heard(now):
-            # The cut may have lasted hours: take what was missed first.
+            # The network partition may have lasted hours: refresh first.
             sends += self.stale(now)
         sends += self._answer(message, source, now)
         self._fresh.check(self._in_force, now)
         return sends + self._push_urgent()
 
-    # Heartbeats.
+    # Failure detection.
 
     def _suspect(self, member: Member, now: float) -> list[Send]:
-        """Suspects a member, and tells it so: it may still refute."""
+        """Marks a member as suspect and notifies it, so that it can refute."""
         suspect = attrs.evolve(member.vm, state=VmState.SUSPECT)
         self._merge(suspect, now, Why.NO_ACK)
         return [self._heartbeats.ping(member.vm, now)]
@@ -220,7 +234,7 @@
                 dead = attrs.evolve(member.vm, state=VmState.DEAD)
                 self._merge(dead, now, Why.SUSPICION_OVER)
 
-    # Answers.
+    # Message handlers.
 
     def _answer(
         self, message: Gossip, source: Address, now: float
@@ -240,8 +254,8 @@
 
     def _acknowledge(self, message: Gossip, source: Address) -> list[Send]:
         if message.target not in ("", self._own.name):
-            # Another VM had this address before. Its death must be found
-            # out, not hidden by an answer in its name.
+            # The ping is for another VM that had this address before. An
+            # answer would hide that VM's failure.
             return []
         members = self._heartbeats.told(message.sender.name)
         own = self._own.name
@@ -272,10 +286,10 @@
             member.vm, source, message.sequence, now
         )
 
-    # Greetings, syncs and refreshes.
+    # Joining, syncs and refreshes.
 
     def _greet(self, now: float) -> list[Send]:
-        """Pings listed VMs that were never heard, and seeds when alone."""
+        """Pings VMs not yet known; seeds too without a live member."""
         strangers = self._introductions.strangers(self._members)
         greeted = self._sample(strangers, figures.GREETED)
         sends = [self._heartbeats.greet(to, now) for to in greeted]
@@ -299,7 +313,8 @@
         return Send(source, Act.SYNC, message.sequence, last, tuple(page))
 
     def _paged(self, message: Gossip) -> list[Send]:
-        # Another number lay in the socket through a freeze: as old as that.
+        # An answer to an earlier refresh: it waited in the socket buffer
+        # while this process was frozen and is as old as that freeze.
         if message.sequence != self._fresh.number:
             return []
         if message.target:
@@ -308,7 +323,7 @@
         self._fresh.synced(key)
         return []
 
-    # Beliefs.
+    # Updates of the view.
 
     def _merge(self, vm: Vm, now: float, why: Why) -> None:
         if vm.name == self._own.name:
@@ -324,7 +339,7 @@
             self._heartbeats.retry_soon(now)
 
     def _hear_of_self(self, vm: Vm, now: float) -> None:
-        """Refutes what others wrongly believe of this VM."""
+        """Refutes a wrong state of the local VM reported by a peer."""
         own = self._own
         believed = vm.incarnation >= own.incarnation
         wrong = vm.incarnation > own.incarnation or vm.state in (
@@ -336,7 +351,7 @@
         self._own = attrs.evolve(own, incarnation=vm.incarnation)
         self._restate(why=Why.REFUTED)
         if vm.state is VmState.DEAD:
-            # The others went on; what this VM believes is as old as that.
+            # The others continued without this VM, so its view is stale.
             self._fresh.begin(now)
             self._pages_left = figures.REFRESH_SYNCS
 
@@ -346,13 +361,14 @@
         self._own = attrs.evolve(self._own, **changed)
         self._note(Change(self._own, before, why))
 
-    # Lateness.
+    # Detection of pauses.
 
     def _notice(self, now: float) -> list[Send]:
-        """Notes how late this process runs.
+        """Detects a pause of this process and compensates for it.
 
-        A paused process finds all its timers over and its socket full of
-        unread acks. It would declare the others dead for its own pause.
+        After a pause all timers have expired and the acks are still unread in
+        the socket buffer. Without compensation, the process would declare the
+        other members dead because of its own pause.
         """
         late = now - max(self._due_s, self._ran_s)
         gap = now - self._ran_s
@@ -370,10 +386,10 @@
     # Sending.
 
     def _push_urgent(self) -> list[Send]:
-        """Tells what has just changed to a few at once.
+        """Sends the latest changes to a few members immediately.
 
-        Flows go to a dead VM for as long as a change takes to spread; at one
-        message an interval it would take seconds.
+        Flows are sent to a dead VM until the change has spread. At one message
+        per interval, that would take seconds.
         """
         urgent = fitting(list(self._urgent.values()), figures.PAGE_BYTES)
         self._urgent.clear()
@@ -384,7 +400,7 @@
         self._urgent[change.vm.name] = self.told(change.vm.name)
 
     def told(self, name: str) -> Vm:
-        """Returns the newest news of a VM, as peers shall hear it."""
+        """Returns the latest state of a VM, as announced to peers."""
         member = self._members.get(name)
         return member.vm if member else self._own
 
@@ -398,7 +414,10 @@
         ]
 
     def push(self) -> list[Send]:
-        """Returns messages to a few random members, for urgent news."""
+        """Returns empty messages to a few random members.
+
+        The sender adds its urgent updates to them.
+        """
         return self._push(())
 
     def _sample(self, population: list, most: int) -> list:
--- a/src/pollenmast/decisions/_membership_times.py
+++ b/src/pollenmast/decisions/_membership_times.py
@@ -1,63 +1,71 @@
-"""The figures of membership, and the grounds for each."""
+"""Constants and time-outs of the membership protocol."""
 
 import attrs
 
 INDIRECT = 3
-"""Members asked to ping one that did not answer. Three of them lose the same
-way only when the member, or this VM, is the cause."""
+"""Members asked for an indirect ping of a member that did not answer. All three
+fail only if the cause lies with that member or with the local VM."""
 
 URGENT = 3
-"""Members told at once of urgent news. Each of them tells three in turn, so
-nine VMs know within two or three one-way times."""
+"""Members that are sent an urgent update immediately. Each of them forwards it
+to three more, so nine VMs have it within two or three one-way delays."""
 
 REFRESH_PEERS = 3
-"""Members asked when this VM may be stale."""
+"""Members pinged when the local view may be stale."""
 
 REFRESH_SYNCS = 2
-"""Peers whose members are taken in one refresh; one answer may get lost."""
+"""Peers whose member tables are requested in one refresh. With two, one answer
+may be lost."""
 
 GREETED = 8
-"""VMs greeted at once from the platform's list or the seeds. One answer is
-enough to learn all the others, so the bound may stay small in a large
-fleet."""
+"""Maximum number of VMs from the platform's list or the seeds to ping at once.
+One answer is enough to learn of all other VMs, so the limit can stay small in
+a large fleet."""
 
 PAGE_BYTES = 800
-"""News of VMs in one page of a sync or one push. With the longest names its
-sender takes 360 bytes more, and a body has 1,200; a longer message would be
-dropped whole by whoever gets it."""
+"""Maximum size of the member updates in one page of a sync or one push, in
+bytes. With the longest names the sender takes another 360 bytes, and a message
+body holds 1,200; receivers drop a longer message as a whole."""
 
 
 @attrs.frozen
 class Times:
-    """All times of membership, in seconds, from one heartbeat interval.
+    """Intervals and time-outs of membership, in seconds.
 
-    At the default heartbeat of 0.5 s a killed VM is pinged within a second
-    (by its predecessor at the latest), suspect 0.35 s later and dead another
-    0.7 s later, everywhere within a few milliseconds of that. Over 100
-    seeds of the tests' model with nine members: 1.43 s on average, 1.94 s at
-    the 95th percentile, 2.09 s at most. Random pings alone: 1.58, 2.91, 3.33.
+    All of them are derived from the heartbeat interval. At the default of
+    0.5 s a killed VM is pinged within a second (by its predecessor at the
+    latest), becomes suspect 0.35 s later and is declared dead another 0.7 s
+    later; all other VMs agree within a few milliseconds. The tests' model with
+    nine members, over 100 seeds, detects a killed VM after 1.43 s on average,
+    1.94 s at the 95th percentile and 2.09 s at most. With random pings alone
+    the figures are 1.58 s, 2.91 s and 3.33 s.
 
     Attributes:
-        heartbeat: Between two pings of this VM.
-        direct: Wait for an ack before others are asked. 150 ms is fifty
-            round trips between availability zones, and more than a busy
-            small VM's scheduling delay.
-        total: Wait for an ack in all; the rest of it is for the indirect
-            way, which takes two round trips.
-        suspicion: A suspect that refutes nothing for so long is dead. A
-            refutation takes three one-way times and one scheduling delay;
-            shorter than that, a paused process would lose its flows.
-        lease: A VM that did not run, or heard nobody, for so long may be
-            stale: the others have declared it dead by now.
-        refresh: Longest refresh; a VM that nobody answers is cut off and
-            goes on with what it reaches.
-        greet: Between two greetings while this VM knows nobody.
-        retry_dead: Between two pings of a dead member. A healed cut is
-            noticed after about this time, divided by the VMs that try.
-        forget: A dead member that the platform no longer lists is
-            forgotten after so long; longer than any news of it travels.
-        late: A timer that runs so late says that this process was paused;
-            others must not be blamed for it.
+        heartbeat: Interval between two pings sent by the local VM.
+        direct: Time to wait for an ack before indirect pings are requested.
+            150 ms is fifty round trips between availability zones, and more
+            than the scheduling delay of a busy small VM.
+        total: Total time to wait for an ack. What remains of it after `direct`
+            is for the indirect path, which takes two round trips.
+        suspicion: Time after which a suspect member that has not refuted is
+            declared dead. A refutation takes three one-way delays and one
+            scheduling delay; with a shorter time-out, a paused process would
+            lose its flows.
+        lease: Time without running or without a message from a peer after
+            which the local view may be stale, because the others have
+            declared the local VM dead by then.
+        refresh: Maximum duration of a refresh. A VM that receives no answer
+            is cut off and continues with the VMs that it reaches.
+        greet: Interval between two attempts to join while no live member is
+            known.
+        retry_dead: Interval between two pings of dead members. A healed
+            partition is detected after about this time, divided by the number
+            of VMs that send such pings.
+        forget: Time after which a dead member that the platform no longer
+            lists is removed. It is longer than updates about the member
+            circulate.
+        late: Delay of a timer that shows that this process was paused, so that
+            other members must not be suspected for it.
     """
 
     heartbeat: float = 0.5
--- a/src/pollenmast/decisions/_ownership.py
+++ b/src/pollenmast/decisions/_ownership.py
@@ -1,12 +1,14 @@
-"""Which VM owns a flow: a hash ring that every VM computes alike.
+"""Flow ownership by consistent hashing.
 
-Any packet of a flow may reach any VM, so all of them must name the same owner
-without asking. The ring answers at a cost that does not grow with the fleet,
-and a VM that comes or goes moves only the flows next to its own points.
+Any packet of a flow may reach any VM, so all VMs must determine the same owner
+without communication. The cost of a lookup in the hash ring does not grow with
+the fleet, and a VM that joins or leaves moves only the flows next to its own
+points.
 
-A table of buckets filled by rendezvous hashing was weighed first: for 1,400
-VMs and 65,536 buckets it takes 92 million hashes to build, half a minute of
-processor for a VM that starts (`python -m bench run ownership`).
+The alternative, a table of buckets filled by rendezvous hashing, was rejected:
+for 1,400 VMs and 65,536 buckets it takes 92 million hashes to build, which is
+half a minute of processor time on a starting VM
+(`python -m bench run ownership`).
 """
 
 import bisect
@@ -16,17 +18,17 @@
 import xxhash
 
 POINTS_PER_VM = 160
-"""Points of one VM on the ring. The share of the greatest VM of nine is then
-about 1.15 times the mean; more points cost memory and rebuild time
+"""Points of one VM on the ring. With nine VMs, the largest share is then about
+1.15 times the mean; more points cost memory and rebuild time
 (`python -m bench run ownership`)."""
 
 REBUILD_SHARE = 0.05
-"""Part of the fleet that must change at once for a new ring to be cheaper than
-the change of the old one (`python -m bench run ownership`)."""
+"""Changed fraction of the fleet above which building a new ring is cheaper than
+updating the old one (`python -m bench run ownership`)."""
 
 MOST_WALKED = 64
-"""Points looked at for a successor. With 7 zones, a walk of 64 that meets only
-one zone is a matter of odds below one in 10^9."""
+"""Maximum number of points to visit in search of a successor. With 7 zones, the
+probability that 64 points all belong to one zone is below one in 10^9."""
 
 
 def flow_hash(service_port: int, ip: str, port: int) -> int:
@@ -44,9 +46,9 @@
     """A VM on the ring.
 
     Attributes:
-        number: `peers.sender_id` of its name.
+        number: The VM's number, `peers.sender_id` of its name.
         name: The VM's name.
-        zone: Its availability zone.
+        zone: The VM's availability zone.
     """
 
     number: int
@@ -55,7 +57,7 @@
 
 
 class Ring:
-    """The owners of all flows for one set of members."""
+    """A hash ring that maps flows to their owners, for one set of members."""
 
     def __init__(self, members: tuple[Member, ...] = ()):
         entries = [
@@ -69,8 +71,8 @@
     def changed(self, members: tuple[Member, ...]) -> "Ring":
         """Returns the ring for another set of members.
 
-        Changes come every ten seconds at 1,400 VMs, mostly one VM at a time;
-        only the points of those that came or went are touched then.
+        With 1,400 VMs the members change every ten seconds, mostly by one VM.
+        Then only the points of added and removed VMs are updated.
         """
         came = set(members) - set(self._members)
         gone = set(self._members) - set(members)
@@ -104,13 +106,13 @@
         return self._members
 
     def owner(self, key: int) -> Member | None:
-        """Returns the owner of the flow with this hash."""
+        """Returns the owner of the flow with hash `key`."""
         if not self._points:
             return None
         return self._owners[self._position(key)]
 
     def ranks(self, key: int, count: int) -> tuple[Member, ...]:
-        """Returns the owner and its successors in the ring's order."""
+        """Returns up to `count` VMs: the owner, then its successors."""
         found: dict[int, Member] = {}
         for member in self._walk(key):
             found[member.number] = member
@@ -119,12 +121,13 @@
         return tuple(found.values())
 
     def backup(self, key: int, holder: Member) -> Member | None:
-        """Returns the VM that keeps the flow's record for its holder.
+        """Returns the VM that stores the flow's record for its holder.
 
-        If the holder is not the owner, the owner keeps it: that is where
-        packets arrive that nobody placed. If the holder owns the flow, the
-        next VM in another availability zone keeps it, so that the loss of a
-        zone does not take both; with one zone, the next VM.
+        If the holder is not the owner, the owner stores the record, because
+        packets that no VM has placed arrive there. If the holder owns the
+        flow, the next VM in another availability zone stores it, so that the
+        loss of a zone does not lose both; with a single zone, the next VM
+        does.
         """
         next_other: Member | None = None
         for rank, member in enumerate(self._walk(key)):
--- a/src/pollenmast/decisions/_probing.py
+++ b/src/pollenmast/decisions/_probing.py
@@ -1,9 +1,10 @@
-"""Who probes an endpoint, and what the fleet's probes say of it.
+"""Assignment of endpoint probes to VMs, and aggregation of their reports.
 
-The pattern: each VM needs every endpoint's load, while the endpoints' health
-ports stay bounded in reads. If every VM probed, an endpoint of a large fleet
-would be probed thousands of times a second; if one VM did, a frozen prober
-would freeze the report. Two probe each endpoint and tell the others.
+Every VM needs the load of every endpoint, but the rate of reads on an
+endpoint's health port must stay bounded. If every VM probed, an endpoint would
+be probed thousands of times per second in a large fleet. If a single VM did,
+the report would not change while that VM is frozen. Therefore two VMs probe
+each endpoint and share their reports with the other VMs.
 """
 
 import collections
@@ -19,21 +20,24 @@
 from pollenmast.peers._gossip import ProbeNews
 
 PROBERS = 2
-"""Probers of an endpoint: one may freeze or die without a gap."""
+"""Number of VMs that probe an endpoint. With two, reports continue while one of
+them is frozen or dead."""
 
 FAILURES = 2
-"""Probes in a row that must fail before an endpoint is told unhealthy. One
-lost answer is no outage; the second probe follows half a second later."""
+"""Consecutive unanswered probes after which an endpoint is reported unhealthy.
+A single lost answer is no outage; the second probe follows half a second
+later."""
 
 REPORT_LEASE_S = 5.0
-"""A prober unheard for so long no longer counts, in seconds: it is cut off,
-and what it said is old. More than two refresh times."""
+"""Time without a new report after which a prober's last report is discarded, in
+seconds: the prober is cut off and its report is outdated. It is longer than
+two intervals of `REFRESH_S`."""
 
 REFRESH_S = 2.0
-"""An unchanged report is told again after so long, in seconds."""
+"""Interval at which an unchanged report is sent again, in seconds."""
 
 _UPTIME_MATTERS_S = 60.0
-"""Slow start looks at the first minute only."""
+"""Uptime up to which slow start depends on it, in seconds."""
 
 _Key = tuple[int, str]
 
@@ -43,17 +47,22 @@
 ) -> dict[_Key, list[str]]:
     """Returns the names of the VMs that probe each endpoint.
 
-    Every VM computes the same from the manifest and its members. VMs of the
-    endpoint's own availability zone come first: their probes outlast a cut
-    between zones, and so does what they tell. Rendezvous hashing moves few
-    probes when a VM comes or goes; the bound on a VM's share keeps one VM
-    from probing twice as much as the next, which its processor shows.
+    Every VM computes the same result from the manifest and its members. VMs in
+    the endpoint's availability zone take precedence, because their probes and
+    their reports continue while the network between zones is partitioned.
+    Rendezvous hashing reassigns few probes when a VM joins or leaves. The limit
+    per VM keeps one VM from probing twice as many endpoints as another, which
+    would show in its processor load.
 
     Args:
         services: The services of the manifest.
-        vms: All VMs known.
-        zone: Leave out the endpoints that no VM of this zone may probe. At
-            1,400 VMs and 11,000 endpoints that is nearly all of the work.
+        vms: All known VMs.
+        zone: If given, endpoints that no VM of this zone can be assigned to
+            are left out. With 1,400 VMs and 11,000 endpoints, this saves
+            nearly all of the work.
+
+    Returns:
+        The probers' names by service number and endpoint name.
     """
     live = [vm for vm in vms if vm.state in (VmState.ALIVE, VmState.SUSPECT)]
     by_zone = _by_zone(live)
@@ -75,7 +84,7 @@
             for vm in ranked
             if vm.zone == endpoint.zone and taken[vm.name] < share
         ]
-        # Without room in its own zone, whoever comes next by rank.
+        # If no VM of the zone has capacity left, the next VMs by rank follow.
         names = list(dict.fromkeys(room + [vm.name for vm in ranked]))
         assigned[number, endpoint.name] = names[:PROBERS]
         taken.update(names[:PROBERS])
@@ -84,7 +93,10 @@
 
 @attrs.frozen
 class _Ranked:
-    """A VM and the hash of its name, which each endpoint's is mixed with."""
+    """A VM and the hash of its name.
+
+    The hash is combined with the hash of each endpoint to rank the VMs.
+    """
 
     vm: Vm
     seed: int
@@ -101,7 +113,7 @@
 def _shares(
     endpoints: list[tuple[int, Endpoint]], by_zone: dict[str, list[_Ranked]]
 ) -> dict[str, int]:
-    """Returns how many endpoints a VM of each zone should probe at most."""
+    """Returns the maximum number of endpoints per VM, by zone."""
     wanted = collections.Counter(each.zone for _, each in endpoints)
     return {
         zone: math.ceil(PROBERS * wanted[zone] / len(there))
@@ -112,9 +124,9 @@
 def _ranked(
     number: int, endpoint: Endpoint, by_zone: dict[str, list[_Ranked]]
 ) -> list[Vm]:
-    """Returns the VMs in the endpoint's order, those of its zone first.
+    """Returns the VMs by rank for an endpoint, those of its zone first.
 
-    Other zones are ranked only where its own has too few.
+    VMs of other zones are included only if the endpoint's zone has too few.
     """
     name = f"{number}/{endpoint.name}".encode()
     seed = xxhash.xxh64_intdigest(name)
@@ -138,14 +150,14 @@
 
 
 def matters(old: EndpointReport | None, new: EndpointReport) -> bool:
-    """Returns whether a report is worth its bytes before its refresh."""
+    """Returns whether a report differs enough to be sent before its refresh."""
     if old is None or old.healthy != new.healthy:
         return True
     if (old.running, old.queued) != (new.running, new.queued):
         return True
     if new.uptime_s < old.uptime_s:
         return True
-    # One part in twenty of the connections moves no decision.
+    # A change of one twentieth of the connections affects no decision.
     moved = abs(old.connections - new.connections)
     return moved * 20 > max(20, old.connections)
 
@@ -157,15 +169,16 @@
 
 
 class Reports:
-    """The newest report of each endpoint by each of its probers."""
+    """The latest report about each endpoint from each of its probers."""
 
     def __init__(self, own_prober: int, floor: int):
-        """Starts empty.
+        """Creates an empty collection.
 
         Args:
-            own_prober: Number of this VM as a prober.
-            floor: Sequences start above it. Seconds of the wall clock, so
-                that a fleet restarted as a whole goes on upwards.
+            own_prober: Prober number of the local VM.
+            floor: Sequence numbers start above this value. It is the wall
+                clock in seconds, so that the numbers keep increasing when the
+                whole fleet is restarted.
         """
         self._own = own_prober
         self._floor = floor
@@ -174,7 +187,7 @@
         self._failures: dict[_Key, int] = {}
 
     def next_sequence(self, service: int, endpoint: str) -> int:
-        """Returns a sequence above all that were heard of this endpoint."""
+        """Returns a sequence number above all known ones of this endpoint."""
         kept = self._kept.get((service, endpoint), {})
         heard = (each.news.report.sequence for each in kept.values())
         return max(heard, default=self._floor) + 1
@@ -182,14 +195,19 @@
     def own(
         self, report: EndpointReport, now: float, answered: bool = True
     ) -> ProbeNews | None:
-        """Takes a probe of this VM; returns it where peers should hear it.
+        """Records the result of a probe by the local VM.
 
         Args:
-            report: What the endpoint said, or an unhealthy report without it.
-            now: The runtime's clock, in seconds.
-            answered: Whether it said so itself. A lost answer is doubted
-                once; an endpoint that says that it leaves is believed at
-                once, or it would get new work for seconds more.
+            report: The endpoint's report, or an unhealthy report if it did
+                not answer.
+            now: Current time of the runtime's clock, in seconds.
+            answered: Whether the endpoint answered. A first missing answer is
+                ignored. An answer in which the endpoint announces that it
+                leaves takes effect immediately; otherwise the endpoint would
+                be given new work for seconds more.
+
+        Returns:
+            The report to send to peers, or None if none needs to be sent.
         """
         key = (report.service, report.endpoint)
         if not answered:
@@ -207,7 +225,7 @@
         return news
 
     def heard(self, news: ProbeNews, now: float) -> bool:
-        """Takes a peer's news; returns whether it is new here."""
+        """Records a peer's report; returns whether it was not yet known."""
         key = (news.report.service, news.report.endpoint)
         by_prober = self._kept.setdefault(key, {})
         known = by_prober.get(news.prober)
@@ -219,7 +237,7 @@
         return True
 
     def view(self, now: float) -> tuple[EndpointReport, ...]:
-        """Returns one report an endpoint, those expired left out."""
+        """Returns one merged report per endpoint, without expired reports."""
         merged = []
         for key in list(self._kept):
             self._expire(key, now)
@@ -229,13 +247,13 @@
         return tuple(merged)
 
     def keep_only(self, keys: set[_Key]) -> None:
-        """Forgets endpoints that the manifest no longer names."""
+        """Removes all endpoints but `keys`, those of the manifest."""
         for table in (self._kept, self._told, self._failures):
             for key in [key for key in table if key not in keys]:
                 del table[key]
 
     def forget_own(self, service: int, endpoint: str) -> None:
-        """Drops own probes of an endpoint that others probe now."""
+        """Removes the local reports of an endpoint that others probe now."""
         key = (service, endpoint)
         self._kept.get(key, {}).pop(self._own, None)
         self._told.pop(key, None)
@@ -260,10 +278,11 @@
             del self._kept[key]
 
     def _merge(self, key: _Key) -> EndpointReport | None:
-        """One prober may be cut off from the endpoint while it is well.
+        """Returns the report to use for an endpoint, or None without one.
 
-        So a healthy report wins over an unhealthy one. An endpoint that is
-        down, or takes no work, is told so by both within a probe's time.
+        A healthy report takes precedence over an unhealthy one, because one
+        prober may be cut off from a healthy endpoint. If the endpoint is down
+        or takes no work, both probers report it within one probe interval.
         """
         kept = self._kept.get(key, {}).values()
         if not kept:
--- a/src/pollenmast/decisions/_readers.py
+++ b/src/pollenmast/decisions/_readers.py
@@ -1,10 +1,11 @@
-"""Who watches the platform, and how often the others read it.
-
-The pattern: the platform counts every read and a waiting watch as one, about
-2,000 a second for everybody, and its rates grow more slowly than the fleet.
-If every VM watched, reads would grow with the fleet; if one did, its loss
-would lose updates. Two in each availability zone watch; the rest hear of a
-new manifest from peers and read the platform rarely, as a fallback.
+"""Which VMs watch the platform, and how often the others read from it.
+
+The platform limits all its users together to about 2,000 reads per second, a
+pending watch counts as a read, and the limit grows more slowly than the fleet.
+If every VM watched, reads would grow with the fleet. If a single VM did, its
+loss would lose updates. Therefore two VMs in each availability zone watch. The
+other VMs learn of a new manifest from their peers and read from the platform
+rarely, as a fallback.
 """
 
 import random
@@ -15,30 +16,34 @@
 from pollenmast.fleet import Vm, VmState
 
 WATCHERS = 2
-"""Watchers of a zone: one can be lost without a gap in the zone's watch."""
+"""Watchers per availability zone. With two, the loss of one does not interrupt
+the watch."""
 
 WATCH_S = 5.0
-"""Length of one watch; a watcher makes one call for each and one to see whether
-the version that it knows was published again with another content, in
-seconds."""
+"""Duration of one watch, in seconds. A watcher makes one call per watch, and
+one more to check whether the version that it knows was published again with
+other content."""
 
 FALLBACK_S = 30.0
-"""Shortest time between two fallback reads of one VM, in seconds. It bounds
-how late a zone learns of a manifest whose watchers are all wedged."""
+"""Minimum mean interval between two fallback reads of one VM, in seconds. It
+limits the delay until a zone learns of a new manifest while all of its watchers
+hang."""
 
 FLEET_READS_PER_S = 5.0
-"""Fallback reads of the whole fleet, a second; above 150 VMs the interval
-grows with the fleet. A four-hundredth of the platform's 2,000 a second."""
+"""Fallback reads of the whole fleet, per second. Above 150 VMs the interval
+grows with the fleet. This is one four-hundredth of the platform's 2,000 reads
+per second."""
 
 JITTER = 0.3
-"""Spread of an interval, so that VMs started together do not read together."""
+"""Random variation of an interval, as a fraction of it, so that VMs that were
+started together do not read together."""
 
 
 def watchers(zone: str, vms: Iterable[Vm]) -> tuple[str, ...]:
     """Returns the names of the zone's VMs that watch the platform.
 
-    Rendezvous hashing: every VM computes the same without a message, and a
-    VM's loss moves only its own turn.
+    With rendezvous hashing, every VM computes the same watchers without
+    exchanging messages, and the loss of a watcher replaces only that watcher.
     """
     names = [
         vm.name
@@ -54,6 +59,6 @@
 
 
 def fallback_interval(fleet: int, rng: random.Random) -> float:
-    """Returns the seconds until this VM's next fallback read."""
+    """Returns the time until the local VM's next fallback read, in seconds."""
     base = max(FALLBACK_S, fleet / FLEET_READS_PER_S)
     return base * rng.uniform(1 - JITTER, 1 + JITTER)
--- a/src/pollenmast/decisions/_rendezvous.py
+++ b/src/pollenmast/decisions/_rendezvous.py
@@ -1,13 +1,14 @@
-"""The endpoint that every VM computes alike from the manifest alone.
+"""Weighted rendezvous hashing of flows to default endpoints.
 
-Load pattern: any VM may get any packet of a flow, also after the VM that
-carried the flow has died. Without a common default each placement would have
-to be replicated, or the flow would break with its VM.
+Any VM may receive any packet of a flow, even after the VM that carried the
+flow has died. Every VM therefore computes the same default endpoint from the
+manifest alone. Without a common default, every placement would have to be
+replicated, or the flow would break with its VM.
 
-Weighted rendezvous hashing: each endpoint gets a score from the flow's hash,
-and the greatest wins. When an endpoint comes or goes only its own share of
-the flows changes its default. Draining endpoints stay in, since their open
-flows must still be found there.
+Each endpoint has a score computed from the flow's hash, and the endpoint with
+the greatest score is the default. When an endpoint is added or removed, only
+its own share of the flows changes its default. Draining endpoints are
+included, because their open flows must still be found.
 """
 
 import hashlib
@@ -25,14 +26,14 @@
 
 
 def mix(value: int) -> int:
-    """Scrambles 64 bits (the finaliser of splitmix64)."""
+    """Returns a 64-bit hash of a 64-bit value (finaliser of splitmix64)."""
     value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & _MASK
     value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & _MASK
     return value ^ (value >> 31)
 
 
 class Rendezvous:
-    """Default endpoints of one service."""
+    """Computes the default endpoints of one service."""
 
     def __init__(self, service: Service):
         by_slots = service.kind is ServiceKind.REQUEST
@@ -47,7 +48,10 @@
         self._alike = len({weight for _, _, weight in self._entries}) == 1
 
     def default(self, flow_hash: int) -> str | None:
-        """Returns the flow's default endpoint, or None without endpoints."""
+        """Returns the name of the flow's default endpoint.
+
+        Returns None if the service has no endpoints.
+        """
         if not self._entries:
             return None
         if self._alike:
--- a/src/pollenmast/decisions/_silence.py
+++ b/src/pollenmast/decisions/_silence.py
@@ -1,32 +1,35 @@
-"""When a flow that went silent gets a new path to its endpoint.
+"""When a flow without answers is moved to a new path to its endpoint.
 
-Something between a relay and an upstream (a stateful firewall, say) may lose
-track of a flow: the caller sends, nothing returns, though the endpoint answers
-others. The user sees a session that hangs for good while new ones work. A new
-local port is a new path for whatever lost the old one, and QUIC carries the
-session over to it (RFC 9000 section 9).
+A device between a relay and an upstream, such as a stateful firewall, may lose
+its state for a flow. The caller's datagrams then get no answer although the
+endpoint answers other flows. The user sees a session that hangs permanently
+while new sessions work. A new local port makes a new path through the device,
+and QUIC migrates the session to it (RFC 9000 section 9).
 
-An endpoint that answers nobody is not silent flows but a failed endpoint; a
-new path would not help it, and thousands of them at once would make the
-failure worse. Hence the evidence from other flows, and the budget.
+An endpoint that answers no flow at all has failed. New paths would not help,
+and thousands of them at once would make the failure worse. A move therefore
+requires that another flow was answered, and a budget limits the rate of moves.
 """
 
 UNANSWERED_DATAGRAMS = 3
-"""Datagrams without an answer; fewer may be loss or an idle upstream."""
+"""Minimum number of unanswered datagrams. Fewer may be due to packet loss or an
+idle upstream."""
 
 SILENT_S = 1.5
-"""Time without an answer. A live QUIC peer answers a probe within its maximum
-ack delay (25 ms) and a round trip; a caller's probes double from about 0.3 s,
-so by 1.5 s three of them went unanswered."""
+"""Minimum time without an answer, in seconds. A live QUIC peer answers a probe
+within its maximum ack delay (25 ms) and a round trip. The interval between a
+caller's probes doubles from about 0.3 s, so three probes have gone unanswered
+by 1.5 s."""
 
 NEXT_TRY_S = 5.0
-"""Time before the same flow is moved again: one idle probe interval."""
+"""Minimum time between two moves of the same flow, in seconds: one idle probe
+interval."""
 
 PER_SECOND = 20.0
 BURST = 200.0
-"""Budget of moves for one relay: a firewall that lost its whole table moves
-2,000 flows in about 90 s; callers' idle timeouts are 60 s and more, and the
-first 200 move at once."""
+"""Moves per second and maximum burst of moves of one relay. If a firewall loses
+its whole state table, 2,000 flows are moved in about 90 s, the first 200 of
+them at once. The idle time-outs of callers are 60 s and more."""
 
 
 def is_silent(
@@ -35,13 +38,14 @@
     since_caller_s: float,
     endpoint_answers: bool,
 ) -> bool:
-    """Returns whether a flow's path seems lost.
+    """Returns whether a flow's path to its endpoint appears to be lost.
 
     Args:
-        unanswered: Datagrams of the caller since the last answer.
-        since_answer_s: Seconds since the last answer or the last move.
-        since_caller_s: Seconds since the caller's last datagram.
-        endpoint_answers: Whether the endpoint answered another flow lately.
+        unanswered: Number of the caller's datagrams since the last answer.
+        since_answer_s: Time since the last answer or the last move, in
+            seconds.
+        since_caller_s: Time since the caller's last datagram, in seconds.
+        endpoint_answers: Whether the endpoint recently answered another flow.
     """
     return (
         endpoint_answers
