--- a/tests/decisions_acceptance_test.py
+++ b/tests/decisions_acceptance_test.py
@@ -20,7 +20,7 @@
 
 
 class AcceptanceTest(TestCase):
-    """The greatest manifest is in force, and never an older one again."""
+    """The manifest with the greatest key is in force, never an older one."""
 
     @parameterized.expand(
         [
@@ -32,7 +32,7 @@
         ]
     )
     def test_offer(self, _, version, digest, outcome, conflict):
-        """Only a greater version, or a greater digest under it, is taken."""
+        """Only a greater version, or the same with a greater digest, wins."""
         acceptance = Acceptance()
         _offer(acceptance, 5, HIGH)
         offer = _offer(acceptance, version, digest)
@@ -41,11 +41,11 @@
         expected = (version, digest) if taken else (5, HIGH)
         self.assertEqual(ManifestKey(*expected), acceptance.key)
 
-    def test_two_pipelines(self):
-        """Two pipelines publish one version with two contents at once.
+    def test_conflicting_pipelines(self):
+        """Two pipelines publish the same version with different contents.
 
-        VMs see them in any order. If the last one seen won, half the fleet
-        would follow one pipeline and half the other.
+        VMs receive them in any order. If the last one received came into
+        force, half of the fleet would use one manifest and half the other.
         """
         offers = [(5, LOW), (5, HIGH), (4, HIGH)]
         ends = set()
@@ -59,7 +59,7 @@
     @settings(max_examples=200, derandomize=True, database=None, deadline=None)
     @given(st.lists(st.tuples(st.integers(1, 5), st.sampled_from([LOW, HIGH]))))
     def test_never_reverts(self, offers):
-        """Whatever is offered in whatever order, the key only grows."""
+        """The key never decreases, whatever the order of the offers."""
         acceptance, before = Acceptance(), ManifestKey()
         for version, digest in offers:
             _offer(acceptance, version, digest)
@@ -68,11 +68,11 @@
         keys = [ManifestKey(*offer) for offer in offers]
         self.assertEqual(max(keys, default=ManifestKey()), acceptance.key)
 
-    def test_refused_is_not_wanted_again(self):
-        """A peer has in force what this release finds invalid.
+    def test_refused_content_is_not_fetched_again(self):
+        """A peer has a manifest in force that this release refuses.
 
-        Asked for with each heartbeat, it would cost a megabyte twice a
-        second for nothing.
+        Fetching it again with each heartbeat would transfer a megabyte twice
+        a second for nothing.
         """
         acceptance = Acceptance()
         key = ManifestKey(9, LOW)
--- a/tests/decisions_dissemination_test.py
+++ b/tests/decisions_dissemination_test.py
@@ -6,17 +6,17 @@
 
 
 class DisseminationTest(TestCase):
-    """News is told often enough, and not more."""
+    """Updates are transmitted a limited number of times."""
 
     def test_sends_are_bounded(self):
-        """A piece of news rides three times log2 of the fleet."""
+        """An update is sent three times log2 of the fleet's size."""
         news = Dissemination()
         news.add("a", 1, 50)
         sends = sum(len(news.pick(100, 7)) for _ in range(100))
         self.assertEqual(9, sends)
 
-    def test_least_sent_first(self):
-        """A burst of news shares the messages evenly."""
+    def test_least_transmitted_first(self):
+        """A burst of updates is distributed evenly over the messages."""
         news = Dissemination()
         for key in range(6):
             news.add(key, key, 50)
@@ -24,14 +24,14 @@
         self.assertEqual(set(range(6)), {key for two in picked for key in two})
 
     def test_budget_is_kept(self):
-        """News that does not fit waits; smaller news may still go."""
+        """An update that does not fit waits; a smaller one is still sent."""
         news = Dissemination()
         news.add("large", "large", 90)
         news.add("small", "small", 20)
         self.assertEqual(("small",), news.pick(50, 7))
 
     def test_newer_replaces_older(self):
-        """Only the newest word on a key is told, and told in full."""
+        """A newer update replaces an older one and is sent the full count."""
         news = Dissemination()
         news.add("a", 1, 50)
         for _ in range(5):
@@ -42,10 +42,10 @@
 
 
 class ByteBudgetTest(TestCase):
-    """Bytes a second, with a burst."""
+    """Bytes per second, with a burst."""
 
     def test_rate_and_burst(self):
-        """What was not used gathers up to the burst and no further."""
+        """Unused budget accumulates up to the burst."""
         budget = ByteBudget(100, 250, 0.0)
         budget.spend(250)
         self.assertEqual(0, budget.left(0.0))
@@ -53,7 +53,7 @@
         self.assertEqual(250, budget.left(60.0))
 
     def test_overdraft(self):
-        """Heartbeats go out even over the budget, and are paid back."""
+        """Heartbeats may overdraw the budget; the refill repays it first."""
         budget = ByteBudget(100, 250, 0.0)
         budget.spend(400)
         self.assertEqual(0, budget.left(1.0))
--- a/tests/decisions_membership_test.py
+++ b/tests/decisions_membership_test.py
@@ -1,4 +1,4 @@
-"""Tests of decisions._membership, by members that pass messages."""
+"""Tests of decisions._membership with members that exchange messages."""
 
 import random
 
@@ -28,10 +28,10 @@
 
 
 class JoinTest(TestCase):
-    """How VMs come to know each other."""
+    """VMs join the fleet."""
 
-    def test_all_know_all(self):
-        """Members that the platform lists know each other, and are fresh."""
+    def test_listed_members_know_each_other(self):
+        """Members that the platform lists know each other and are fresh."""
         group = Group(SIZE)
         self.assertTrue(_all_alive(group))
         self.assertTrue(
@@ -39,11 +39,11 @@
         )
 
     def test_one_seed_is_enough(self):
-        """The platform is down while a VM starts.
+        """A VM starts while the platform is down.
 
-        Without another way in it would stand alone, and operators would see
-        a VM that takes flows which others own. One seed that answers tells
-        it of all the others.
+        Without another way to join, it would be isolated and would open flows
+        that other VMs own. One seed that answers is enough to learn of all
+        other VMs.
         """
         group = Group(SIZE)
         new = group.start(vm(20), seeds=[("127.0.1.3", 7003)], listed=False)
@@ -53,19 +53,19 @@
         told = [node.states() for node in group.nodes.values()]
         self.assertEqual(SIZE, sum("vm-20" in states for states in told))
 
-    def test_first_of_a_fleet(self):
-        """A VM that nobody answers counts as fresh after the refresh time."""
+    def test_first_vm_of_a_fleet(self):
+        """A VM that gets no answer is fresh after the refresh time-out."""
         group = Group(1)
         node = group.nodes["vm-0"]
         self.assertTrue(node.membership.fresh)
         self.assertTrue(node.membership.alone)
 
-    def test_constant_cost(self):
-        """A member sends about as much among 36 as among 9."""
+    def test_cost_independent_of_fleet_size(self):
+        """A member sends about as many bytes in a fleet of 36 VMs as of 9."""
 
         def sent(size: int) -> float:
             group = Group(size)
-            group.run(40.0)  # The news of the joins has been told.
+            group.run(40.0)  # The joins have been disseminated.
             before = sum(node.sent for node in group.nodes.values())
             group.run(10.0)
             after = sum(node.sent for node in group.nodes.values())
@@ -75,14 +75,14 @@
 
 
 class DeathTest(TestCase):
-    """How a dead VM is found out, and a live one is not."""
+    """Dead VMs are detected, and live VMs are not declared dead."""
 
     @parameterized.expand([(str(seed), seed) for seed in range(12)])
     def test_killed(self, _, seed):
         """A VM is killed.
 
-        Until the others know it, they forward packets to nobody, and its
-        callers hear nothing; so all must know within about two seconds.
+        Until the other VMs detect it, they forward packets to the dead VM,
+        and its callers get no answers. All must know within about two seconds.
         """
         group = Group(SIZE, seed)
         group.run(random.Random(seed).uniform(0, 1))
@@ -94,10 +94,10 @@
         self.assertTrue(all(len(n.states()) == 7 for n in _live(group)))
 
     def test_lossy_network(self):
-        """A tenth of all messages is lost, others come late or twice.
+        """A tenth of all messages is lost, others are delayed or duplicated.
 
-        Were that taken for a death, flows would change their owner without
-        need; the indirect pings and the refutation prevent it.
+        If a live VM were declared dead, flows would change their owner
+        needlessly. Indirect pings and refutations prevent it.
         """
         group = Group(SIZE)
         rng = random.Random(7)
@@ -109,8 +109,8 @@
             for node in group.nodes.values():
                 self.assertEqual(SIZE - 1, len(node.states()))
 
-    def test_half_the_fleet(self):
-        """Four of nine VMs end at once; the others agree on who is left."""
+    def test_four_of_nine_fail(self):
+        """Four of nine VMs fail at once; the others agree on the live ones."""
         group = Group(SIZE)
         for number in (0, 2, 4, 6):
             group.nodes[f"vm-{number}"].ended = True
@@ -118,18 +118,18 @@
             lambda: all(_others_alive(node, 5) for node in _live(group)), 8.0
         )
 
-    def test_restart_under_the_same_name(self):
-        """A killed VM comes back; its greater incarnation is believed."""
+    def test_restart_with_the_same_name(self):
+        """A killed VM returns, and its greater incarnation is accepted."""
         group = Group(SIZE)
         group.nodes["vm-4"].ended = True
         group.run(4.0)
         group.start(vm(4, incarnation=200))
         group.until(lambda: _all_alive(group), 1.0)
 
-    def test_stale_list(self):
+    def test_platform_list_does_not_override(self):
         """The platform still lists a dead VM, and no longer lists a live one.
 
-        Did the list override heartbeats, flows would go to the dead one.
+        If the list overrode heartbeats, flows would be sent to the dead VM.
         """
         group = Group(SIZE)
         group.nodes["vm-4"].ended = True
@@ -141,8 +141,8 @@
         self.assertNotIn("vm-4", node.states())
         self.assertIn("vm-8", node.states())
 
-    def test_forgotten(self):
-        """A dead VM that the platform no longer lists is forgotten."""
+    def test_unlisted_dead_member_is_removed(self):
+        """A dead VM that the platform no longer lists is removed."""
         group = Group(3)
         group.nodes["vm-2"].ended = True
         node = group.nodes["vm-0"]
@@ -152,10 +152,10 @@
 
 
 class LeaveTest(TestCase):
-    """A planned stop."""
+    """Planned shutdowns."""
 
-    def test_leaving_is_told_at_once(self):
-        """All know of a leaving VM within a tenth of a second."""
+    def test_leaving_spreads_immediately(self):
+        """All members know of a leaving VM within a tenth of a second."""
         group = Group(SIZE)
         node = group.nodes["vm-3"]
         node.membership.leave()
@@ -164,10 +164,10 @@
         told = [n.states().get("vm-3") for n in _live(group) if n is not node]
         self.assertEqual([VmState.LEAVING] * 8, told)
 
-    def test_leaving_and_slow(self):
+    def test_leaving_while_suspect(self):
         """A leaving VM misses heartbeats while it hands over its flows.
 
-        Were it shown as merely suspect, it would own new flows again.
+        If it were reported as suspect only, it would own new flows again.
         """
         group = Group(SIZE)
         node = group.nodes["vm-3"]
@@ -183,8 +183,8 @@
             }
         self.assertEqual({VmState.LEAVING, None}, seen)
 
-    def test_farewell(self):
-        """A VM that ends says so; nobody has to find out."""
+    def test_announced_stop(self):
+        """A VM announces that it stops, so its failure need not be detected."""
         group = Group(SIZE)
         node = group.nodes["vm-3"]
         node.membership.leave()
@@ -195,7 +195,7 @@
         )
 
     def test_relay_down(self):
-        """A VM whose relay is silent says so to all at once."""
+        """A VM whose relay does not answer announces it immediately."""
         group = Group(SIZE)
         node = group.nodes["vm-3"]
         node.membership.set_relay_up(False)
@@ -207,14 +207,14 @@
                 self.assertFalse(known["vm-3"].relay_up)
 
 
-class FreezeTest(TestCase):
-    """A process is paused and wakes with old beliefs."""
+class PauseTest(TestCase):
+    """A process is paused and resumes with a stale view."""
 
-    def test_short_pause_blames_nobody(self):
-        """A process pauses for a second; its timers are all over.
+    def test_short_pause_declares_nobody_dead(self):
+        """A process is paused for a second, and all its timers expire.
 
-        Its socket is full of unread acks. It must not declare the others
-        dead for a pause that was its own.
+        The acks are still unread in its socket buffer. It must not declare the
+        other members dead because of its own pause.
         """
         group = Group(SIZE)
         node = group.nodes["vm-5"]
@@ -224,10 +224,10 @@
 
     @parameterized.expand([("seconds", 5.0), ("minutes", 300.0)])
     def test_long_pause(self, _, pause_s):
-        """A VM freezes, the others go on without it, two of them change.
+        """A VM is paused, and another one dies in the meantime.
 
-        When it wakes it is stale at once, opens no flows, and is fresh again
-        only with what it missed.
+        After the pause the VM must be stale immediately, so that it opens no
+        flows, and fresh again only after it has learned what it missed.
         """
         group = Group(SIZE)
         node = group.nodes["vm-5"]
@@ -246,10 +246,11 @@
             if other is not node:
                 self.assertEqual(VmState.ALIVE, other.states()["vm-5"])
 
-    def test_fresh_only_with_the_manifest(self):
-        """A new manifest came into force while a VM was frozen.
+    def test_stale_until_manifest_is_in_force(self):
+        """A new manifest comes into force while a VM is paused.
 
-        Fresh by its members alone, it would open flows under the old one.
+        If its members alone made the view fresh, the VM would open flows under
+        the old manifest.
         """
         group = Group(3)
         node = group.nodes["vm-0"]
@@ -264,10 +265,10 @@
         group.run(0.6)
         self.assertTrue(node.membership.fresh)
 
-    def test_declared_dead_without_noticing(self):
-        """A VM's clock stood still with it, so that it saw no pause.
+    def test_pause_with_stopped_clock(self):
+        """A VM's clock stops during a pause, so the VM does not detect it.
 
-        That it learns of its own death makes it doubt its beliefs.
+        When the VM learns that it was declared dead, its view must be stale.
         """
         group = Group(3)
         node = group.nodes["vm-0"]
@@ -280,14 +281,14 @@
         self.assertGreater(node.membership.own.incarnation, own.incarnation)
 
 
-class CutTest(TestCase):
-    """The fleet is split, and the cut heals."""
+class PartitionTest(TestCase):
+    """The network is partitioned, and the partition heals."""
 
-    def test_cut_and_heal(self):
+    def test_partition_heals(self):
         """Availability zones are cut off from each other for a minute.
 
-        Each side goes on with those that it reaches; after the heal all are
-        one group again within seconds.
+        Each side continues with the VMs that it reaches. After the partition
+        has healed, all VMs form one group again within seconds.
         """
         group = Group(SIZE)
         ours = {"vm-0", "vm-3", "vm-6"}
@@ -300,8 +301,8 @@
         spent = group.until(lambda: _all_alive(group), 20.0)
         self.assertLess(spent, 5.0)
 
-    def test_alone(self):
-        """One VM is cut off from all others, and must serve what it can."""
+    def test_isolated_vm(self):
+        """A VM cut off from all others is fresh, to serve what it can."""
         group = Group(SIZE)
         node = group.nodes["vm-0"]
         group.lost = lambda source, to: "vm-0" in (source, to)
--- a/tests/decisions_ownership_test.py
+++ b/tests/decisions_ownership_test.py
@@ -19,15 +19,15 @@
 
 
 class RingTest(TestCase):
-    """All VMs name the same owner, and a change moves only what it must."""
+    """All VMs agree on the owner, and a change moves only necessary flows."""
 
     def test_empty(self):
-        """Without members nothing has an owner."""
+        """Without members no flow has an owner."""
         self.assertIsNone(Ring().owner(1))
         self.assertEqual((), Ring().ranks(1, 3))
 
-    def test_order_of_list(self):
-        """The owner does not depend on the order in which VMs were heard of."""
+    def test_order_of_members(self):
+        """The owner does not depend on the order of the members."""
         members = _members(9)
         other = Ring(tuple(reversed(members)))
         ring = Ring(members)
@@ -36,8 +36,8 @@
             [other.owner(key) for key in _KEYS],
         )
 
-    def test_leave(self):
-        """A VM that leaves moves only its own flows, each to its next rank."""
+    def test_removed_member(self):
+        """Removing a VM moves only its own flows, each to its successor."""
         members = _members(9)
         before, after = Ring(members), Ring(members[1:])
         for key in _KEYS:
@@ -47,14 +47,14 @@
 
     @parameterized.expand([("three", 3), ("today", 9)])
     def test_share(self, _, count):
-        """No VM owns much more than its share of flows."""
+        """No VM owns many more flows than its share."""
         ring = Ring(_members(count))
         owners = [ring.owner(key) for key in _KEYS]
         most = max(owners.count(member) for member in set(owners))
         self.assertLess(most / (len(_KEYS) / count), _MOST_SHARE)
 
-    def test_changed(self):
-        """A ring changed step by step equals one built anew."""
+    def test_incremental_changes(self):
+        """A ring that was changed step by step equals a newly built one."""
         rng = random.Random(3)
         members = _members(60)
         ring = Ring(members[:40])
@@ -72,8 +72,8 @@
     def test_backup_zone(self):
         """An owner's backup is in another availability zone.
 
-        A zone that is lost would otherwise take a flow's holder and its
-        record at once, and the session would break.
+        Otherwise the loss of a zone would lose a flow's holder and its record
+        at once, and the session would break.
         """
         ring = Ring(_members(9))
         for key in _KEYS:
@@ -81,7 +81,7 @@
             self.assertNotEqual(owner.zone, ring.backup(key, owner).zone)
 
     def test_backup_of_other_holder(self):
-        """A flow held off its owner has its record at the owner."""
+        """The owner stores the record of a flow that another VM holds."""
         ring = Ring(_members(9))
         for key in _KEYS[:200]:
             owner, other = ring.ranks(key, 2)
--- a/tests/decisions_probing_test.py
+++ b/tests/decisions_probing_test.py
@@ -40,10 +40,10 @@
 
 
 class AssignmentsTest(TestCase):
-    """Who probes an endpoint."""
+    """Assignment of probers to endpoints."""
 
-    def test_two_of_its_zone(self):
-        """Each endpoint has two probers, of its own zone where there are."""
+    def test_two_probers_of_the_same_zone(self):
+        """Each endpoint has two probers from its own zone."""
         vms = [vm(number) for number in range(9)]
         zones = {each.name: each.zone for each in vms}
         for name, probers in _assigned(20, vms).items():
@@ -51,16 +51,16 @@
             self.assertEqual(2, len(probers))
             self.assertEqual({own_zone}, {zones[each] for each in probers})
 
-    def test_even(self):
-        """No VM of a zone probes more than its share."""
+    def test_probes_are_balanced(self):
+        """No VM of a zone probes more than its share of the endpoints."""
         vms = [vm(number) for number in range(9)]
         probes = collections.Counter(
             name for probers in _assigned(21, vms).values() for name in probers
         )
         self.assertEqual((4, 5), (min(probes.values()), max(probes.values())))
 
-    def test_loss_moves_little(self):
-        """A VM ends; all that it probed has another prober, most stays."""
+    def test_loss_reassigns_few_probes(self):
+        """Endpoints of a lost VM get another prober; most probes stay."""
         vms = [vm(number) for number in range(9)]
         before, after = _assigned(60, vms), _assigned(60, vms[:-1])
         kept = sum(
@@ -70,8 +70,8 @@
         self.assertGreater(kept / had, 0.8)
         self.assertTrue(all(len(probers) == 2 for probers in after.values()))
 
-    def test_own_zone_only(self):
-        """A VM that looks at its own zone finds the probes that it would."""
+    def test_assignments_for_one_zone(self):
+        """A zone's assignments equal those computed for all zones."""
         vms = [vm(number) for number in (0, 1, 3, 4, 6, 7)]
         services = _services(30, ZONES)
         everywhere = _probing.assignments(services, vms)
@@ -84,7 +84,7 @@
 
     @parameterized.expand([("none", 0), ("one", 1)])
     def test_zone_without_enough_vms(self, _, count):
-        """A zone's VMs have died; others probe its endpoints all the same."""
+        """VMs of other zones probe endpoints of a zone with too few VMs."""
         own = [vm(3 * number) for number in range(count)]
         others = [vm(3 * number + 1) for number in range(3)]
         assigned = _assigned(5, own + others, zones=ZONES[:1])
@@ -92,18 +92,18 @@
             self.assertEqual(2, len(probers))
             self.assertTrue({each.name for each in own} <= probers)
 
-    def test_leaving_probes_nothing(self):
-        """A leaving VM's probes end with it, so others take them before."""
+    def test_leaving_vm_is_not_assigned(self):
+        """Other VMs take over the probes of a leaving VM before it stops."""
         vms = [vm(0), attrs.evolve(vm(3), state=VmState.LEAVING), vm(1)]
         for probers in _assigned(9, vms).values():
             self.assertNotIn("vm-3", probers)
 
 
 class ReportsTest(TestCase):
-    """What the fleet's probes say of an endpoint."""
+    """Aggregation of the probers' reports."""
 
     def test_newest_wins(self):
-        """A report that was overtaken on its way changes nothing."""
+        """A report that arrives after a newer one is ignored."""
         reports = _reports()
         newer = ProbeNews(PEER, _report(sequence=13, running=2))
         self.assertTrue(reports.heard(newer, 0.0))
@@ -111,7 +111,10 @@
         self.assertEqual((newer.report,), reports.view(0.0))
 
     def test_one_lost_answer(self):
-        """One probe fails, as when the endpoint pauses; two say it is down."""
+        """One failed probe, as when the endpoint pauses, is ignored.
+
+        A second one in a row makes the endpoint unhealthy.
+        """
         reports = _reports()
         reports.own(REPORT, 0.0)
         failed = _report(sequence=12, healthy=False)
@@ -120,11 +123,11 @@
         self.assertIsNotNone(reports.own(failed, 1.0, answered=False))
         self.assertFalse(reports.view(1.0)[0].healthy)
 
-    def test_leaving_is_believed_at_once(self):
-        """An endpoint says itself that it takes no new work.
+    def test_leaving_takes_effect_immediately(self):
+        """An endpoint announces that it takes no new work.
 
-        Doubted like a lost answer, it would get new sessions for another
-        second, and would break its promise to be gone in time.
+        If the report were ignored like a first lost answer, the endpoint
+        would get new sessions for another second and could not stop in time.
         """
         reports = _reports()
         reports.own(REPORT, 0.0)
@@ -133,10 +136,10 @@
         self.assertFalse(reports.view(0.5)[0].healthy)
 
     def test_one_prober_cut_off(self):
-        """One of two probers does not reach an endpoint that is well.
+        """One of two probers does not reach a healthy endpoint.
 
-        Did the newest word win, the endpoint would seem to come and go four
-        times a second, and its flows with it.
+        If the latest report always took precedence, the endpoint would change
+        its state four times a second, and its flows would be moved each time.
         """
         reports = _reports()
         reports.heard(ProbeNews(PEER, REPORT), 0.0)
@@ -145,29 +148,29 @@
             reports.own(failed, 0.1, answered=False)
         self.assertTrue(reports.view(0.2)[0].healthy)
 
-    def test_silent_prober_expires(self):
-        """A prober is cut off or frozen; its last word is old, not true."""
+    def test_report_of_silent_prober_expires(self):
+        """The last report of a prober that is cut off or frozen expires."""
         reports = _reports()
         reports.heard(ProbeNews(PEER, REPORT), 0.0)
         self.assertEqual((), reports.view(_probing.REPORT_LEASE_S + 0.1))
 
-    def test_unchanged_is_told_rarely(self):
-        """An idle endpoint costs one report each two seconds."""
+    def test_unchanged_report_is_sent_rarely(self):
+        """An idle endpoint causes one report every two seconds."""
         reports = _reports()
         told = [
             reports.own(_report(sequence=11 + n), n * 0.5) for n in range(20)
         ]
         self.assertEqual(5, sum(news is not None for news in told))
 
-    def test_sequences_go_up_over_restarts(self):
-        """All agents restart; their sequences start above those before."""
+    def test_sequences_increase_over_restarts(self):
+        """After all agents restart, sequence numbers exceed earlier ones."""
         reports = _reports()
         self.assertEqual(11, reports.next_sequence(1, "registry-1"))
         reports.heard(ProbeNews(PEER, _report(sequence=40)), 0.0)
         self.assertEqual(41, reports.next_sequence(1, "registry-1"))
 
-    def test_forgets_what_the_manifest_drops(self):
-        """Endpoints that are gone from the manifest take no memory."""
+    def test_endpoints_not_in_manifest_are_removed(self):
+        """Endpoints that the manifest no longer names use no memory."""
         reports = _reports()
         reports.heard(ProbeNews(PEER, REPORT), 0.0)
         reports.keep_only(set())
@@ -175,10 +178,10 @@
 
 
 class ReadersTest(TestCase):
-    """Who watches the platform."""
+    """VMs that watch the platform."""
 
-    def test_two_watch_a_zone(self):
-        """The watchers do not grow with the zone."""
+    def test_two_watchers_per_zone(self):
+        """The number of watchers does not grow with the zone."""
         vms = [vm(number) for number in range(60)]
         for zone in ZONES:
             watchers = _readers.watchers(zone, vms)
@@ -187,8 +190,8 @@
     def test_lost_watchers_are_replaced(self):
         """Both watchers of a zone die at once.
 
-        Without successors the zone would hear of a new manifest only by its
-        rare fallback reads.
+        Without replacements the zone would learn of a new manifest only
+        through its rare fallback reads.
         """
         vms = [vm(number) for number in range(9)]
         lost = _readers.watchers(ZONES[0], vms)
@@ -198,7 +201,7 @@
         self.assertFalse(set(watchers) & set(lost))
 
     def test_fallback_reads_stay_bounded(self):
-        """The whole fleet's fallback reads do not grow with its size."""
+        """The rate of fallback reads does not grow with the fleet."""
         rng = random.Random(1)
         for fleet in (300, 1400, 3000):
             waits = [
--- a/tests/membership_group.py
+++ b/tests/membership_group.py
@@ -1,7 +1,7 @@
-"""A group of in-memory members that pass messages, with a clock that steps.
+"""Simulates a group of members that exchange messages, on a simulated clock.
 
-No network and no sleep: each message arrives after a fixed delay unless the
-group is told to lose it, hold it back or give it twice.
+It uses no network and never sleeps. Each message is delivered after a fixed
+delay unless the group is set to drop, delay or duplicate messages.
 """
 
 import heapq
@@ -25,7 +25,7 @@
 
 
 def vm(number: int, incarnation: int = 100) -> Vm:
-    """Returns a VM of the group."""
+    """Returns the VM with this number; its name and address derive from it."""
     return Vm(
         name=f"vm-{number}",
         zone=ZONES[number % len(ZONES)],
@@ -39,7 +39,7 @@
 
 @attrs.define
 class Node:
-    """One member and what it has queued to tell."""
+    """One member, with its queued updates and the state of its process."""
 
     membership: Membership
     key: ManifestKey = ManifestKey()
@@ -55,13 +55,13 @@
         return self.membership.own.name
 
     def states(self) -> dict[str, VmState]:
-        """Returns what it believes of the others that are not dead."""
+        """Returns its view of the states of the other live members, by name."""
         others = self.membership.vms()[1:]
         return {each.name: each.state for each in others}
 
 
 class Group:
-    """Members, the messages between them, and the time."""
+    """The simulated members, their messages in transit and the clock."""
 
     def __init__(self, size: int, seed: int = 1):
         self.now = 1000.0
@@ -78,7 +78,7 @@
         self.run(3.0)
 
     def start(self, own: Vm, seeds=(), listed: bool = True) -> Node:
-        """Starts a member, or starts it again."""
+        """Starts or restarts a member."""
         rng = random.Random(self.rng.random())
         member = Membership(own, self.now, rng, seeds=seeds)
         node = self.nodes[own.name] = Node(member)
@@ -87,7 +87,7 @@
         return node
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the clock by this time."""
         until = self.now + seconds
         while self.now < until:
             self.now += STEP_S
@@ -98,16 +98,20 @@
                     self.send(node, node.membership.tick(self.now))
 
     def until(self, met: Callable[[], bool], most_s: float) -> float:
-        """Runs until `met()`; returns the time that it took."""
+        """Runs until `met()` is true; returns the time taken, in seconds.
+
+        Raises:
+            AssertionError: `met()` is still false after `most_s`.
+        """
         began = self.now
         while not met():
             if self.now - began > most_s:
-                raise AssertionError(f"not met within {most_s} s")
+                raise AssertionError(f"condition not met within {most_s} s")
             self.run(STEP_S)
         return self.now - began
 
     def pause(self, node: Node, seconds: float) -> None:
-        """Freezes a member; what is sent to it waits in its socket."""
+        """Pauses a member for a time, then delivers its buffered messages."""
         node.paused = True
         self.run(seconds)
         node.paused = False
@@ -116,7 +120,7 @@
             self._receive(node, message, source)
 
     def send(self, node: Node, sends: list[Send]) -> None:
-        """Sends what a member decided, with its news."""
+        """Sends a member's messages, with its queued updates added."""
         for change in node.membership.take_changes():
             told = node.membership.told(change.vm.name)
             node.news.add(told.name, told, _gossip.member_size(told))
