--- a/src/pollenmast/decisions/_freshness.py
+++ b/src/pollenmast/decisions/_freshness.py
@@ -18,42 +18,42 @@
     messages from peers, and fresh again after a refresh.
     """
 
-    def __init__(self, lease_s: float, refresh_s: float, now: float):
+    def __init__(self, lease_s: float, refresh_timeout_s: float, now: float):
         self._lease_s = lease_s
-        self._refresh_s = refresh_s
-        self._heard_s = now
-        self._began: float | None = None
-        self._number = 0
+        self._refresh_timeout_s = refresh_timeout_s
+        self._last_message_s = now
+        self._refresh_started_s: float | None = None
+        self._refresh_number = 0
         self._synced = False
-        self._awaited = ManifestKey()
+        self._required_key = ManifestKey()
         self._alone = False
 
     @property
     def fresh(self) -> bool:
         """Whether decisions may be based on the view."""
-        return self._began is None
+        return self._refresh_started_s is None
 
     @property
-    def number(self) -> int:
+    def refresh_number(self) -> int:
         """The number of the latest refresh.
 
         An answer to a refresh with a lower number is outdated.
         """
-        return self._number
+        return self._refresh_number
 
     @property
     def alone(self) -> bool:
         """Whether the last refresh ended without an answer."""
         return self._alone
 
-    def begin(self, now: float) -> None:
+    def start_refresh(self, now: float) -> None:
         """Starts a refresh, because the view may be stale."""
-        self._began = now
-        self._number += 1
+        self._refresh_started_s = now
+        self._refresh_number += 1
         self._synced = False
-        self._awaited = ManifestKey()
+        self._required_key = ManifestKey()
 
-    def ran(self, gap_s: float, now: float) -> bool:
+    def refresh_after_gap(self, gap_s: float, now: float) -> bool:
         """Starts a refresh if the process has not run for the lease time.
 
         Args:
@@ -65,49 +65,49 @@
         """
         if gap_s <= self._lease_s:
             return False
-        self.begin(now)
+        self.start_refresh(now)
         return True
 
-    def silent(self, has_peers: bool, now: float) -> bool:
+    def refresh_after_silence(self, has_peers: bool, now: float) -> bool:
         """Starts a refresh if no peer was heard for the lease time.
 
         Returns:
             Whether a refresh was started.
         """
-        over = now - self._heard_s > self._lease_s
-        if not over or not has_peers or not self.fresh or self._alone:
+        expired = now - self._last_message_s > self._lease_s
+        if not expired or not has_peers or not self.fresh or self._alone:
             return False
-        self.begin(now)
+        self.start_refresh(now)
         return True
 
-    def heard(self, now: float) -> bool:
+    def record_message(self, now: float) -> bool:
         """Records a message from a peer.
 
         Returns:
             Whether the message ends a time of isolation.
         """
-        self._heard_s = now
+        self._last_message_s = now
         ended, self._alone = self._alone, False
         return ended
 
-    def synced(self, theirs: ManifestKey) -> None:
+    def record_sync(self, peer_key: ManifestKey) -> None:
         """Records that a peer has sent all its members and its manifest key."""
         self._synced = True
-        self._awaited = max(self._awaited, theirs)
+        self._required_key = max(self._required_key, peer_key)
 
-    def check(self, in_force: ManifestKey, now: float) -> bool:
+    def end_refresh(self, in_force: ManifestKey, now: float) -> bool:
         """Ends the refresh if it is complete or has timed out.
 
         Returns:
             Whether the refresh was ended.
         """
-        if self._began is None:
+        if self._refresh_started_s is None:
             return False
-        if self._synced and in_force >= self._awaited:
-            self._began = None
+        if self._synced and in_force >= self._required_key:
+            self._refresh_started_s = None
             return True
-        if now - self._began >= self._refresh_s:
-            self._began = None
+        if now - self._refresh_started_s >= self._refresh_timeout_s:
+            self._refresh_started_s = None
             self._alone = not self._synced
             return True
         return False
--- a/src/pollenmast/decisions/_heartbeats.py
+++ b/src/pollenmast/decisions/_heartbeats.py
@@ -11,13 +11,13 @@
 
 import attrs
 
-from pollenmast.decisions import _membership_times as figures
+from pollenmast.decisions import _membership_times as constants
 from pollenmast.decisions._members import Member, Members
 from pollenmast.decisions._membership_times import Times
 from pollenmast.fleet import Vm, VmState
 from pollenmast.peers._gossip import Act
 
-MOST_PINGS = 256
+MAX_PENDING_PINGS = 256
 """Maximum number of outstanding pings; beyond it, peers' requests for indirect
 pings are ignored."""
 
@@ -51,15 +51,15 @@
     Attributes:
         target: Name of the pinged VM; empty if only its address is known.
         sent_s: Time at which the ping was sent.
-        asked: Whether other members were asked for indirect pings.
-        relayed: Address and sequence number for the ack to the member that
+        indirect_requested: Whether other members were asked for indirect pings.
+        requester: Address and sequence number for the ack to the member that
             requested this ping, or None for a ping of the local VM's own.
     """
 
     target: str
     sent_s: float
-    asked: bool = False
-    relayed: tuple[Address, int] | None = None
+    indirect_requested: bool = False
+    requester: tuple[Address, int] | None = None
 
 
 def gossip_address(vm: Vm) -> Address:
@@ -82,91 +82,98 @@
         self._members = members
         self._times = times
         self._rng = rng
-        self._order: list[str] = []
-        self._in_ring = False
+        self._round: list[str] = []
+        self._use_successor = False
         self._pings: dict[int, Ping] = {}
         self._sequences = itertools.count(1)
         self._next_ping = now
-        self._next_dead = now + times.retry_dead
+        self._next_retry = now + times.dead_retry_interval
 
     def due(self) -> float:
-        """Returns the time at which `beat` or `check` must run next."""
-        due = min(self._next_ping, self._next_dead)
+        """Returns when `send_due` or `check_timeouts` must run next."""
+        due = min(self._next_ping, self._next_retry)
         for ping in self._pings.values():
-            wait = self._times.total if ping.asked else self._times.direct
+            wait = (
+                self._times.total_timeout
+                if ping.indirect_requested
+                else self._times.direct_timeout
+            )
             due = min(due, ping.sent_s + wait)
         return due
 
-    def shift(self, late: float) -> None:
+    def extend_timeouts(self, late: float) -> None:
         """Extends the time-outs of outstanding pings after a pause."""
         for ping in self._pings.values():
             ping.sent_s += late
 
-    def joined(self, name: str) -> None:
+    def add_member(self, name: str) -> None:
         """Adds a new member to the current round at a random position."""
-        place = self._rng.randint(0, len(self._order))
-        self._order.insert(place, name)
+        position = self._rng.randint(0, len(self._round))
+        self._round.insert(position, name)
 
-    def retry_soon(self, now: float) -> None:
+    def retry_dead_soon(self, now: float) -> None:
         """Schedules the next ping of a dead member soon.
 
         When a network partition heals, many members return at once.
         """
         soon = now + self._times.heartbeat / 2
-        self._next_dead = min(self._next_dead, soon)
+        self._next_retry = min(self._next_retry, soon)
 
-    def beat(self, now: float) -> list[Send]:
+    def send_due(self, now: float) -> list[Send]:
         """Returns the pings that are due."""
         sends = []
         if now >= self._next_ping:
             self._next_ping = now + self._times.heartbeat
             sends += self._ping_next(now)
-        if now >= self._next_dead:
-            self._next_dead = now + self._times.retry_dead
+        if now >= self._next_retry:
+            self._next_retry = now + self._times.dead_retry_interval
             sends += self._retry_dead(now)
         return sends
 
-    def check(self, now: float) -> tuple[list[Send], list[Member]]:
+    def check_timeouts(self, now: float) -> tuple[list[Send], list[Member]]:
         """Returns indirect ping requests, and the members that timed out."""
-        sends, silent = [], []
+        sends, timed_out = [], []
         for sequence, ping in list(self._pings.items()):
             waited = now - ping.sent_s
-            if waited >= self._times.total:
+            if waited >= self._times.total_timeout:
                 del self._pings[sequence]
-                silent += self._silent(ping)
-            elif waited >= self._times.direct and not ping.asked:
-                ping.asked = True
-                sends += self._ask_others(sequence, ping)
-        return sends, silent
+                timed_out += self._members_without_ack(ping)
+            elif (
+                waited >= self._times.direct_timeout
+                and not ping.indirect_requested
+            ):
+                ping.indirect_requested = True
+                sends += self._request_indirect_pings(sequence, ping)
+        return sends, timed_out
 
     def ping(self, vm: Vm, now: float) -> Send:
         """Returns a ping to a VM."""
         sequence = next(self._sequences)
         self._pings[sequence] = Ping(vm.name, now)
         to = gossip_address(vm)
-        return Send(to, Act.PING, sequence, vm.name, self.told(vm.name))
+        return Send(to, Act.PING, sequence, vm.name, self.update_for(vm.name))
 
-    def greet(self, to: Address, now: float) -> Send:
+    def ping_address(self, to: Address, now: float) -> Send:
         """Returns a ping to an address whose VM is not known."""
         sequence = next(self._sequences)
         self._pings[sequence] = Ping("", now)
         return Send(to, Act.PING, sequence)
 
-    def ping_for(
+    def ping_on_behalf(
         self, vm: Vm, asker: Address, sequence: int, now: float
     ) -> list[Send]:
         """Pings a VM on behalf of a member that received no ack from it."""
-        if len(self._pings) >= MOST_PINGS:
+        if len(self._pings) >= MAX_PENDING_PINGS:
             return []
         send = self.ping(vm, now)
-        self._pings[send.sequence].relayed = (asker, sequence)
+        self._pings[send.sequence].requester = (asker, sequence)
         return [send]
 
-    def answered(self, sequence: int) -> Ping | None:
+    def take_answered(self, sequence: int) -> Ping | None:
         """Removes and returns the ping that an ack answers, if any."""
         return self._pings.pop(sequence, None)
 
-    def told(self, name: str) -> tuple[Vm, ...]:
+    def update_for(self, name: str) -> tuple[Vm, ...]:
         """Returns the update about itself that a VM must receive.
 
         A VM can refute a suspicion or its own death only if it knows of it.
@@ -182,19 +189,19 @@
         With random members alone, a killed VM sometimes received no ping for
         three intervals. Its predecessor now pings it every other interval.
         """
-        self._in_ring = not self._in_ring
-        successor = self._successor() if self._in_ring else None
+        self._use_successor = not self._use_successor
+        successor = self._successor() if self._use_successor else None
         if successor is not None:
             return [self.ping(successor, now)]
-        while self._order:
-            member = self._members.get(self._order.pop())
+        while self._round:
+            member = self._members.get(self._round.pop())
             if member is not None and not member.dead:
                 return [self.ping(member.vm, now)]
-        self._order = [each.vm.name for each in self._members.live()]
-        self._rng.shuffle(self._order)
-        if not self._order:
+        self._round = [each.vm.name for each in self._members.live()]
+        self._rng.shuffle(self._round)
+        if not self._round:
             return []
-        member = self._members.get(self._order.pop())
+        member = self._members.get(self._round.pop())
         return [self.ping(member.vm, now)]
 
     def _successor(self) -> Vm | None:
@@ -203,16 +210,16 @@
         # Names greater than the local one come first, then the ring wraps.
         return min(vms, key=lambda vm: (vm.name < own, vm.name), default=None)
 
-    def _ask_others(self, sequence: int, ping: Ping) -> list[Send]:
+    def _request_indirect_pings(self, sequence: int, ping: Ping) -> list[Send]:
         member = self._members.get(ping.target)
-        if member is None or member.dead or ping.relayed:
+        if member is None or member.dead or ping.requester:
             return []
         others = [
             each.vm
             for each in self._members.live()
             if each is not member and each.suspect_since is None
         ]
-        most = min(figures.INDIRECT, len(others))
+        count = min(constants.INDIRECT_PINGS, len(others))
         return [
             Send(
                 gossip_address(vm),
@@ -221,12 +228,12 @@
                 ping.target,
                 (member.vm,),
             )
-            for vm in self._rng.sample(others, most)
+            for vm in self._rng.sample(others, count)
         ]
 
-    def _silent(self, ping: Ping) -> list[Member]:
+    def _members_without_ack(self, ping: Ping) -> list[Member]:
         member = self._members.get(ping.target)
-        if member is None or member.dead or ping.relayed:
+        if member is None or member.dead or ping.requester:
             return []
         heard = member.heard_s > ping.sent_s
         return [] if heard or member.suspect_since is not None else [member]
@@ -236,6 +243,6 @@
         dead = self._members.dead()
         if not dead:
             return []
-        member = min(dead, key=lambda each: (each.asked_s, each.vm.name))
-        member.asked_s = now
+        member = min(dead, key=lambda each: (each.retried_s, each.vm.name))
+        member.retried_s = now
         return [self.ping(member.vm, now)]
--- a/src/pollenmast/decisions/_introductions.py
+++ b/src/pollenmast/decisions/_join_candidates.py
@@ -11,7 +11,7 @@
 from pollenmast.fleet import Vm
 
 
-class Introductions:
+class JoinCandidates:
     """VMs that the platform's list or the seeds name."""
 
     def __init__(self, own_name: str, seeds: Iterable[Address]):
@@ -19,25 +19,27 @@
         self._seeds = tuple(seeds)
         self._listed: dict[str, Vm] | None = None
 
-    def take(self, vms: Iterable[Vm]) -> None:
+    def set_listed(self, vms: Iterable[Vm]) -> None:
         """Replaces the platform's list."""
         self._listed = {vm.name: vm for vm in vms if vm.name != self._own_name}
 
-    def strangers(self, members: Members) -> list[Address]:
+    def unknown_addresses(self, members: Members) -> list[Address]:
         """Returns the addresses of listed VMs that are not members.
 
         Without a live member, the seeds are returned too.
         """
-        strangers = [
+        addresses = [
             gossip_address(vm)
             for name, vm in (self._listed or {}).items()
             if members.get(name) is None
         ]
         if not members.live():
-            strangers += self._seeds
-        return strangers
+            addresses += self._seeds
+        return addresses
 
-    def forget(self, members: Members, now: float, after_s: float) -> None:
+    def remove_unlisted(
+        self, members: Members, now: float, after_s: float
+    ) -> None:
         """Removes dead members that the platform no longer lists.
 
         Without this, a fleet whose VMs are replaced daily would keep pinging
@@ -53,4 +55,4 @@
         for member in members.dead():
             old = now - (member.dead_since or now) >= after_s
             if old and member.vm.name not in self._listed:
-                members.forget(member.vm.name)
+                members.remove(member.vm.name)
--- a/src/pollenmast/decisions/_members.py
+++ b/src/pollenmast/decisions/_members.py
@@ -8,7 +8,7 @@
 from pollenmast.fleet import Vm, VmState
 from pollenmast.peers._gossip import member_size
 
-_RANK = {
+_SEVERITY = {
     VmState.ALIVE: 0,
     VmState.LEAVING: 1,
     VmState.SUSPECT: 2,
@@ -56,7 +56,7 @@
         suspect_since: Time at which the VM became suspect, or None.
         dead_since: Time at which the VM was declared dead, or None.
         heard_s: Time of the last message from the VM itself.
-        asked_s: Time of the last ping to the VM while it was dead.
+        retried_s: Time of the last ping to the VM while it was dead.
     """
 
     vm: Vm
@@ -64,7 +64,7 @@
     suspect_since: float | None = None
     dead_since: float | None = None
     heard_s: float = 0.0
-    asked_s: float = 0.0
+    retried_s: float = 0.0
 
     @property
     def dead(self) -> bool:
@@ -79,8 +79,8 @@
         return self.vm
 
 
-def _place(vm: Vm) -> tuple[int, int]:
-    return vm.incarnation, _RANK[vm.state]
+def _precedence(vm: Vm) -> tuple[int, int]:
+    return vm.incarnation, _SEVERITY[vm.state]
 
 
 class Members:
@@ -107,7 +107,7 @@
         """Returns the dead members that have not been removed yet."""
         return [member for member in self if member.dead]
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Removes the member with this name, if it is known."""
         self._by_name.pop(name, None)
 
@@ -134,7 +134,7 @@
             known = self._by_name[vm.name] = Member(vm)
             self._set(known, vm, now)
             return Change(known.view, None, Why.JOINED)
-        if _place(vm) <= _place(known.vm):
+        if _precedence(vm) <= _precedence(known.vm):
             return None
         before = known.vm.state
         if before is VmState.DEAD and vm.state is not VmState.DEAD:
@@ -166,11 +166,11 @@
         """
         names = sorted(name for name in self._by_name if name > after)
         vms = [self._by_name[name].vm for name in names]
-        page = fitting(vms, budget)
+        page = fit_into_budget(vms, budget)
         return page, page[-1].name if len(page) < len(vms) else ""
 
 
-def fitting(vms: list[Vm], budget: int) -> list[Vm]:
+def fit_into_budget(vms: list[Vm], budget: int) -> list[Vm]:
     """Returns the longest prefix of `vms` that fits into `budget` bytes."""
     taken = []
     for vm in vms:
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -8,8 +8,8 @@
 and piggybacks membership updates on messages that are sent anyway. The cost
 per VM does not depend on the size of the fleet.
 
-`Membership` is a long class. Its independent parts (heartbeats, introductions,
-freshness and the member table) are modules of their own.
+`Membership` is a long class. Its independent parts (heartbeats, join
+candidates, freshness and the member table) are modules of their own.
 """
 
 import random
@@ -17,7 +17,7 @@
 
 import attrs
 
-from pollenmast.decisions import _membership_times as figures
+from pollenmast.decisions import _membership_times as constants
 from pollenmast.decisions._freshness import Freshness
 from pollenmast.decisions._heartbeats import (
     Address,
@@ -25,13 +25,13 @@
     Send,
     gossip_address,
 )
-from pollenmast.decisions._introductions import Introductions
+from pollenmast.decisions._join_candidates import JoinCandidates
 from pollenmast.decisions._members import (
     Change,
     Member,
     Members,
     Why,
-    fitting,
+    fit_into_budget,
 )
 from pollenmast.decisions._membership_times import Times
 from pollenmast.fleet import Vm, VmState
@@ -68,20 +68,22 @@
         self._rng = rng
         self._times = times or Times()
         self._members = Members()
-        self._introductions = Introductions(own.name, seeds)
+        self._candidates = JoinCandidates(own.name, seeds)
         self._heartbeats = Heartbeats(
             own.name, self._members, self._times, rng, now
         )
         self._changes: list[Change] = []
         self._urgent: dict[str, Vm] = {}
-        self._fresh = Freshness(self._times.lease, self._times.refresh, now)
+        self._freshness = Freshness(
+            self._times.lease, self._times.refresh_timeout, now
+        )
         self._in_force = ManifestKey()
-        self._pages_left = 0
-        self._ran_s = now
-        self._due_s = now
-        self._next_greet = now
+        self._syncs_left = 0
+        self._last_run_s = now
+        self._next_tick_s = now
+        self._next_join_s = now
         # After a start the view is as unreliable as after a pause.
-        self._fresh.begin(now)
+        self._freshness.start_refresh(now)
 
     # State for callers.
 
@@ -93,12 +95,12 @@
     @property
     def fresh(self) -> bool:
         """Whether decisions may be based on this view."""
-        return self._fresh.fresh
+        return self._freshness.fresh
 
     @property
     def alone(self) -> bool:
         """Whether the last refresh ended without an answer."""
-        return self._fresh.alone
+        return self._freshness.alone
 
     def vms(self) -> tuple[Vm, ...]:
         """Returns all VMs that are not dead, the local VM first."""
@@ -120,24 +122,24 @@
 
     def due(self) -> float:
         """Returns the time at which `tick` must be called next."""
-        due = [self._heartbeats.due(), self._next_greet]
+        due = [self._heartbeats.due(), self._next_join_s]
         for member in self._members:
             if member.suspect_since is not None:
-                due.append(member.suspect_since + self._times.suspicion)
-        self._due_s = min(due)
-        return self._due_s
+                due.append(member.suspect_since + self._times.suspicion_timeout)
+        self._next_tick_s = min(due)
+        return self._next_tick_s
 
     # State of the local VM.
 
     def set_relay_up(self, up: bool) -> None:
         """Announces whether the local relay answers its agent."""
         if up != self._own.relay_up:
-            self._restate(relay_up=up, why=Why.UPDATED)
+            self._update_own(relay_up=up, why=Why.UPDATED)
 
     def leave(self) -> None:
         """Announces a planned shutdown of the local VM."""
         if self._own.state is VmState.ALIVE:
-            self._restate(state=VmState.LEAVING, why=Why.LEAVES)
+            self._update_own(state=VmState.LEAVING, why=Why.LEAVES)
 
     def gone(self) -> list[Send]:
         """Announces that the local VM stops now.
@@ -150,7 +152,7 @@
     def stay(self) -> None:
         """Cancels a planned shutdown, because the relay was replaced."""
         if self._own.state is VmState.LEAVING:
-            self._restate(state=VmState.ALIVE, why=Why.UPDATED)
+            self._update_own(state=VmState.ALIVE, why=Why.UPDATED)
 
     def set_in_force(self, key: ManifestKey) -> None:
         """Sets the key of the manifest in force on the local VM."""
@@ -158,8 +160,8 @@
 
     def stale(self, now: float) -> list[Send]:
         """Starts a refresh, because the view appears to be stale."""
-        self._fresh.begin(now)
-        return self._ask_around(now)
+        self._freshness.start_refresh(now)
+        return self._ping_for_refresh(now)
 
     # Events.
 
@@ -169,33 +171,35 @@
         This may be the first code to run after a pause. Without the check, a
         stale view would be handed out once as a fresh one.
         """
-        return self._notice(now)
+        return self._detect_pause(now)
 
     def introduce(self, listed: Iterable[Vm], now: float) -> list[Send]:
         """Takes the platform's list of VMs and pings those not yet known.
 
         Dead members that are missing from the list are removed later.
         """
-        self._introductions.take(listed)
-        return self._greet(now)
+        self._candidates.set_listed(listed)
+        return self._join(now)
 
     def tick(self, now: float) -> list[Send]:
         """Runs all timers that have expired."""
-        sends = self._notice(now)
-        asked, silent = self._heartbeats.check(now)
-        sends += asked
-        for member in silent:
+        sends = self._detect_pause(now)
+        requests, unanswered = self._heartbeats.check_timeouts(now)
+        sends += requests
+        for member in unanswered:
             sends += self._suspect(member, now)
-        self._end_suspicions(now)
-        self._introductions.forget(self._members, now, self._times.forget)
-        sends += self._heartbeats.beat(now)
-        if now >= self._next_greet:
-            self._next_greet = now + self._times.greet
+        self._expire_suspicions(now)
+        self._candidates.remove_unlisted(
+            self._members, now, self._times.removal_delay
+        )
+        sends += self._heartbeats.send_due(now)
+        if now >= self._next_join_s:
+            self._next_join_s = now + self._times.join_interval
             if not self._members.live():
-                sends += self._greet(now)
-        if self._fresh.silent(len(self._members) > 0, now):
-            sends += self._ask_around(now)
-        self._fresh.check(self._in_force, now)
+                sends += self._join(now)
+        if self._freshness.refresh_after_silence(len(self._members) > 0, now):
+            sends += self._ping_for_refresh(now)
+        self._freshness.end_refresh(self._in_force, now)
         return sends + self._push_urgent()
 
     def receive(
@@ -204,7 +208,7 @@
         """Handles a message from a peer at the address `source`."""
         if message.sender.name == self._own.name:
             return []
-        sends = self._notice(now)
+        sends = self._detect_pause(now)
         sender = message.sender
         self._merge(sender, now, Why.TOLD)
         for vm in message.members:
@@ -212,11 +216,11 @@
         member = self._members.get(sender.name)
         if member is not None:
             member.heard_s = now
-        if self._fresh.heard(now):
+        if self._freshness.record_message(now):
             # The network partition may have lasted hours: refresh first.
             sends += self.stale(now)
-        sends += self._answer(message, source, now)
-        self._fresh.check(self._in_force, now)
+        sends += self._handle_message(message, source, now)
+        self._freshness.end_refresh(self._in_force, now)
         return sends + self._push_urgent()
 
     # Failure detection.
@@ -227,118 +231,121 @@
         self._merge(suspect, now, Why.NO_ACK)
         return [self._heartbeats.ping(member.vm, now)]
 
-    def _end_suspicions(self, now: float) -> None:
+    def _expire_suspicions(self, now: float) -> None:
         for member in self._members.live():
             since = member.suspect_since
-            if since is not None and now - since >= self._times.suspicion:
+            if (
+                since is not None
+                and now - since >= self._times.suspicion_timeout
+            ):
                 dead = attrs.evolve(member.vm, state=VmState.DEAD)
                 self._merge(dead, now, Why.SUSPICION_OVER)
 
     # Message handlers.
 
-    def _answer(
+    def _handle_message(
         self, message: Gossip, source: Address, now: float
     ) -> list[Send]:
         match message.act:
             case Act.PING:
-                return self._acknowledge(message, source)
+                return self._receive_ping(message, source)
             case Act.ACK:
-                return self._acknowledged(message)
+                return self._receive_ack(message)
             case Act.PING_REQUEST:
-                return self._ping_for(message, source, now)
+                return self._receive_ping_request(message, source, now)
             case Act.SYNC_REQUEST:
-                return [self._page(message, source)]
+                return [self._page_reply(message, source)]
             case Act.SYNC:
-                return self._paged(message)
+                return self._receive_page(message)
         return []
 
-    def _acknowledge(self, message: Gossip, source: Address) -> list[Send]:
+    def _receive_ping(self, message: Gossip, source: Address) -> list[Send]:
         if message.target not in ("", self._own.name):
             # The ping is for another VM that had this address before. An
             # answer would hide that VM's failure.
             return []
-        members = self._heartbeats.told(message.sender.name)
+        members = self._heartbeats.update_for(message.sender.name)
         own = self._own.name
         return [Send(source, Act.ACK, message.sequence, own, members)]
 
-    def _acknowledged(self, message: Gossip) -> list[Send]:
-        ping = self._heartbeats.answered(message.sequence)
+    def _receive_ack(self, message: Gossip) -> list[Send]:
+        ping = self._heartbeats.take_answered(message.sequence)
         if ping is None:
             return []
         sends = []
-        if ping.relayed is not None:
-            to, sequence = ping.relayed
+        if ping.requester is not None:
+            to, sequence = ping.requester
             member = self._members.get(ping.target)
             members = (member.vm,) if member else ()
             sends.append(Send(to, Act.ACK, sequence, ping.target, members))
-        if self._pages_left:
-            sends.append(self._ask_page(message.sender, ""))
-            self._pages_left -= 1
+        if self._syncs_left:
+            sends.append(self._request_page(message.sender, ""))
+            self._syncs_left -= 1
         return sends
 
-    def _ping_for(
+    def _receive_ping_request(
         self, message: Gossip, source: Address, now: float
     ) -> list[Send]:
         member = self._members.get(message.target)
         if member is None:
             return []
-        return self._heartbeats.ping_for(
+        return self._heartbeats.ping_on_behalf(
             member.vm, source, message.sequence, now
         )
 
     # Joining, syncs and refreshes.
 
-    def _greet(self, now: float) -> list[Send]:
+    def _join(self, now: float) -> list[Send]:
         """Pings VMs not yet known; seeds too without a live member."""
-        strangers = self._introductions.strangers(self._members)
-        greeted = self._sample(strangers, figures.GREETED)
-        sends = [self._heartbeats.greet(to, now) for to in greeted]
+        unknown = self._candidates.unknown_addresses(self._members)
+        addresses = self._sample(unknown, constants.MAX_JOIN_PINGS)
+        sends = [self._heartbeats.ping_address(to, now) for to in addresses]
         if sends and not self._members.live():
-            self._pages_left = figures.REFRESH_SYNCS
+            self._syncs_left = constants.REFRESH_SYNCS
         return sends
 
-    def _ask_around(self, now: float) -> list[Send]:
-        asked = self._sample(
-            [each.vm for each in self._members], figures.REFRESH_PEERS
+    def _ping_for_refresh(self, now: float) -> list[Send]:
+        targets = self._sample(
+            [each.vm for each in self._members], constants.REFRESH_PEERS
         )
-        self._pages_left = figures.REFRESH_SYNCS
-        return [self._heartbeats.ping(vm, now) for vm in asked]
+        self._syncs_left = constants.REFRESH_SYNCS
+        return [self._heartbeats.ping(vm, now) for vm in targets]
 
-    def _ask_page(self, vm: Vm, after: str) -> Send:
-        number = self._fresh.number
+    def _request_page(self, vm: Vm, after: str) -> Send:
+        number = self._freshness.refresh_number
         return Send(gossip_address(vm), Act.SYNC_REQUEST, number, after)
 
-    def _page(self, message: Gossip, source: Address) -> Send:
-        page, last = self._members.page(message.target, figures.PAGE_BYTES)
+    def _page_reply(self, message: Gossip, source: Address) -> Send:
+        page, last = self._members.page(message.target, constants.PAGE_BYTES)
         return Send(source, Act.SYNC, message.sequence, last, tuple(page))
 
-    def _paged(self, message: Gossip) -> list[Send]:
+    def _receive_page(self, message: Gossip) -> list[Send]:
         # An answer to an earlier refresh: it waited in the socket buffer
         # while this process was frozen and is as old as that freeze.
-        if message.sequence != self._fresh.number:
+        if message.sequence != self._freshness.refresh_number:
             return []
         if message.target:
-            return [self._ask_page(message.sender, message.target)]
+            return [self._request_page(message.sender, message.target)]
         key = ManifestKey(message.version, message.digest.hex())
-        self._fresh.synced(key)
+        self._freshness.record_sync(key)
         return []
 
     # Updates of the view.
 
     def _merge(self, vm: Vm, now: float, why: Why) -> None:
         if vm.name == self._own.name:
-            self._hear_of_self(vm, now)
+            self._merge_own(vm, now)
             return
         change = self._members.merge(vm, now, why)
         if change is None:
             return
-        self._note(change)
+        self._record_change(change)
         if change.why is Why.JOINED:
-            self._heartbeats.joined(vm.name)
+            self._heartbeats.add_member(vm.name)
         if change.why is Why.RETURNED:
-            self._heartbeats.retry_soon(now)
+            self._heartbeats.retry_dead_soon(now)
 
-    def _hear_of_self(self, vm: Vm, now: float) -> None:
+    def _merge_own(self, vm: Vm, now: float) -> None:
         """Refutes a wrong state of the local VM reported by a peer."""
         own = self._own
         believed = vm.incarnation >= own.incarnation
@@ -349,38 +356,38 @@
         if not believed or not wrong or own.state is VmState.DEAD:
             return
         self._own = attrs.evolve(own, incarnation=vm.incarnation)
-        self._restate(why=Why.REFUTED)
+        self._update_own(why=Why.REFUTED)
         if vm.state is VmState.DEAD:
             # The others continued without this VM, so its view is stale.
-            self._fresh.begin(now)
-            self._pages_left = figures.REFRESH_SYNCS
+            self._freshness.start_refresh(now)
+            self._syncs_left = constants.REFRESH_SYNCS
 
-    def _restate(self, why: Why, **changed: object) -> None:
+    def _update_own(self, why: Why, **changed: object) -> None:
         before = self._own.state
         changed["incarnation"] = self._own.incarnation + 1
         self._own = attrs.evolve(self._own, **changed)
-        self._note(Change(self._own, before, why))
+        self._record_change(Change(self._own, before, why))
 
     # Detection of pauses.
 
-    def _notice(self, now: float) -> list[Send]:
+    def _detect_pause(self, now: float) -> list[Send]:
         """Detects a pause of this process and compensates for it.
 
         After a pause all timers have expired and the acks are still unread in
         the socket buffer. Without compensation, the process would declare the
         other members dead because of its own pause.
         """
-        late = now - max(self._due_s, self._ran_s)
-        gap = now - self._ran_s
-        self._ran_s = now
-        if late > self._times.late:
-            self._due_s = now
-            self._heartbeats.shift(late)
+        late = now - max(self._next_tick_s, self._last_run_s)
+        gap = now - self._last_run_s
+        self._last_run_s = now
+        if late > self._times.pause_threshold:
+            self._next_tick_s = now
+            self._heartbeats.extend_timeouts(late)
             for member in self._members.live():
                 if member.suspect_since is not None:
                     member.suspect_since += late
-        if self._fresh.ran(gap, now):
-            return self._ask_around(now)
+        if self._freshness.refresh_after_gap(gap, now):
+            return self._ping_for_refresh(now)
         return []
 
     # Sending.
@@ -391,11 +398,13 @@
         Flows are sent to a dead VM until the change has spread. At one message
         per interval, that would take seconds.
         """
-        urgent = fitting(list(self._urgent.values()), figures.PAGE_BYTES)
+        urgent = fit_into_budget(
+            list(self._urgent.values()), constants.PAGE_BYTES
+        )
         self._urgent.clear()
         return self._push(tuple(urgent)) if urgent else []
 
-    def _note(self, change: Change) -> None:
+    def _record_change(self, change: Change) -> None:
         self._changes.append(change)
         self._urgent[change.vm.name] = self.told(change.vm.name)
 
@@ -410,13 +419,13 @@
         others = [vm for vm in live if vm.name not in told]
         return [
             Send(gossip_address(vm), Act.NEWS, members=vms)
-            for vm in self._sample(others, figures.URGENT)
+            for vm in self._sample(others, constants.URGENT_FANOUT)
         ]
 
     def push(self) -> list[Send]:
-        """Returns empty messages to a few random members.
+        """Returns messages to a few random members for urgent updates.
 
-        The sender adds its urgent updates to them.
+        The messages are empty; the sender adds the updates.
         """
         return self._push(())
 
--- a/src/pollenmast/decisions/_membership_times.py
+++ b/src/pollenmast/decisions/_membership_times.py
@@ -2,11 +2,11 @@
 
 import attrs
 
-INDIRECT = 3
+INDIRECT_PINGS = 3
 """Members asked for an indirect ping of a member that did not answer. All three
 fail only if the cause lies with that member or with the local VM."""
 
-URGENT = 3
+URGENT_FANOUT = 3
 """Members that are sent an urgent update immediately. Each of them forwards it
 to three more, so nine VMs have it within two or three one-way delays."""
 
@@ -17,7 +17,7 @@
 """Peers whose member tables are requested in one refresh. With two, one answer
 may be lost."""
 
-GREETED = 8
+MAX_JOIN_PINGS = 8
 """Maximum number of VMs from the platform's list or the seeds to ping at once.
 One answer is enough to learn of all other VMs, so the limit can stay small in
 a large fleet."""
@@ -42,44 +42,45 @@
 
     Attributes:
         heartbeat: Interval between two pings sent by the local VM.
-        direct: Time to wait for an ack before indirect pings are requested.
-            150 ms is fifty round trips between availability zones, and more
-            than the scheduling delay of a busy small VM.
-        total: Total time to wait for an ack. What remains of it after `direct`
-            is for the indirect path, which takes two round trips.
-        suspicion: Time after which a suspect member that has not refuted is
-            declared dead. A refutation takes three one-way delays and one
-            scheduling delay; with a shorter time-out, a paused process would
-            lose its flows.
+        direct_timeout: Time to wait for an ack before indirect pings are
+            requested. 150 ms is fifty round trips between availability zones,
+            and more than the scheduling delay of a busy small VM.
+        total_timeout: Total time to wait for an ack. What remains of it after
+            `direct_timeout` is for the indirect path, which takes two round
+            trips.
+        suspicion_timeout: Time after which a suspect member that has not
+            refuted is declared dead. A refutation takes three one-way delays
+            and one scheduling delay; with a shorter time-out, a paused process
+            would lose its flows.
         lease: Time without running or without a message from a peer after
             which the local view may be stale, because the others have
             declared the local VM dead by then.
-        refresh: Maximum duration of a refresh. A VM that receives no answer
-            is cut off and continues with the VMs that it reaches.
-        greet: Interval between two attempts to join while no live member is
-            known.
-        retry_dead: Interval between two pings of dead members. A healed
-            partition is detected after about this time, divided by the number
-            of VMs that send such pings.
-        forget: Time after which a dead member that the platform no longer
-            lists is removed. It is longer than updates about the member
-            circulate.
-        late: Delay of a timer that shows that this process was paused, so that
-            other members must not be suspected for it.
+        refresh_timeout: Maximum duration of a refresh. A VM that receives no
+            answer is cut off and continues with the VMs that it reaches.
+        join_interval: Interval between two attempts to join while no live
+            member is known.
+        dead_retry_interval: Interval between two pings of dead members. A
+            healed partition is detected after about this time, divided by the
+            number of VMs that send such pings.
+        removal_delay: Time after which a dead member that the platform no
+            longer lists is removed. It exceeds the time for which updates
+            about the member circulate.
+        pause_threshold: Delay of a timer that shows that this process was
+            paused, so that other members must not be suspected for it.
     """
 
     heartbeat: float = 0.5
 
     @property
-    def direct(self) -> float:
+    def direct_timeout(self) -> float:
         return 0.3 * self.heartbeat
 
     @property
-    def total(self) -> float:
+    def total_timeout(self) -> float:
         return 0.7 * self.heartbeat
 
     @property
-    def suspicion(self) -> float:
+    def suspicion_timeout(self) -> float:
         return 1.4 * self.heartbeat
 
     @property
@@ -87,21 +88,21 @@
         return 4 * self.heartbeat
 
     @property
-    def refresh(self) -> float:
+    def refresh_timeout(self) -> float:
         return 2 * self.heartbeat
 
     @property
-    def greet(self) -> float:
+    def join_interval(self) -> float:
         return 2 * self.heartbeat
 
     @property
-    def retry_dead(self) -> float:
+    def dead_retry_interval(self) -> float:
         return 4 * self.heartbeat
 
     @property
-    def forget(self) -> float:
+    def removal_delay(self) -> float:
         return 120 * self.heartbeat
 
     @property
-    def late(self) -> float:
+    def pause_threshold(self) -> float:
         return 0.2 * self.heartbeat
