--- a/src/pollenmast/decisions/_acceptance.py
+++ b/src/pollenmast/decisions/_acceptance.py
@@ -12,7 +12,7 @@
 from pollenmast.counters import ManifestOutcome
 from pollenmast.manifest import Manifest, ManifestKey
 
-MOST_REFUSED = 64
+MAX_REFUSED = 64
 """Maximum number of refused keys to remember, so that each content is fetched
 and logged once."""
 
@@ -99,6 +99,6 @@
         release considers invalid. Fetching it with each heartbeat would
         transfer a megabyte twice a second.
         """
-        while len(self._refused) >= MOST_REFUSED:
+        while len(self._refused) >= MAX_REFUSED:
             del self._refused[next(iter(self._refused))]
         self._refused[key] = None
--- a/src/pollenmast/decisions/_dissemination.py
+++ b/src/pollenmast/decisions/_dissemination.py
@@ -19,7 +19,7 @@
 paper); that member learns of a missed update at its next contact with the VM
 concerned."""
 
-MOST_QUEUED = 4096
+MAX_QUEUED = 4096
 """Maximum number of queued updates; further ones are dropped."""
 
 _Item = TypeVar("_Item")
@@ -61,7 +61,7 @@
                 of the fleet's size, if not the default of the queue.
         """
         self._queue.pop(key, None)
-        if len(self._queue) < MOST_QUEUED:
+        if len(self._queue) < MAX_QUEUED:
             sends = sends_per_log or self._sends_per_log
             self._queue[key] = _Queued(item, size, sends)
 
@@ -92,16 +92,16 @@
     def __init__(self, bytes_per_s: float, burst: float, now: float):
         self._rate = bytes_per_s
         self._burst = burst
-        self._left = burst
-        self._at = now
+        self._available = burst
+        self._updated_s = now
 
     def left(self, now: float) -> int:
         """Returns the number of bytes that may be sent now, at least zero."""
-        grown = self._left + (now - self._at) * self._rate
-        self._left = min(self._burst, grown)
-        self._at = now
-        return max(0, int(self._left))
+        refilled = self._available + (now - self._updated_s) * self._rate
+        self._available = min(self._burst, refilled)
+        self._updated_s = now
+        return max(0, int(self._available))
 
     def spend(self, amount: int) -> None:
         """Deducts sent bytes; mandatory messages may overdraw the budget."""
-        self._left -= amount
+        self._available -= amount
--- a/src/pollenmast/decisions/_fleet.py
+++ b/src/pollenmast/decisions/_fleet.py
@@ -4,14 +4,14 @@
 from pollenmast.fleet import Vm, VmState
 from pollenmast.peers._envelope import sender_id, standby_name
 
-ASKED = 2
+LOOKUP_TARGETS = 2
 """VMs asked about a flow that is unknown locally: the owner before the last
 change of members, and the VM that would store the flow's record."""
 
-KEEPERS = 2
+CONNECTION_ID_REPLICAS = 2
 """VMs that store a connection id, so that the loss of one VM loses no id."""
 
-_OWNS = (VmState.ALIVE, VmState.SUSPECT)
+_OWNER_STATES = (VmState.ALIVE, VmState.SUSPECT)
 
 
 class Fleet:
@@ -50,8 +50,8 @@
         """Replaces the list of VMs; returns whether the owners changed."""
         self._vms = {sender_id(vm.name): vm for vm in vms}
         self._standbys = None
-        owners = _members(self._vms, _OWNS)
-        holders = _members(self._vms, (*_OWNS, VmState.LEAVING))
+        owners = _members(self._vms, _OWNER_STATES)
+        holders = _members(self._vms, (*_OWNER_STATES, VmState.LEAVING))
         if holders != self._holders.members:
             self._holders = self._holders.changed(holders)
         if owners == self._owners.members:
@@ -99,7 +99,7 @@
 
     def successor(self, key: int) -> Member | None:
         """Returns the VM that would own a flow without the local VM."""
-        for member in self._owners.ranks(key, 2):
+        for member in self._owners.preference_list(key, 2):
             if member.number != self._me.number:
                 return member
         return None
@@ -119,8 +119,8 @@
 
     def keepers(self, key: int) -> list[int]:
         """Returns the VMs that store the connection id with hash `key`."""
-        ranks = self._owners.ranks(key, KEEPERS)
-        return [member.number for member in ranks]
+        members = self._owners.preference_list(key, CONNECTION_ID_REPLICAS)
+        return [member.number for member in members]
 
     def asked(self, key: int, but: int = 0) -> list[int]:
         """Returns the VMs to ask about a flow, the most likely holder first.
@@ -129,14 +129,14 @@
             key: The flow's hash.
             but: Number of a VM to exclude, or 0.
         """
-        candidates = [*self._holders.ranks(key, ASKED + 2)]
-        keeper = self._owners.backup(key, self._me)
-        if keeper is not None:
-            candidates.insert(1, keeper)
+        candidates = [*self._holders.preference_list(key, LOOKUP_TARGETS + 2)]
+        backup = self._owners.backup(key, self._me)
+        if backup is not None:
+            candidates.insert(1, backup)
         numbers = dict.fromkeys(member.number for member in candidates)
         for number in (self._me.number, but):
             numbers.pop(number, None)
-        return list(numbers)[:ASKED]
+        return list(numbers)[:LOOKUP_TARGETS]
 
 
 def _members(
--- a/src/pollenmast/decisions/_heartbeats.py
+++ b/src/pollenmast/decisions/_heartbeats.py
@@ -101,10 +101,10 @@
             due = min(due, ping.sent_s + wait)
         return due
 
-    def extend_timeouts(self, late: float) -> None:
+    def extend_timeouts(self, delay: float) -> None:
         """Extends the time-outs of outstanding pings after a pause."""
         for ping in self._pings.values():
-            ping.sent_s += late
+            ping.sent_s += delay
 
     def add_member(self, name: str) -> None:
         """Adds a new member to the current round at a random position."""
@@ -214,12 +214,12 @@
         member = self._members.get(ping.target)
         if member is None or member.dead or ping.requester:
             return []
-        others = [
+        helpers = [
             each.vm
             for each in self._members.live()
             if each is not member and each.suspect_since is None
         ]
-        count = min(constants.INDIRECT_PINGS, len(others))
+        count = min(constants.INDIRECT_PINGS, len(helpers))
         return [
             Send(
                 gossip_address(vm),
@@ -228,7 +228,7 @@
                 ping.target,
                 (member.vm,),
             )
-            for vm in self._rng.sample(others, count)
+            for vm in self._rng.sample(helpers, count)
         ]
 
     def _members_without_ack(self, ping: Ping) -> list[Member]:
--- a/src/pollenmast/decisions/_members.py
+++ b/src/pollenmast/decisions/_members.py
@@ -164,8 +164,8 @@
             The members, and the name after which the next page starts; the
             name is empty after the last page.
         """
-        names = sorted(name for name in self._by_name if name > after)
-        vms = [self._by_name[name].vm for name in names]
+        following = sorted(name for name in self._by_name if name > after)
+        vms = [self._by_name[name].vm for name in following]
         page = fit_into_budget(vms, budget)
         return page, page[-1].name if len(page) < len(vms) else ""
 
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -348,12 +348,12 @@
     def _merge_own(self, vm: Vm, now: float) -> None:
         """Refutes a wrong state of the local VM reported by a peer."""
         own = self._own
-        believed = vm.incarnation >= own.incarnation
+        current = vm.incarnation >= own.incarnation
         wrong = vm.incarnation > own.incarnation or vm.state in (
             VmState.SUSPECT,
             VmState.DEAD,
         )
-        if not believed or not wrong or own.state is VmState.DEAD:
+        if not current or not wrong or own.state is VmState.DEAD:
             return
         self._own = attrs.evolve(own, incarnation=vm.incarnation)
         self._update_own(why=Why.REFUTED)
@@ -414,9 +414,9 @@
         return member.vm if member else self._own
 
     def _push(self, vms: tuple[Vm, ...]) -> list[Send]:
-        told = {vm.name for vm in vms}
+        names = {vm.name for vm in vms}
         live = [each.vm for each in self._members.live()]
-        others = [vm for vm in live if vm.name not in told]
+        others = [vm for vm in live if vm.name not in names]
         return [
             Send(gossip_address(vm), Act.NEWS, members=vms)
             for vm in self._sample(others, constants.URGENT_FANOUT)
--- a/src/pollenmast/decisions/_ownership.py
+++ b/src/pollenmast/decisions/_ownership.py
@@ -26,7 +26,7 @@
 """Changed fraction of the fleet above which building a new ring is cheaper than
 updating the old one (`python -m bench run ownership`)."""
 
-MOST_WALKED = 64
+MAX_VISITED_POINTS = 64
 """Maximum number of points to visit in search of a successor. With 7 zones, the
 probability that 64 points all belong to one zone is below one in 10^9."""
 
@@ -74,17 +74,17 @@
         With 1,400 VMs the members change every ten seconds, mostly by one VM.
         Then only the points of added and removed VMs are updated.
         """
-        came = set(members) - set(self._members)
-        gone = set(self._members) - set(members)
-        if len(came) + len(gone) > len(self._members) * REBUILD_SHARE:
+        added = set(members) - set(self._members)
+        removed = set(self._members) - set(members)
+        if len(added) + len(removed) > len(self._members) * REBUILD_SHARE:
             return Ring(members)
         ring = Ring()
         ring._members = members
         ring._points = self._points.copy()
         ring._owners = self._owners.copy()
-        for member in gone:
+        for member in removed:
             ring._remove(member)
-        for member in came:
+        for member in added:
             ring._add(member)
         return ring
 
@@ -111,14 +111,14 @@
             return None
         return self._owners[self._position(key)]
 
-    def ranks(self, key: int, count: int) -> tuple[Member, ...]:
+    def preference_list(self, key: int, count: int) -> tuple[Member, ...]:
         """Returns up to `count` VMs: the owner, then its successors."""
-        found: dict[int, Member] = {}
+        members: dict[int, Member] = {}
         for member in self._walk(key):
-            found[member.number] = member
-            if len(found) == count:
+            members[member.number] = member
+            if len(members) == count:
                 break
-        return tuple(found.values())
+        return tuple(members.values())
 
     def backup(self, key: int, holder: Member) -> Member | None:
         """Returns the VM that stores the flow's record for its holder.
@@ -129,21 +129,21 @@
         loss of a zone does not lose both; with a single zone, the next VM
         does.
         """
-        next_other: Member | None = None
+        fallback: Member | None = None
         for rank, member in enumerate(self._walk(key)):
             if member.number == holder.number:
                 continue
             if rank == 0 or member.zone != holder.zone:
                 return member
-            next_other = next_other or member
-        return next_other
+            fallback = fallback or member
+        return fallback
 
     def _walk(self, key: int):
         if not self._points:
             return
         start = self._position(key)
         size = len(self._points)
-        for step in range(min(size, MOST_WALKED)):
+        for step in range(min(size, MAX_VISITED_POINTS)):
             yield self._owners[(start + step) % size]
 
     def _position(self, key: int) -> int:
--- a/src/pollenmast/decisions/_probing.py
+++ b/src/pollenmast/decisions/_probing.py
@@ -23,7 +23,7 @@
 """Number of VMs that probe an endpoint. With two, reports continue while one of
 them is frozen or dead."""
 
-FAILURES = 2
+FAILURES_UNTIL_UNHEALTHY = 2
 """Consecutive unanswered probes after which an endpoint is reported unhealthy.
 A single lost answer is no outage; the second probe follows half a second
 later."""
@@ -31,13 +31,13 @@
 REPORT_LEASE_S = 5.0
 """Time without a new report after which a prober's last report is discarded, in
 seconds: the prober is cut off and its report is outdated. It is longer than
-two intervals of `REFRESH_S`."""
+two intervals of `RESEND_INTERVAL_S`."""
 
-REFRESH_S = 2.0
+RESEND_INTERVAL_S = 2.0
 """Interval at which an unchanged report is sent again, in seconds."""
 
-_UPTIME_MATTERS_S = 60.0
-"""Uptime up to which slow start depends on it, in seconds."""
+_SLOW_START_UPTIME_S = 60.0
+"""Uptime that slow start considers, in seconds: only the first minute."""
 
 _Key = tuple[int, str]
 
@@ -65,7 +65,7 @@
         The probers' names by service number and endpoint name.
     """
     live = [vm for vm in vms if vm.state in (VmState.ALIVE, VmState.SUSPECT)]
-    by_zone = _by_zone(live)
+    by_zone = _group_by_zone(live)
     endpoints = [
         (service.number, endpoint)
         for service in services
@@ -73,26 +73,26 @@
         if zone in (None, endpoint.zone)
         or len(by_zone.get(endpoint.zone, ())) < PROBERS
     ]
-    shares = _shares(endpoints, by_zone)
+    limits = _probe_limits(endpoints, by_zone)
     taken: collections.Counter[str] = collections.Counter()
     assigned = {}
     for number, endpoint in endpoints:
-        ranked = _ranked(number, endpoint, by_zone)
-        share = shares.get(endpoint.zone, 0)
-        room = [
+        ranked = _rank_vms(number, endpoint, by_zone)
+        limit = limits.get(endpoint.zone, 0)
+        available = [
             vm.name
             for vm in ranked
-            if vm.zone == endpoint.zone and taken[vm.name] < share
+            if vm.zone == endpoint.zone and taken[vm.name] < limit
         ]
         # If no VM of the zone has capacity left, the next VMs by rank follow.
-        names = list(dict.fromkeys(room + [vm.name for vm in ranked]))
+        names = list(dict.fromkeys(available + [vm.name for vm in ranked]))
         assigned[number, endpoint.name] = names[:PROBERS]
         taken.update(names[:PROBERS])
     return assigned
 
 
 @attrs.frozen
-class _Ranked:
+class _HashedVm:
     """A VM and the hash of its name.
 
     The hash is combined with the hash of each endpoint to rank the VMs.
@@ -102,27 +102,27 @@
     seed: int
 
 
-def _by_zone(vms: list[Vm]) -> dict[str, list[_Ranked]]:
-    by_zone: dict[str, list[_Ranked]] = {}
+def _group_by_zone(vms: list[Vm]) -> dict[str, list[_HashedVm]]:
+    by_zone: dict[str, list[_HashedVm]] = {}
     for vm in vms:
-        entry = _Ranked(vm, xxhash.xxh64_intdigest(vm.name.encode()))
+        entry = _HashedVm(vm, xxhash.xxh64_intdigest(vm.name.encode()))
         by_zone.setdefault(vm.zone, []).append(entry)
     return by_zone
 
 
-def _shares(
-    endpoints: list[tuple[int, Endpoint]], by_zone: dict[str, list[_Ranked]]
+def _probe_limits(
+    endpoints: list[tuple[int, Endpoint]], by_zone: dict[str, list[_HashedVm]]
 ) -> dict[str, int]:
     """Returns the maximum number of endpoints per VM, by zone."""
     wanted = collections.Counter(each.zone for _, each in endpoints)
     return {
-        zone: math.ceil(PROBERS * wanted[zone] / len(there))
-        for zone, there in by_zone.items()
+        zone: math.ceil(PROBERS * wanted[zone] / len(zone_vms))
+        for zone, zone_vms in by_zone.items()
     }
 
 
-def _ranked(
-    number: int, endpoint: Endpoint, by_zone: dict[str, list[_Ranked]]
+def _rank_vms(
+    number: int, endpoint: Endpoint, by_zone: dict[str, list[_HashedVm]]
 ) -> list[Vm]:
     """Returns the VMs by rank for an endpoint, those of its zone first.
 
@@ -131,11 +131,11 @@
     name = f"{number}/{endpoint.name}".encode()
     seed = xxhash.xxh64_intdigest(name)
 
-    def place(entry: _Ranked) -> int:
+    def rank(entry: _HashedVm) -> int:
         return mix(seed ^ entry.seed)
 
-    own = sorted(by_zone.get(endpoint.zone, ()), key=place)
-    others: list[_Ranked] = []
+    own = sorted(by_zone.get(endpoint.zone, ()), key=rank)
+    others: list[_HashedVm] = []
     if len(own) < PROBERS:
         others = sorted(
             (
@@ -144,13 +144,13 @@
                 if zone != endpoint.zone
                 for entry in entries
             ),
-            key=place,
+            key=rank,
         )
     return [entry.vm for entry in (*own, *others)]
 
 
-def matters(old: EndpointReport | None, new: EndpointReport) -> bool:
-    """Returns whether a report differs enough to be sent before its refresh."""
+def is_significant(old: EndpointReport | None, new: EndpointReport) -> bool:
+    """Returns whether a report differs enough to be sent immediately."""
     if old is None or old.healthy != new.healthy:
         return True
     if (old.running, old.queued) != (new.running, new.queued):
@@ -158,12 +158,12 @@
     if new.uptime_s < old.uptime_s:
         return True
     # A change of one twentieth of the connections affects no decision.
-    moved = abs(old.connections - new.connections)
-    return moved * 20 > max(20, old.connections)
+    difference = abs(old.connections - new.connections)
+    return difference * 20 > max(20, old.connections)
 
 
 @attrs.define
-class _Kept:
+class _ReceivedReport:
     news: ProbeNews
     heard_s: float
 
@@ -180,16 +180,16 @@
                 clock in seconds, so that the numbers keep increasing when the
                 whole fleet is restarted.
         """
-        self._own = own_prober
+        self._own_prober = own_prober
         self._floor = floor
-        self._kept: dict[_Key, dict[int, _Kept]] = {}
-        self._told: dict[_Key, tuple[EndpointReport, float]] = {}
+        self._reports: dict[_Key, dict[int, _ReceivedReport]] = {}
+        self._sent: dict[_Key, tuple[EndpointReport, float]] = {}
         self._failures: dict[_Key, int] = {}
 
     def next_sequence(self, service: int, endpoint: str) -> int:
         """Returns a sequence number above all known ones of this endpoint."""
-        kept = self._kept.get((service, endpoint), {})
-        heard = (each.news.report.sequence for each in kept.values())
+        received = self._reports.get((service, endpoint), {})
+        heard = (each.news.report.sequence for each in received.values())
         return max(heard, default=self._floor) + 1
 
     def own(
@@ -197,6 +197,9 @@
     ) -> ProbeNews | None:
         """Records the result of a probe by the local VM.
 
+        A report that differs little from the last one sent is sent again only
+        after `RESEND_INTERVAL_S`.
+
         Args:
             report: The endpoint's report, or an unhealthy report if it did
                 not answer.
@@ -211,35 +214,40 @@
         """
         key = (report.service, report.endpoint)
         if not answered:
-            report = self._damped(key, report)
+            report = self._ignore_first_failure(key, report)
         else:
             self._failures.pop(key, None)
         if report is None:
             return None
-        news = ProbeNews(self._own, report)
-        self._kept.setdefault(key, {})[self._own] = _Kept(news, now)
-        told, told_s = self._told.get(key, (None, now))
-        if not matters(told, report) and now - told_s < REFRESH_S:
+        news = ProbeNews(self._own_prober, report)
+        self._reports.setdefault(key, {})[self._own_prober] = _ReceivedReport(
+            news, now
+        )
+        sent, sent_at_s = self._sent.get(key, (None, now))
+        if (
+            not is_significant(sent, report)
+            and now - sent_at_s < RESEND_INTERVAL_S
+        ):
             return None
-        self._told[key] = (report, now)
+        self._sent[key] = (report, now)
         return news
 
     def heard(self, news: ProbeNews, now: float) -> bool:
         """Records a peer's report; returns whether it was not yet known."""
         key = (news.report.service, news.report.endpoint)
-        by_prober = self._kept.setdefault(key, {})
+        by_prober = self._reports.setdefault(key, {})
         known = by_prober.get(news.prober)
-        if news.prober == self._own:
+        if news.prober == self._own_prober:
             return False
         if known and known.news.report.sequence >= news.report.sequence:
             return False
-        by_prober[news.prober] = _Kept(news, now)
+        by_prober[news.prober] = _ReceivedReport(news, now)
         return True
 
     def view(self, now: float) -> tuple[EndpointReport, ...]:
         """Returns one merged report per endpoint, without expired reports."""
         merged = []
-        for key in list(self._kept):
+        for key in list(self._reports):
             self._expire(key, now)
             report = self._merge(key)
             if report is not None:
@@ -248,34 +256,34 @@
 
     def keep_only(self, keys: set[_Key]) -> None:
         """Removes all endpoints but `keys`, those of the manifest."""
-        for table in (self._kept, self._told, self._failures):
+        for table in (self._reports, self._sent, self._failures):
             for key in [key for key in table if key not in keys]:
                 del table[key]
 
     def forget_own(self, service: int, endpoint: str) -> None:
         """Removes the local reports of an endpoint that others probe now."""
         key = (service, endpoint)
-        self._kept.get(key, {}).pop(self._own, None)
-        self._told.pop(key, None)
+        self._reports.get(key, {}).pop(self._own_prober, None)
+        self._sent.pop(key, None)
         self._failures.pop(key, None)
 
-    def _damped(
+    def _ignore_first_failure(
         self, key: _Key, report: EndpointReport
     ) -> EndpointReport | None:
         failures = self._failures.get(key, 0) + 1
         self._failures[key] = failures
-        kept = self._kept.get(key, {}).get(self._own)
-        if failures < FAILURES and kept is not None:
+        latest = self._reports.get(key, {}).get(self._own_prober)
+        if failures < FAILURES_UNTIL_UNHEALTHY and latest is not None:
             return None
         return report
 
     def _expire(self, key: _Key, now: float) -> None:
-        by_prober = self._kept[key]
-        for prober, kept in list(by_prober.items()):
-            if now - kept.heard_s > REPORT_LEASE_S:
+        by_prober = self._reports[key]
+        for prober, received in list(by_prober.items()):
+            if now - received.heard_s > REPORT_LEASE_S:
                 del by_prober[prober]
         if not by_prober:
-            del self._kept[key]
+            del self._reports[key]
 
     def _merge(self, key: _Key) -> EndpointReport | None:
         """Returns the report to use for an endpoint, or None without one.
@@ -284,11 +292,11 @@
         prober may be cut off from a healthy endpoint. If the endpoint is down
         or takes no work, both probers report it within one probe interval.
         """
-        kept = self._kept.get(key, {}).values()
-        if not kept:
+        received = self._reports.get(key, {}).values()
+        if not received:
             return None
         newest = max(
-            kept,
+            received,
             key=lambda each: (
                 each.news.report.healthy,
                 each.news.report.sequence,
--- a/src/pollenmast/decisions/_rendezvous.py
+++ b/src/pollenmast/decisions/_rendezvous.py
@@ -45,7 +45,9 @@
             )
             for endpoint in service.endpoints
         ]
-        self._alike = len({weight for _, _, weight in self._entries}) == 1
+        self._equal_weights = (
+            len({weight for _, _, weight in self._entries}) == 1
+        )
 
     def default(self, flow_hash: int) -> str | None:
         """Returns the name of the flow's default endpoint.
@@ -54,7 +56,7 @@
         """
         if not self._entries:
             return None
-        if self._alike:
+        if self._equal_weights:
             return max(self._entries, key=lambda e: mix(flow_hash ^ e[1]))[0]
         return max(self._entries, key=lambda e: _score(flow_hash, e))[0]
 
--- a/tests/decisions_acceptance_test.py
+++ b/tests/decisions_acceptance_test.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from pollenmast.counters import ManifestOutcome
-from pollenmast.decisions._acceptance import MOST_REFUSED, Acceptance
+from pollenmast.decisions._acceptance import MAX_REFUSED, Acceptance
 from pollenmast.manifest import Manifest, ManifestKey
 
 LOW, HIGH = "aa" * 16, "bb" * 16
@@ -48,13 +48,13 @@
         force, half of the fleet would use one manifest and half the other.
         """
         offers = [(5, LOW), (5, HIGH), (4, HIGH)]
-        ends = set()
+        final_keys = set()
         for order in itertools.permutations(offers):
             acceptance = Acceptance()
             for version, digest in order:
                 _offer(acceptance, version, digest)
-            ends.add(acceptance.key)
-        self.assertEqual({ManifestKey(5, HIGH)}, ends)
+            final_keys.add(acceptance.key)
+        self.assertEqual({ManifestKey(5, HIGH)}, final_keys)
 
     @settings(max_examples=200, derandomize=True, database=None, deadline=None)
     @given(st.lists(st.tuples(st.integers(1, 5), st.sampled_from([LOW, HIGH]))))
@@ -80,6 +80,6 @@
         acceptance.refuse(key)
         self.assertFalse(acceptance.wants(key))
         self.assertEqual(key, acceptance.heard)
-        for version in range(100, 100 + MOST_REFUSED):
+        for version in range(100, 100 + MAX_REFUSED):
             acceptance.refuse(ManifestKey(version, LOW))
         self.assertTrue(acceptance.wants(key))
--- a/tests/decisions_dissemination_test.py
+++ b/tests/decisions_dissemination_test.py
@@ -10,34 +10,34 @@
 
     def test_sends_are_bounded(self):
         """An update is sent three times log2 of the fleet's size."""
-        news = Dissemination()
-        news.add("a", 1, 50)
-        sends = sum(len(news.pick(100, 7)) for _ in range(100))
+        updates = Dissemination()
+        updates.add("a", 1, 50)
+        sends = sum(len(updates.pick(100, 7)) for _ in range(100))
         self.assertEqual(9, sends)
 
     def test_least_transmitted_first(self):
         """A burst of updates is distributed evenly over the messages."""
-        news = Dissemination()
+        updates = Dissemination()
         for key in range(6):
-            news.add(key, key, 50)
-        picked = [news.pick(100, 7) for _ in range(3)]
+            updates.add(key, key, 50)
+        picked = [updates.pick(100, 7) for _ in range(3)]
         self.assertEqual(set(range(6)), {key for two in picked for key in two})
 
     def test_budget_is_kept(self):
         """An update that does not fit waits; a smaller one is still sent."""
-        news = Dissemination()
-        news.add("large", "large", 90)
-        news.add("small", "small", 20)
-        self.assertEqual(("small",), news.pick(50, 7))
+        updates = Dissemination()
+        updates.add("large", "large", 90)
+        updates.add("small", "small", 20)
+        self.assertEqual(("small",), updates.pick(50, 7))
 
     def test_newer_replaces_older(self):
         """A newer update replaces an older one and is sent the full count."""
-        news = Dissemination()
-        news.add("a", 1, 50)
+        updates = Dissemination()
+        updates.add("a", 1, 50)
         for _ in range(5):
-            news.pick(100, 7)
-        news.add("a", 2, 50)
-        sends = [news.pick(100, 7) for _ in range(20)]
+            updates.pick(100, 7)
+        updates.add("a", 2, 50)
+        sends = [updates.pick(100, 7) for _ in range(20)]
         self.assertEqual([(2,)] * 9, [each for each in sends if each])
 
 
--- a/tests/decisions_membership_test.py
+++ b/tests/decisions_membership_test.py
@@ -50,8 +50,8 @@
         group.run(2.0)
         self.assertEqual(SIZE, len(new.states()))
         self.assertTrue(new.membership.fresh)
-        told = [node.states() for node in group.nodes.values()]
-        self.assertEqual(SIZE, sum("vm-20" in states for states in told))
+        views = [node.states() for node in group.nodes.values()]
+        self.assertEqual(SIZE, sum("vm-20" in states for states in views))
 
     def test_first_vm_of_a_fleet(self):
         """A VM that gets no answer is fresh after the refresh time-out."""
@@ -87,10 +87,10 @@
         group = Group(SIZE, seed)
         group.run(random.Random(seed).uniform(0, 1))
         group.nodes["vm-4"].ended = True
-        spent = group.until(
+        elapsed = group.until(
             lambda: all("vm-4" not in n.states() for n in _live(group)), 4.0
         )
-        self.assertLess(spent, 3.0)
+        self.assertLess(elapsed, 3.0)
         self.assertTrue(all(len(n.states()) == 7 for n in _live(group)))
 
     def test_lossy_network(self):
@@ -161,8 +161,8 @@
         node.membership.leave()
         group.send(node, node.membership.tick(group.now))
         group.run(0.1)
-        told = [n.states().get("vm-3") for n in _live(group) if n is not node]
-        self.assertEqual([VmState.LEAVING] * 8, told)
+        states = [n.states().get("vm-3") for n in _live(group) if n is not node]
+        self.assertEqual([VmState.LEAVING] * 8, states)
 
     def test_leaving_while_suspect(self):
         """A leaving VM misses heartbeats while it hands over its flows.
@@ -291,15 +291,15 @@
         has healed, all VMs form one group again within seconds.
         """
         group = Group(SIZE)
-        ours = {"vm-0", "vm-3", "vm-6"}
-        group.lost = lambda source, to: (source in ours) != (to in ours)
+        one_side = {"vm-0", "vm-3", "vm-6"}
+        group.lost = lambda source, to: (source in one_side) != (to in one_side)
         group.run(60.0)
         for node in group.nodes.values():
-            side = 3 if node.name in ours else 6
+            side = 3 if node.name in one_side else 6
             self.assertTrue(_others_alive(node, side), node.name)
         group.lost = lambda source, to: False
-        spent = group.until(lambda: _all_alive(group), 20.0)
-        self.assertLess(spent, 5.0)
+        elapsed = group.until(lambda: _all_alive(group), 20.0)
+        self.assertLess(elapsed, 5.0)
 
     def test_isolated_vm(self):
         """A VM cut off from all others is fresh, to serve what it can."""
--- a/tests/decisions_ownership_test.py
+++ b/tests/decisions_ownership_test.py
@@ -8,7 +8,7 @@
 from pollenmast.decisions._ownership import Member, Ring, flow_hash
 
 _KEYS = [flow_hash(1, "10.0.0.1", port) for port in range(2000)]
-_MOST_SHARE = 1.35
+_MAX_SHARE = 1.35
 
 
 def _members(count: int) -> tuple[Member, ...]:
@@ -24,7 +24,7 @@
     def test_empty(self):
         """Without members no flow has an owner."""
         self.assertIsNone(Ring().owner(1))
-        self.assertEqual((), Ring().ranks(1, 3))
+        self.assertEqual((), Ring().preference_list(1, 3))
 
     def test_order_of_members(self):
         """The owner does not depend on the order of the members."""
@@ -41,17 +41,17 @@
         members = _members(9)
         before, after = Ring(members), Ring(members[1:])
         for key in _KEYS:
-            first, second = before.ranks(key, 2)
-            heir = second if first == members[0] else first
-            self.assertEqual(heir, after.owner(key))
+            first, second = before.preference_list(key, 2)
+            successor = second if first == members[0] else first
+            self.assertEqual(successor, after.owner(key))
 
     @parameterized.expand([("three", 3), ("today", 9)])
     def test_share(self, _, count):
         """No VM owns many more flows than its share."""
         ring = Ring(_members(count))
         owners = [ring.owner(key) for key in _KEYS]
-        most = max(owners.count(member) for member in set(owners))
-        self.assertLess(most / (len(_KEYS) / count), _MOST_SHARE)
+        largest = max(owners.count(member) for member in set(owners))
+        self.assertLess(largest / (len(_KEYS) / count), _MAX_SHARE)
 
     def test_incremental_changes(self):
         """A ring that was changed step by step equals a newly built one."""
@@ -63,9 +63,9 @@
             current ^= {rng.choice(members)}
             ordered = tuple(sorted(current, key=lambda each: each.name))
             ring = ring.changed(ordered)
-            anew = Ring(ordered)
+            rebuilt = Ring(ordered)
             self.assertEqual(
-                [anew.owner(key) for key in _KEYS[:200]],
+                [rebuilt.owner(key) for key in _KEYS[:200]],
                 [ring.owner(key) for key in _KEYS[:200]],
             )
 
@@ -84,7 +84,7 @@
         """The owner stores the record of a flow that another VM holds."""
         ring = Ring(_members(9))
         for key in _KEYS[:200]:
-            owner, other = ring.ranks(key, 2)
+            owner, other = ring.preference_list(key, 2)
             self.assertEqual(owner, ring.backup(key, other))
 
     def test_backup_alone(self):
--- a/tests/decisions_probing_test.py
+++ b/tests/decisions_probing_test.py
@@ -27,11 +27,11 @@
 
 
 def _services(endpoints: int, zones=ZONES) -> list[Service]:
-    made = tuple(
+    created = tuple(
         Endpoint(f"e-{n}", "127.0.2.1", 1, 2, zones[n % len(zones)])
         for n in range(endpoints)
     )
-    return [Service("s", 1, 4001, ServiceKind.SESSION, False, made)]
+    return [Service("s", 1, 4001, ServiceKind.SESSION, False, created)]
 
 
 def _assigned(endpoints: int, vms, zones=ZONES) -> dict[str, set[str]]:
@@ -66,8 +66,8 @@
         kept = sum(
             len((before[name] - {"vm-8"}) & after[name]) for name in before
         )
-        had = sum(len(before[name] - {"vm-8"}) for name in before)
-        self.assertGreater(kept / had, 0.8)
+        before_count = sum(len(before[name] - {"vm-8"}) for name in before)
+        self.assertGreater(kept / before_count, 0.8)
         self.assertTrue(all(len(probers) == 2 for probers in after.values()))
 
     def test_assignments_for_one_zone(self):
@@ -157,10 +157,10 @@
     def test_unchanged_report_is_sent_rarely(self):
         """An idle endpoint causes one report every two seconds."""
         reports = _reports()
-        told = [
+        sent = [
             reports.own(_report(sequence=11 + n), n * 0.5) for n in range(20)
         ]
-        self.assertEqual(5, sum(news is not None for news in told))
+        self.assertEqual(5, sum(news is not None for news in sent))
 
     def test_sequences_increase_over_restarts(self):
         """After all agents restart, sequence numbers exceed earlier ones."""
@@ -194,11 +194,11 @@
         through its rare fallback reads.
         """
         vms = [vm(number) for number in range(9)]
-        lost = _readers.watchers(ZONES[0], vms)
-        left = [each for each in vms if each.name not in lost]
-        watchers = _readers.watchers(ZONES[0], left)
+        lost_watchers = _readers.watchers(ZONES[0], vms)
+        remaining = [each for each in vms if each.name not in lost_watchers]
+        watchers = _readers.watchers(ZONES[0], remaining)
         self.assertEqual(1, len(watchers))
-        self.assertFalse(set(watchers) & set(lost))
+        self.assertFalse(set(watchers) & set(lost_watchers))
 
     def test_fallback_reads_stay_bounded(self):
         """The rate of fallback reads does not grow with the fleet."""
--- a/tests/membership_group.py
+++ b/tests/membership_group.py
@@ -97,18 +97,18 @@
                 if running and node.membership.due() <= self.now:
                     self.send(node, node.membership.tick(self.now))
 
-    def until(self, met: Callable[[], bool], most_s: float) -> float:
+    def until(self, met: Callable[[], bool], timeout_s: float) -> float:
         """Runs until `met()` is true; returns the time taken, in seconds.
 
         Raises:
-            AssertionError: `met()` is still false after `most_s`.
+            AssertionError: `met()` is still false after `timeout_s`.
         """
-        began = self.now
+        started = self.now
         while not met():
-            if self.now - began > most_s:
-                raise AssertionError(f"condition not met within {most_s} s")
+            if self.now - started > timeout_s:
+                raise AssertionError(f"condition not met within {timeout_s} s")
             self.run(STEP_S)
-        return self.now - began
+        return self.now - started
 
     def pause(self, node: Node, seconds: float) -> None:
         """Pauses a member for a time, then delivers its buffered messages."""
