--- a/src/pollenmast/decisions/_freshness.py
+++ b/src/pollenmast/decisions/_freshness.py
@@ -69,7 +69,10 @@
         return True
 
     def refresh_after_silence(self, has_peers: bool, now: float) -> bool:
-        """Starts a refresh if no peer was heard for the lease time.
+        """Starts a refresh if no message came for the lease time.
+
+        No refresh is started without peers, while the view is stale, or after
+        a refresh that got no answer.
 
         Returns:
             Whether a refresh was started.
--- a/src/pollenmast/decisions/_heartbeats.py
+++ b/src/pollenmast/decisions/_heartbeats.py
@@ -160,13 +160,13 @@
         return Send(to, Act.PING, sequence)
 
     def ping_on_behalf(
-        self, vm: Vm, asker: Address, sequence: int, now: float
+        self, vm: Vm, requester_address: Address, sequence: int, now: float
     ) -> list[Send]:
         """Pings a VM on behalf of a member that received no ack from it."""
         if len(self._pings) >= MAX_PENDING_PINGS:
             return []
         send = self.ping(vm, now)
-        self._pings[send.sequence].requester = (asker, sequence)
+        self._pings[send.sequence].requester = (requester_address, sequence)
         return [send]
 
     def take_answered(self, sequence: int) -> Ping | None:
--- a/src/pollenmast/decisions/_ownership.py
+++ b/src/pollenmast/decisions/_ownership.py
@@ -113,12 +113,12 @@
 
     def preference_list(self, key: int, count: int) -> tuple[Member, ...]:
         """Returns up to `count` VMs: the owner, then its successors."""
-        members: dict[int, Member] = {}
+        found: dict[int, Member] = {}
         for member in self._walk(key):
-            members[member.number] = member
-            if len(members) == count:
+            found[member.number] = member
+            if len(found) == count:
                 break
-        return tuple(members.values())
+        return tuple(found.values())
 
     def backup(self, key: int, holder: Member) -> Member | None:
         """Returns the VM that stores the flow's record for its holder.
--- a/src/pollenmast/decisions/_probing.py
+++ b/src/pollenmast/decisions/_probing.py
@@ -189,8 +189,10 @@
     def next_sequence(self, service: int, endpoint: str) -> int:
         """Returns a sequence number above all known ones of this endpoint."""
         received = self._reports.get((service, endpoint), {})
-        heard = (each.news.report.sequence for each in received.values())
-        return max(heard, default=self._floor) + 1
+        known_sequences = (
+            each.news.report.sequence for each in received.values()
+        )
+        return max(known_sequences, default=self._floor) + 1
 
     def own(
         self, report: EndpointReport, now: float, answered: bool = True
--- a/tests/membership_group.py
+++ b/tests/membership_group.py
@@ -39,7 +39,17 @@
 
 @attrs.define
 class Node:
-    """One member, with its queued updates and the state of its process."""
+    """One member, with its queued updates and the state of its process.
+
+    Attributes:
+        membership: The code under test.
+        key: Key of the manifest that the member has in force.
+        news: Queued updates about members.
+        paused: Whether the process is paused.
+        ended: Whether the process has stopped or was killed.
+        inbox: Messages received during a pause, with their source addresses.
+        sent: Total size of the messages sent, in bytes.
+    """
 
     membership: Membership
     key: ManifestKey = ManifestKey()
@@ -61,7 +71,17 @@
 
 
 class Group:
-    """The simulated members, their messages in transit and the clock."""
+    """The simulated members, their messages in transit and the clock.
+
+    Attributes:
+        now: Current time of the simulated clock, in seconds.
+        rng: Random number generator from which members are seeded.
+        lost: Returns whether to drop a message, given the names of its sender
+            and its receiver.
+        twice: Whether each message is delivered twice.
+        late_s: Returns the additional delay of a message, in seconds.
+        nodes: All members by name, stopped ones included.
+    """
 
     def __init__(self, size: int, seed: int = 1):
         self.now = 1000.0
