--- a/tests/decisions_ownership_test.py
+++ b/tests/decisions_ownership_test.py
@@ -8,7 +8,7 @@
 from pollenmast.decisions._ownership import Member, Ring, flow_hash
 
 _KEYS = [flow_hash(1, "10.0.0.1", port) for port in range(2000)]
-_MOST_SHARE = 1.35
+_MAX_SHARE = 1.35
 
 
 def _members(count: int) -> tuple[Member, ...]:
@@ -19,15 +19,15 @@
 
 
 class RingTest(TestCase):
-    """All VMs name the same owner, and a change moves only what it must."""
+    """All VMs agree on the owner, and a change moves only necessary flows."""
 
     def test_empty(self):
-        """Without members nothing has an owner."""
+        """Without members no flow has an owner."""
         self.assertIsNone(Ring().owner(1))
-        self.assertEqual((), Ring().ranks(1, 3))
+        self.assertEqual((), Ring().preference_list(1, 3))
 
-    def test_order_of_list(self):
-        """The owner does not depend on the order in which VMs were heard of."""
+    def test_order_of_members(self):
+        """The owner does not depend on the order of the members."""
         members = _members(9)
         other = Ring(tuple(reversed(members)))
         ring = Ring(members)
@@ -36,25 +36,25 @@
             [other.owner(key) for key in _KEYS],
         )
 
-    def test_leave(self):
-        """A VM that leaves moves only its own flows, each to its next rank."""
+    def test_removed_member(self):
+        """Removing a VM moves only its own flows, each to its successor."""
         members = _members(9)
         before, after = Ring(members), Ring(members[1:])
         for key in _KEYS:
-            first, second = before.ranks(key, 2)
-            heir = second if first == members[0] else first
-            self.assertEqual(heir, after.owner(key))
+            first, second = before.preference_list(key, 2)
+            successor = second if first == members[0] else first
+            self.assertEqual(successor, after.owner(key))
 
     @parameterized.expand([("three", 3), ("today", 9)])
     def test_share(self, _, count):
-        """No VM owns much more than its share of flows."""
+        """No VM owns many more flows than its share."""
         ring = Ring(_members(count))
         owners = [ring.owner(key) for key in _KEYS]
-        most = max(owners.count(member) for member in set(owners))
-        self.assertLess(most / (len(_KEYS) / count), _MOST_SHARE)
+        largest = max(owners.count(member) for member in set(owners))
+        self.assertLess(largest / (len(_KEYS) / count), _MAX_SHARE)
 
-    def test_changed(self):
-        """A ring changed step by step equals one built anew."""
+    def test_incremental_changes(self):
+        """A ring that was changed step by step equals a newly built one."""
         rng = random.Random(3)
         members = _members(60)
         ring = Ring(members[:40])
@@ -63,17 +63,17 @@
             current ^= {rng.choice(members)}
             ordered = tuple(sorted(current, key=lambda each: each.name))
             ring = ring.changed(ordered)
-            anew = Ring(ordered)
+            rebuilt = Ring(ordered)
             self.assertEqual(
-                [anew.owner(key) for key in _KEYS[:200]],
+                [rebuilt.owner(key) for key in _KEYS[:200]],
                 [ring.owner(key) for key in _KEYS[:200]],
             )
 
     def test_backup_zone(self):
         """An owner's backup is in another availability zone.
 
-        A zone that is lost would otherwise take a flow's holder and its
-        record at once, and the session would break.
+        Otherwise the loss of a zone would lose a flow's holder and its record
+        at once, and the session would break.
         """
         ring = Ring(_members(9))
         for key in _KEYS:
@@ -81,10 +81,10 @@
             self.assertNotEqual(owner.zone, ring.backup(key, owner).zone)
 
     def test_backup_of_other_holder(self):
-        """A flow held off its owner has its record at the owner."""
+        """The owner stores the record of a flow that another VM holds."""
         ring = Ring(_members(9))
         for key in _KEYS[:200]:
-            owner, other = ring.ranks(key, 2)
+            owner, other = ring.preference_list(key, 2)
             self.assertEqual(owner, ring.backup(key, other))
 
     def test_backup_alone(self):
