--- a/src/pollenmast/entry/__init__.py
+++ b/src/pollenmast/entry/__init__.py
@@ -1,6 +1,6 @@
-"""The program of a VM whose packets name their endpoint by a token.
+"""The program of a VM whose packets identify their endpoint by a token.
 
-`run` loads most of the program, and packets are carried meanwhile: see `_boot`.
+Most of the program is loaded while packets are already forwarded; see `_boot`.
 """
 
 from pollenmast.entry._boot import Boot, Early, FirstRead, early
@@ -18,7 +18,8 @@
 
 def run(parts: Early, ports: Ports, boot: Boot) -> int:
     """Runs the program of a VM until it is stopped; returns its exit code."""
-    # Loaded by then, or only now: `Boot` decides when.
+    # Not imported at the top, as `Boot.load` loads it while packets are
+    # forwarded.
     from pollenmast.entry import _program
 
     return _program.run(parts, ports, boot)
--- a/src/pollenmast/entry/_boot.py
+++ b/src/pollenmast/entry/_boot.py
@@ -1,22 +1,23 @@
-"""The first stage of a VM: packets are carried while the program loads.
-
-Load pattern: all VMs lose power or are killed at once, and are back within a
-second. Until one carries packets its clients are served by nobody. Loading
-the whole program takes a VM with half a core a quarter of a second; less than
-half of that is needed to place a flow.
-
-So the program is loaded in this order:
-
-1. the packet socket, where clients' packets wait from now on;
-2. the question to the directory, whose answer comes while the next is loaded;
-3. steering, the packets' format and the log: now packets are carried;
-4. in slices, the event loop, HTTP and what learns from other VMs. Between two
-   slices the packets that have arrived are carried.
-
-Then the event loop takes over with the same beliefs. An answer that has begun
-to arrive by then is awaited there: asked for again it would come as slowly, and
-other VMs may tell the same sooner. Where the directory does not answer, nothing
-is known to carry packets by until then, and the program asks it and other VMs.
+"""The first start-up stage of a VM: forwards packets while the program loads.
+
+All VMs may lose power or be killed at once and come back within a second.
+Until one of them forwards packets, nobody serves its clients. Loading the
+whole program takes a quarter of a second on a VM with half a core; placing a
+flow needs less than half of that.
+
+The program is therefore loaded in this order:
+
+1. the packet socket, which queues clients' packets from then on;
+2. the request to the directory, which answers while the next part loads;
+3. steering, the packet format and the log: from here on packets are forwarded;
+4. one module at a time, the event loop, HTTP and the exchange with other VMs.
+   After each module the packets received meanwhile are forwarded.
+
+Then the event loop takes over with the same state. If the directory's response
+is still arriving by then, the event loop waits for the rest: a second request
+would take as long, and other VMs may send the same data sooner. If the
+directory does not answer, the first stage has no endpoints to forward packets
+to, and the program asks the directory and other VMs.
 """
 
 import abc
@@ -46,60 +47,65 @@
 from pollenmast.steering import DirectoryFault, Steering, Update
 
 PROGRAM = "entry"
-"""The program's name in its log lines."""
+"""Program name in log lines."""
 
 FIRST_WAIT_S = 0.03
-"""How long the first look waits for the rest of the directory's answer. One of
-100 kB comes in parts some milliseconds apart; loading a module in between would
-take longer. Over a narrow link it takes longer still, and loading goes on."""
+"""How long the first poll waits for the rest of the directory's response, in
+seconds. A response of 100 kB arrives in parts a few milliseconds apart, and
+loading a module between them would take longer. Over a narrow link the response
+takes longer than this, and loading continues."""
 
 LOAD_RETRY_S = 0.1
-"""Between two tries to load a module that failed, in seconds."""
+"""Delay before loading a module is retried after a failure, in seconds."""
 
 LOAD_PATIENCE_S = 2.0
-"""How long a VM carries packets without the rest of its program, in seconds.
-It learns of no change meanwhile, so this is less than the time within which
-one has to be in force."""
+"""How long a VM retries to load a module while it forwards packets without the
+rest of its program, in seconds. It learns of no changes meanwhile, so this is
+less than the time limit for applying a change."""
 
 LATE_MODULES = (
     *("ssl", "concurrent.futures", "subprocess", "asyncio.events"),
     *("asyncio", "anyio", "anyio._backends._asyncio"),
     *("msgpack", "pollenmast.http1", "pollenmast.entry._program"),
 )
-"""What is loaded while packets are carried, in slices of at most 16 ms on an
-idle machine (python -X importtime)."""
+"""Modules that are loaded while packets are forwarded. Each takes at most 16 ms
+on an idle machine (python -X importtime)."""
 
 
 class FirstRead(abc.ABC):
-    """The directory's answer to a VM's first question."""
+    """The directory's response to a VM's first request."""
 
     @property
     @abc.abstractmethod
     def begun(self) -> bool:
-        """Whether some of the answer has arrived."""
+        """Whether part of the response has arrived."""
 
     @abc.abstractmethod
     def poll(self, wait_s: float) -> Result[Update, DirectoryFault] | None:
-        """Returns the answer, or None if it is not there within the wait."""
+        """Returns the response, or None if it is incomplete after the wait.
+
+        Args:
+            wait_s: How long to wait for it, in seconds.
+        """
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Gives the question up."""
+        """Abandons the request."""
 
 
 @attrs.frozen
 class Early:
-    """What exists from the first stage on.
+    """The components that exist from the first start-up stage on.
 
     Attributes:
         settings: The VM's settings.
         counters: Its counters.
-        histograms: Its latencies.
-        stream: Where log lines go.
-        log: Its log.
-        rng: Its source of randomness.
-        steering: Its beliefs.
-        carrier: Carries its packets.
+        histograms: Its latency histograms.
+        stream: The output that log lines are written to.
+        log: Its event log.
+        rng: Its random number generator.
+        steering: Its endpoints, routes and flows.
+        carrier: Forwards its packets.
     """
 
     settings: EntrySettings
@@ -118,7 +124,7 @@
     counters: Counters,
     sock: socket.socket,
 ) -> Early:
-    """Returns what the first stage needs, and logs the start."""
+    """Creates the components of the first stage and logs the start."""
     histograms = Histograms()
     stream = BoundedStream(sys.stdout.fileno())
     log = EventLog(PROGRAM, settings.vm, sink=JsonSink(stream))
@@ -134,7 +140,7 @@
 
 
 class Boot:
-    """Carries packets between the slices in which the program is loaded."""
+    """Loads the program and forwards packets after each module."""
 
     def __init__(self, parts: Early, first_read: FirstRead | None):
         self._parts = parts
@@ -142,14 +148,17 @@
 
     @property
     def pending(self) -> bool:
-        """Whether an answer is still expected."""
+        """Whether the directory's response is still expected."""
         return self._first_read is not None
 
     def load(self, modules: Iterable[str] = LATE_MODULES) -> None:
-        """Loads modules, and looks at the socket after each.
+        """Loads modules and forwards the waiting packets after each.
+
+        Args:
+            modules: Full names of the modules, in the order of loading.
 
         Raises:
-            Exception: Whatever the last try to load a module has raised.
+            Exception: Whatever the last attempt to load a module raised.
         """
         self.step(FIRST_WAIT_S)
         for name in modules:
@@ -159,7 +168,11 @@
             self.give_up()
 
     def step(self, wait_s: float = 0.0) -> None:
-        """Takes the answer if it is there, and carries what waits."""
+        """Applies the response if it is complete; forwards waiting packets.
+
+        Args:
+            wait_s: How long to wait for the response, in seconds.
+        """
         if self._first_read is not None:
             answer = self._first_read.poll(wait_s)
             if answer is not None:
@@ -169,19 +182,19 @@
             self._parts.carrier.carry_waiting(_now())
 
     def give_up(self) -> None:
-        """Takes no answer any more."""
+        """Stops waiting for the directory's response."""
         if self._first_read is not None:
             self._first_read.close()
             self._first_read = None
 
     def _load(self, name: str) -> None:
-        """Loads a module; carries packets between tries that fail."""
+        """Loads a module; forwards packets between failed attempts."""
         give_up_at = _now() + LOAD_PATIENCE_S
         while True:
             try:
                 importlib.import_module(name)
                 return
-            # A module's own statements may raise anything.
+            # Code at module level may raise any exception.
             except Exception as error:
                 self._parts.log.write(
                     LOAD_FAILED, module=name, error=repr(error)
@@ -199,7 +212,7 @@
 
     def _take(self, answer: Result[Update, DirectoryFault]) -> None:
         if isinstance(answer, Err):
-            # The program asks again, and logs what it then finds.
+            # The program repeats the request and logs a fault.
             return
         now = _now()
         steering = self._parts.steering
@@ -212,5 +225,5 @@
 
 
 def _now() -> float:
-    # The clock of the event loop that takes over.
+    # The same clock as that of the event loop that takes over.
     return time.monotonic()
--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -1,13 +1,15 @@
-"""Follows the directory of endpoints and routes.
-
-Load pattern: the directory is down, slow, loses answers, drops its history
-or turns this VM away, for seconds, and the connection to it may fall silent
-for good while new ones work. A VM that did not notice would go on placing
-flows on endpoints that have left, and callers would wait for nobody.
-
-So each watch is short and has a timeout of its own: an answer every second is
-the proof that the beliefs are current. Some VMs of a zone watch; the others
-hear that proof from them, and watch themselves when it fails to come.
+"""Keeps a VM's endpoints and routes in step with the directory.
+
+For seconds at a time the directory may be down, slow, lose responses, discard
+its history or refuse this VM. An established connection may also stop
+delivering data for good while new connections work. A VM that did not detect
+this would keep placing flows on endpoints that are gone, and callers would
+wait without an answer.
+
+Each watch request is therefore short and has its own timeout: a response every
+second confirms that the VM's state is current. Only some VMs of an
+availability zone, its readers, watch the directory. They pass the confirmation
+on to the others, which watch the directory themselves if none arrives.
 """
 
 import random
@@ -34,48 +36,54 @@
 )
 
 WATCH_S = 1.0
-"""Length of one watch: its answer is the proof, for this VM and those that it
-tells, that nothing is newer. A connection that fell silent is noticed half a
-second after that."""
+"""Duration of one watch request, in seconds. Its response confirms, for this VM
+and the VMs it reports to, that nothing newer exists. A connection that stopped
+delivering data is detected half a second after this time."""
 
 GATHER_S = 0.3
-"""Pause after an answer that told of changes, in seconds. While a service is
-released they come by the dozen a second, and each would cost a call of each
-reader. A change has seconds until it must be in force."""
+"""Pause after a response with changes, in seconds, to receive the next ones
+together. During the release of a service there are dozens of changes a second,
+and each would cost every reader one call. A change may take seconds to come
+into force."""
 
 STALE_PART = 0.55
-"""Part of the time within which a change has to be in force, after which a VM
-that has heard from nobody asks for itself: with a call and a timeout that
-leaves a quarter."""
+"""Fraction of the time limit for applying a change after which a VM without a
+confirmation asks the directory itself. After a call and a timeout a quarter of
+the limit is left."""
 
 STALE_JITTER = 0.15
-"""Added at random to it, so that one VM asks first and tells the others."""
+"""Upper bound of the random addition to `STALE_PART`. It makes one VM ask first
+and tell the others."""
 
 IDLE_MOST_S = 0.4
-"""The longest between two looks of a VM that does not watch at whether it
-should: how late it may notice that it has become a reader."""
+"""Longest interval, in seconds, at which a VM that does not watch the directory
+checks whether it should. It bounds how late a VM notices that it has become a
+reader."""
 
 IDLE_LEAST_S = 0.02
-"""The least between two such looks."""
+"""Shortest interval between two such checks, in seconds."""
 
 JOIN_S = 0.3
-"""How long a VM that knows everything from its first stage waits before it asks
-on. It hears within this who its zone's readers are; until then it would take
-itself for one, and each start would cost a second call."""
+"""Delay, in seconds, before the first request of a VM that has already read
+everything in its first start-up stage. Within this time the VM learns which VMs
+are its availability zone's readers. Before that it would consider itself one,
+and each start would cost a second call."""
 
 FIRST_RETRY_S = 0.1
-"""Pause after the first failure; it doubles up to the next figure."""
+"""Delay before the first retry, in seconds. It doubles with each failure, up to
+the maximum below."""
 
 MOST_RETRY_S = 0.8
-"""The longest pause: the return of the directory is seen within it, and a
-thousand VMs at this pace are within its rate of reads."""
+"""Longest delay between retries, in seconds. The directory's recovery is
+detected within this time, and a thousand VMs that retry at this rate stay
+within the directory's limit for reads."""
 
 _READ_ANEW = (DirectoryFault.HISTORY_GONE, DirectoryFault.RESTORED)
-"""Faults after which only a list of everything leads on."""
+"""Faults from which only a full read recovers."""
 
 
 class Follower:
-    """Keeps the beliefs of one VM up to date."""
+    """Keeps the endpoints and routes of one VM up to date."""
 
     def __init__(
         self,
@@ -86,15 +94,15 @@
         apply_s: float,
         rng: random.Random,
     ):
-        """Takes what it works with.
+        """Initializes the follower.
 
         Args:
             directory: The directory to follow.
-            steering: The beliefs to keep up to date.
-            histograms: Takes the times of reads.
-            log: Takes what changes.
-            apply_s: Seconds within which a change has to be in force.
-            rng: Spreads the VMs' questions.
+            steering: Holds the endpoints and routes to keep up to date.
+            histograms: Records the duration of full reads.
+            log: Receives a line for each change.
+            apply_s: Time limit for applying a change, in seconds.
+            rng: Spreads the requests of the VMs over time.
         """
         self._directory = directory
         self._steering = steering
@@ -115,23 +123,24 @@
 
     @property
     def lost_at(self) -> float | None:
-        """Since when the directory does not answer, or None."""
+        """Time at which the directory stopped answering, or None."""
         return self._lost_at
 
     def join(
         self, is_reader: Callable[[], bool], on_news: Callable[[], None]
     ) -> None:
-        """Shares the watching with other VMs.
+        """Divides the watching of the directory among several VMs.
 
         Args:
-            is_reader: Whether this VM is one of those that watch.
-            on_news: Called when something has changed.
+            is_reader: Returns whether this VM is one of its availability zone's
+                readers.
+            on_news: Called after the VM's state has advanced.
         """
         self._is_reader = is_reader
         self._on_news = on_news
 
     def refresh(self) -> None:
-        """Asks again at once, over new connections."""
+        """Cancels a running request; asks again at once on new connections."""
         self._pause_s = 0.0
         self._patience_s = 0.0
         if self._scope is not None:
@@ -141,7 +150,7 @@
         """Follows the directory until cancelled.
 
         Args:
-            known: Whether everything has just been read.
+            known: Whether a full read has just been completed.
         """
         self._read = known
         if known:
@@ -154,7 +163,12 @@
                 await self._step()
 
     def take(self, update: Update, source: str) -> None:
-        """Takes in what the directory or a peer has told."""
+        """Applies and logs an update from the directory or a peer.
+
+        Args:
+            update: The update.
+            source: Where it came from, for the log.
+        """
         now = anyio.current_time()
         before = self._steering.position
         applied = self._steering.apply(update, now)
@@ -169,21 +183,24 @@
         self._news.endpoints(applied, update.epoch, source)
 
     def settle(self) -> None:
-        """Takes a restored directory's word once its writers had time."""
+        """Accepts the state of a restored directory as complete.
+
+        This happens once its writers had time to repeat what the copy lacked.
+        """
         applied = self._steering.settle(anyio.current_time())
         epoch = self._steering.position.epoch
         self._news.zones(applied, epoch, "settled")
         self._news.endpoints(applied, epoch, "settled")
 
     def _due(self) -> bool:
-        """Whether this VM has to ask the directory itself."""
+        """Returns whether this VM has to ask the directory itself."""
         if not self._read or self._lost_at is not None or self._is_reader():
             return True
         age_s = self._steering.age_s(anyio.current_time())
         return age_s >= self._patience_s
 
     def _idle_s(self) -> float:
-        """Returns how long the beliefs stay young enough, within bounds."""
+        """Returns the seconds until the state is stale, within bounds."""
         age_s = self._steering.age_s(anyio.current_time())
         left_s = self._patience_s - age_s
         return min(max(left_s, IDLE_LEAST_S), IDLE_MOST_S)
@@ -196,7 +213,7 @@
         if not self._due():
             await anyio.sleep(self._idle_s())
             return
-        # The revision may be a peer's: a watch from there is complete too.
+        # The revision may come from a peer; a watch from there misses nothing.
         asked_at = anyio.current_time()
         answer = self._in_order(await self._ask())
         if isinstance(answer, Err):
@@ -211,7 +228,7 @@
             await anyio.sleep(GATHER_S)
 
     async def _ask(self) -> Result[Update, DirectoryFault]:
-        """Asks what is new, in the way that takes the fewest bytes."""
+        """Requests what is new by the call that transfers the fewest bytes."""
         position = self._steering.position
         if not self._read and not position.revision:
             return await self._read_all()
@@ -226,7 +243,7 @@
         return await self._read_all()
 
     def _pace(self, update: Update) -> None:
-        """Notes whether configurations come faster than they are read."""
+        """Records whether configurations arrive faster than they are read."""
         known = self._steering.table.version if self._steering.table else 0
         newer = sum(
             isinstance(change, RoutesPublished) and change.table.version > known
@@ -243,7 +260,7 @@
         return answer
 
     async def _read_anew(self) -> Result[Update, DirectoryFault]:
-        """Reads everything, less often while that leads to no watch."""
+        """Reads everything, with backoff until a watch succeeds again."""
         await anyio.sleep(self._reread_pause_s)
         self._reread_pause_s = _longer(self._reread_pause_s)
         asked_at = anyio.current_time()
@@ -255,7 +272,7 @@
     def _in_order(
         self, answer: Result[Update, DirectoryFault]
     ) -> Result[Update, DirectoryFault]:
-        """Refuses what was overtaken by peers' news of a later epoch."""
+        """Rejects a response if peers have since reported a later epoch."""
         known = self._steering.position.epoch
         if isinstance(answer, Err) or answer.ok_value.epoch >= known:
             return answer
@@ -275,8 +292,8 @@
                 epoch=update.epoch,
             )
         self.take(update, "directory")
-        # A watch answers when something is new; a list may be as old as the
-        # question.
+        # A watch responds when something is new; a list may be as old as the
+        # request.
         listed = update.whole or update.all_drains
         self._steering.on_confirmed(asked_at if listed else now)
 
--- a/src/pollenmast/entry/_gauges.py
+++ b/src/pollenmast/entry/_gauges.py
@@ -1,4 +1,4 @@
-"""What a VM knows at the moment, as gauges of its metrics."""
+"""The current state of a VM as gauges."""
 
 import math
 
@@ -9,12 +9,12 @@
 
 @attrs.frozen
 class Gauge:
-    """One value of the moment.
+    """The current value of one gauge.
 
     Attributes:
-        name: In lower case with underscores, with its unit if it has one.
-        description: What it tells an operator.
-        value: The value, not a number where there is none.
+        name: Name in lower case with underscores, with the unit if it has one.
+        description: The meaning of the value, for operators.
+        value: The value, or NaN if there is none.
     """
 
     name: str
@@ -26,8 +26,8 @@
     """Returns the gauges of a VM.
 
     Args:
-        steering: Its beliefs.
-        now: The moment by the runtime's clock, in seconds.
+        steering: The VM's state.
+        now: Current time by the event loop's clock, in seconds.
     """
     table = steering.table
     age_s = steering.age_s(now)
--- a/src/pollenmast/entry/_metrics.py
+++ b/src/pollenmast/entry/_metrics.py
@@ -1,7 +1,8 @@
-"""Counters and histograms as text, in the format that Prometheus scrapes.
+"""Formats metrics as text in the Prometheus exposition format.
 
-OpenTelemetry's SDK with its exporter would write the same text, but takes 17
-MB and 166 ms of processor at start: more than the rest of the program.
+OpenTelemetry's SDK with its exporter would produce the same text, but costs
+17 MB of memory and 166 ms of CPU time at start: more than the rest of the
+program.
 """
 
 import math
@@ -22,7 +23,7 @@
 def text(
     counters: Counters, histograms: Histograms, gauges: Iterable[Gauge] = ()
 ) -> bytes:
-    """Returns all metrics."""
+    """Returns all metrics in the text format."""
     lines = [
         *_gauges(gauges),
         *_counters(counters),
--- a/src/pollenmast/entry/_news.py
+++ b/src/pollenmast/entry/_news.py
@@ -1,4 +1,4 @@
-"""Log lines of what a VM has taken in from the directory or a peer."""
+"""Logs the updates that a VM applies from the directory or a peer."""
 
 from pollenmast.events import (
     DIRECTORY_RESTORED,
@@ -21,18 +21,18 @@
 
 
 class NewsLog:
-    """Writes one line for each belief that has changed."""
+    """Writes one log line for each change of the VM's state."""
 
     def __init__(self, log: EventLog):
         self._log = log
 
     def restored(self, known: Position, update: Update, source: str) -> None:
-        """Tells that the directory was restored from a copy.
+        """Logs that the directory was restored from a copy.
 
         Args:
-            known: How far it was known before.
-            update: What tells of the restored one.
-            source: Who told.
+            known: The position that the VM had reached before.
+            update: The first update from the restored directory.
+            source: Where the update came from: the directory or a peer.
         """
         self._log.write(
             DIRECTORY_RESTORED,
@@ -44,12 +44,12 @@
         )
 
     def refused(self, update: Update, source: str) -> None:
-        """Tells what could not be understood."""
+        """Logs the entries of an update that could not be parsed."""
         for entry in update.refused:
             self._log.write(ENTRY_REFUSED, entry=entry, source=source)
 
     def routes(self, applied: Applied, position: Position, source: str) -> None:
-        """Tells which configuration came into force, if one did."""
+        """Logs the configuration that came into force, if any."""
         if applied.table is None:
             return
         self._log.write(
@@ -62,7 +62,7 @@
         )
 
     def zones(self, applied: Applied, epoch: int, source: str) -> None:
-        """Tells which zones were drained or are in service again."""
+        """Logs availability zones that were drained or restored to service."""
         for change in applied.zones:
             drained = isinstance(change, ZoneDrained)
             self._log.write(
@@ -74,7 +74,7 @@
             )
 
     def endpoints(self, applied: Applied, epoch: int, source: str) -> None:
-        """Tells which endpoints came, changed or vanished."""
+        """Logs endpoints that were added, changed or removed."""
         for record in applied.records:
             self._endpoint(record, epoch, source)
 
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -1,4 +1,4 @@
-"""The program of a VM: joins socket, directory, peers, checks and signals."""
+"""The program of a VM: packets, directory, peers, health checks and signals."""
 
 import gc
 import signal
@@ -32,21 +32,25 @@
 from pollenmast.steering import Record
 
 LEAVE_S = 1.8
-"""How long a stopping VM goes on carrying packets: readiness is asked twice a
-second and two refusals take a VM out; what is under way then still arrives
-for tenths of a second."""
+"""How long a VM that shuts down keeps forwarding packets, in seconds. Readiness
+is polled twice a second and two negative responses take a VM out of rotation.
+Packets in transit still arrive for some tenths of a second after that."""
 
 LEAVE_PART = 0.5
-"""The same as a part of the time until the process is killed, if less."""
+"""Upper bound of that time, as a fraction of the time until the process is
+killed."""
 
 FIRST_READ_S = 1.0
-"""How long an answer is awaited that has begun to arrive: 600 kB, two thousand
-routes, at 5 Mbit/s. Another VM of the zone has mostly told the same by then."""
+"""How long to wait for the rest of the directory's first response, in seconds:
+enough for 600 kB, which is two thousand routes, at 5 Mbit/s. Another VM of the
+availability zone has usually sent the same data by then."""
 
 FIRST_READ_TICK_S = 0.01
+"""Interval at which that response is polled, in seconds."""
 
 UPKEEP_S = 0.5
-"""Between two rounds of forgetting and of writing out the log."""
+"""Interval between two rounds of expiring old state and flushing the log, in
+seconds."""
 
 
 class _Program:
@@ -91,7 +95,7 @@
         self._pauses.notify(self._on_pause)
 
     def _join_fleet(self) -> None:
-        """Makes what learns from the directory and from other VMs."""
+        """Creates the components that follow the directory and other VMs."""
         settings = self._settings
         self._follower = Follower(
             self._ports.directory,
@@ -152,7 +156,7 @@
         return EXIT_OK
 
     async def _follow(self) -> None:
-        """Follows the directory, once its first answer is taken in."""
+        """Waits for the directory's first response, then follows it."""
         with anyio.move_on_after(FIRST_READ_S):
             while self._boot.pending and not self._steering.ready:
                 self._boot.step()
@@ -171,7 +175,7 @@
             tasks.start_soon(http1.serve, listener, self._site.answer)
 
     async def _obey(self, received: AsyncIterator[int]) -> None:
-        """Handles signals; returns when it is time to end."""
+        """Handles signals; returns when the process has to exit."""
         async for number in received:
             if number != signal.SIGHUP:
                 break
@@ -185,10 +189,10 @@
                     return
 
     def _reload(self) -> None:
-        """Reads the settings again; they only matter at the next start.
+        """Validates the settings file; changes apply only at the next start.
 
-        Addresses and the availability zone of a running VM do not change, so
-        the signal is answered by a check that the file is still valid.
+        The addresses and the availability zone of a running VM do not change,
+        so the signal only triggers a check that the file is still valid.
         """
         loaded = self._ports.load()
         if isinstance(loaded, Err):
@@ -227,15 +231,16 @@
     """Runs the program of a VM until it is stopped.
 
     Args:
-        parts: What the first stage has made.
-        ports: What the program needs from the place it runs in.
-        boot: The first stage, whose answer may still be arriving.
+        parts: The components that the first stage created.
+        ports: Interfaces to the platform that the program runs on.
+        boot: The first stage, whose response from the directory may still be
+            arriving.
 
     Returns:
         The exit code: 0 after a graceful shutdown, 1 if it could not start.
     """
-    # Start-up objects live as long as the process; walking them in each
-    # collection would only delay packets.
+    # Objects created at start-up live as long as the process; scanning them in
+    # each garbage collection would only delay packets.
     gc.freeze()
     gc.enable()
     return anyio.run(_run, parts, ports, boot)
--- a/src/pollenmast/entry/_site.py
+++ b/src/pollenmast/entry/_site.py
@@ -1,4 +1,4 @@
-"""What a VM answers over HTTP: readiness, peers' questions, metrics."""
+"""The HTTP endpoints of a VM: readiness, snapshots for peers, and metrics."""
 
 import urllib.parse
 
@@ -16,17 +16,18 @@
 METRICS_PATH = "/metrics"
 
 MOST_ENCODED = 8
-"""Answers kept: VMs that ask together know one or two different revisions."""
+"""Maximum number of cached snapshots. VMs that ask at the same time are at one or
+two different revisions."""
 
 MOST_DIGITS = 19
-"""Digits of the longest number that is read from a question."""
+"""Maximum number of digits of a number in a query string."""
 
 _NOT_FOUND = Answer(404, b"not found\n")
 _NOTHING_NEWER = Answer(204)
 
 
 class Site:
-    """Answers for one VM."""
+    """Handles the HTTP requests to one VM."""
 
     def __init__(
         self,
@@ -43,11 +44,11 @@
         self._snapshots = (NOTHING_KNOWN, dict[Position, bytes]())
 
     def stop(self) -> None:
-        """From now on the VM is not ready: it is about to end."""
+        """Reports the VM as not ready from now on, as it shuts down."""
         self._stopping = True
 
     async def answer(self, request: Request) -> http1.Answer:
-        """Answers one request."""
+        """Returns the response to a request."""
         url = urllib.parse.urlsplit(request.target)
         if url.path == self._ready_path:
             return self._readiness()
@@ -70,9 +71,10 @@
         return Answer(200, self._encoded(known), "application/zlib")
 
     def _encoded(self, known: Position) -> bytes:
-        """Returns what is newer; encoded once for all VMs that ask for it.
+        """Returns a snapshot of what is newer than a position, from the cache.
 
-        A zone's VMs learn of a change together, and ask a reader at once.
+        The VMs of an availability zone learn of a change at the same time and
+        ask a reader together, so that each snapshot is encoded only once.
         """
         position, bodies = self._snapshots
         if position != self._steering.position:
@@ -91,7 +93,7 @@
 
 
 def _count(fields: dict[str, list[str]], name: str) -> int:
-    """Returns a field's whole number, 0 if it has none."""
+    """Returns a non-negative integer of a query, 0 if missing or invalid."""
     text = fields.get(name, [""])[0]
     usable = text.isascii() and text.isdecimal() and len(text) <= MOST_DIGITS
     return int(text) if usable else 0
--- a/src/pollenmast/entry/_snapshot.py
+++ b/src/pollenmast/entry/_snapshot.py
@@ -1,9 +1,10 @@
-"""What one VM tells another of endpoints and routes, as msgpack.
+"""Encodes endpoints and routes for another VM, as compressed msgpack.
 
-Load pattern: a configuration grows by a thousand routes and a reader tells
-each VM of its zone. Packed plainly, the routes are 37 kB a VM: 15 of them
-take a link of 5 Mbit/s for 0.9 s, in which clients' packets are lost. Host
-and service names repeat, so that deflated they are a quarter of that.
+When a configuration grows by a thousand routes, a reader sends them to each VM
+of its availability zone. Uncompressed, the routes are 37 kB per VM: sending
+them to 15 VMs occupies a link of 5 Mbit/s for 0.9 s, during which clients'
+packets are lost. Host and service names repeat, so that compression reduces
+this to a quarter.
 """
 
 import zlib
@@ -33,21 +34,31 @@
 )
 
 FORMAT = 6
-"""Number of this format; another one is refused, and the directory asked."""
+"""Version of this format. Data in another version is rejected, and the VM asks
+the directory instead."""
 
 MOST_BYTES = 8 << 20
-"""The most that a body may inflate to: four times what 11,000 endpoints and
-2,500 routes take, and little beside the memory of a VM."""
+"""Maximum size of a decompressed body: four times what 11,000 endpoints and
+2,500 routes take, and little compared with the memory of a VM."""
 
 _LEVEL = 1
-"""Deflating 47 kB takes 0.4 ms, and 0.6 ms for a sixth less."""
+"""Compression level of zlib, the fastest. 47 kB take 0.4 ms to compress; a result
+smaller by a sixth would take 0.6 ms."""
 
 _ANNOUNCED, _REMOVED, _ROUTES, _ROUTES_CHANGED = 1, 2, 3, 4
 _DRAINED, _RESTORED = 5, 6
 
 
 def encode(steering: Steering, after: Position = NOTHING_KNOWN) -> bytes:
-    """Returns what this VM knows after a position, or everything."""
+    """Encodes the changes after a position.
+
+    Args:
+        steering: The state to encode.
+        after: The position that the receiver has reached.
+
+    Returns:
+        The changes, or the whole state where some of them are no longer known.
+    """
     changes = changes_since(steering, after)
     whole = changes is None
     if changes is None:
@@ -60,22 +71,24 @@
 def changes_since(
     steering: Steering, after: Position
 ) -> tuple[Change, ...] | None:
-    """Returns every change after a position, None if some are not known."""
+    """Returns the changes after a position, None if some are not known."""
     if not after.revision or after.epoch != steering.position.epoch:
         return None
     return steering.journal.since(after.revision)
 
 
 def decode(data: bytes) -> Result[Update, str]:
-    """Returns what a peer has told, or what is wrong with it."""
+    """Returns the update that a peer has sent, or why it cannot be decoded."""
     try:
         inflater = zlib.decompressobj()
         body = inflater.decompress(data, MOST_BYTES)
         if not inflater.eof:
-            return Err("not whole, or too long")
+            return Err("truncated, or too long when inflated")
         number, epoch, revision, whole, changes = msgpack.unpackb(body)
         if number != FORMAT or not _are_counts(epoch, revision):
-            return Err(f"format {number!r}")
+            return Err(
+                f"unsupported format or invalid position: format {number!r}"
+            )
         unpacked = tuple(_unpack(*each) for each in changes)
         return Ok(Update(unpacked, revision, whole is True, epoch=epoch))
     except (
@@ -135,7 +148,7 @@
 
 def _unpack(kind: int, revision: int, value: Any) -> Change:
     if not isinstance(revision, int):
-        raise ValueError("revision")
+        raise ValueError("revision is not an integer")
     if kind == _ANNOUNCED:
         return EndpointAnnounced(Endpoint(*value), revision)
     if kind == _REMOVED:
@@ -148,7 +161,7 @@
         return ZoneDrained(str(value), revision)
     if kind == _RESTORED:
         return ZoneRestored(str(value), revision)
-    raise ValueError(f"kind {kind!r}")
+    raise ValueError(f"unknown kind of change: {kind!r}")
 
 
 def _routes_changed(
@@ -162,7 +175,7 @@
     revision: int,
 ) -> RoutesChanged:
     if not isinstance(base, int) or not isinstance(version, int):
-        raise ValueError("version")
+        raise ValueError("version is not an integer")
     gone = tuple((str(host), int(port)) for host, port in removed)
     changed = tuple(_route(*each) for each in routes)
     return RoutesChanged(
