--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -183,9 +183,9 @@
         self._news.endpoints(applied, update.epoch, source)
 
     def settle(self) -> None:
-        """Accepts the state of a restored directory as complete.
+        """Accepts what a restored directory lists, replacing earlier state.
 
-        This happens once its writers had time to repeat what the copy lacked.
+        This happens only once its writers have had time to write again.
         """
         applied = self._steering.settle(anyio.current_time())
         epoch = self._steering.position.epoch
--- a/src/pollenmast/entry/_site.py
+++ b/src/pollenmast/entry/_site.py
@@ -16,8 +16,8 @@
 METRICS_PATH = "/metrics"
 
 MOST_ENCODED = 8
-"""Maximum number of cached snapshots. VMs that ask at the same time are at one or
-two different revisions."""
+"""Maximum number of cached snapshots. VMs that ask at the same time are at one
+or two different revisions."""
 
 MOST_DIGITS = 19
 """Maximum number of digits of a number in a query string."""
--- a/src/pollenmast/entry/_snapshot.py
+++ b/src/pollenmast/entry/_snapshot.py
@@ -42,8 +42,8 @@
 2,500 routes take, and little compared with the memory of a VM."""
 
 _LEVEL = 1
-"""Compression level of zlib, the fastest. 47 kB take 0.4 ms to compress; a result
-smaller by a sixth would take 0.6 ms."""
+"""Compression level of zlib. Compressing 47 kB takes 0.4 ms at this level; a
+result that is smaller by a sixth would take 0.6 ms."""
 
 _ANNOUNCED, _REMOVED, _ROUTES, _ROUTES_CHANGED = 1, 2, 3, 4
 _DRAINED, _RESTORED = 5, 6
--- a/tests/entry_boot_test.py
+++ b/tests/entry_boot_test.py
@@ -34,7 +34,7 @@
 
 
 class _FirstRead(FirstRead):
-    """Answers at a given look, or never."""
+    """Responds at a given poll, or never."""
 
     def __init__(self, answer, at_look: int = 1):
         self._answer = answer
@@ -55,10 +55,10 @@
 
 
 class BootTest(TestCase):
-    """Packets are carried before the program is loaded."""
+    """Packets are forwarded before the program is loaded."""
 
     def setUp(self):
-        """Makes an endpoint that packets can be sent to."""
+        """Creates an endpoint that packets can be sent to."""
         super().setUp()
         self._endpoint = segments.bind("127.0.0.1", 0)
         self.addCleanup(self._endpoint.close)
@@ -99,11 +99,11 @@
 
     @parameterized.expand([("at_once", 1), ("slow", 3)])
     def test_carried_while_loading(self, _, at_look):
-        """All VMs were killed; their clients' packets wait in the sockets.
+        """Packets are forwarded before all modules have been loaded.
 
-        Each tenth of a second until the first is carried is one in which
-        nobody is served. A slow directory's answer is taken between two
-        modules.
+        After all VMs were killed, clients' packets wait in the sockets, and
+        nobody is served until the first one is forwarded. The response of a
+        slow directory is applied between two modules.
         """
         first_read = _FirstRead(Ok(self._listing), at_look)
         boot = self._boot(first_read)
@@ -115,10 +115,10 @@
         self.assertLess(self.core.age_s(time.monotonic()), 5.0)
 
     def test_unusable_entry(self):
-        """Another writer's entry cannot be read; the log says which.
+        """An entry that cannot be parsed is named in the log.
 
-        The first answer is the only whole one that a VM reads: left out here,
-        nobody would learn why an endpoint gets no flows.
+        The first response is the only complete list that a VM reads. Without
+        this line nobody would learn why an endpoint gets no flows.
         """
         update = attrs.evolve(self._listing, refused=("i-bad: state",))
         self._boot(_FirstRead(Ok(update))).load(MODULES)
@@ -132,10 +132,10 @@
         ]
     )
     def test_directory_away(self, _, answer, at_look):
-        """The directory is away while a VM starts.
+        """The directory does not answer while a VM starts.
 
-        Its packets stay in the socket until the program has learned from
-        other VMs; thrown away, each would come again only after 0.2 s.
+        Packets stay in the socket until the program has learned endpoints from
+        other VMs. Clients would resend dropped packets only after 0.2 s.
         """
         first_read = _FirstRead(answer, at_look)
         boot = self._boot(first_read)
@@ -148,10 +148,10 @@
         self.assertEqual(1, self._carried())
 
     def test_narrow_link(self):
-        """The answer has begun to arrive when all is loaded.
+        """The response is still arriving when all modules are loaded.
 
-        Asked for again, it would come as slowly; awaited without the event
-        loop, it would keep the VM from what others tell sooner.
+        A second request would take as long, and waiting without the event loop
+        would keep the VM from data that other VMs send sooner.
         """
         first_read = _FirstRead(Ok(self._listing), 99)
         boot = self._boot(first_read)
@@ -163,16 +163,16 @@
         self.assertEqual((False, 1), (boot.pending, self._carried()))
 
     def test_no_question(self):
-        """The settings name no directory that could be asked so early."""
+        """Loading completes without an early request to the directory."""
         boot = self._boot(None)
         boot.load(MODULES)
         self.assertFalse(self.core.ready)
 
     def test_flood(self):
-        """More packets wait than are carried in one turn.
+        """More packets wait than are forwarded in one batch.
 
-        Loading goes on between two turns: a VM that never finished would
-        stay out of rotation.
+        Loading continues between two batches: a VM that never finished loading
+        would stay out of rotation.
         """
         boot = self._boot(_FirstRead(Ok(self._listing)))
         self._send(2 * BATCH + 5)
@@ -181,10 +181,10 @@
 
     @parameterized.expand([("once", 1), ("for_a_while", 3)])
     def test_module_fails(self, _, failures):
-        """Memory is short while a VM starts, and a module fails to load.
+        """A module fails to load for lack of memory while a VM starts.
 
-        Ended at once, the VM would leave the packets in its socket unread
-        until its next start; it carries them and tries again.
+        If the VM exited at once, the packets in its socket would stay unread
+        until its next start. It forwards them and retries.
         """
         boot = self._boot(_FirstRead(Ok(self._listing)))
         loaded = []
@@ -207,7 +207,7 @@
     def test_module_fails_before_carrying(self):
         """A module fails to load in a VM that knows no endpoint yet.
 
-        It has nothing to carry packets by: a new start is the quickest way.
+        It cannot forward packets, so that a restart is the quickest recovery.
         """
         boot = self._boot(None)
         began = time.monotonic()
@@ -216,14 +216,14 @@
         self.assertLess(time.monotonic() - began, LOAD_RETRY_S)
 
     def test_module_missing(self):
-        """A module cannot be loaded: the process ends and says which."""
+        """The error of a module that can never be loaded is raised."""
         boot = self._boot(_FirstRead(Ok(self._listing)))
         names = (*MODULES, "pollenmast.no_such_module")
         self.assertRaises(ModuleNotFoundError, boot.load, names)
 
 
 class _Follower:
-    """Notes when it began, and whether everything was known."""
+    """Records when it was started, and with which argument."""
 
     def __init__(self):
         self.began = None
@@ -233,7 +233,7 @@
 
 
 class AwaitTest(TestCase):
-    """The event loop awaits an answer that has begun to arrive."""
+    """The event loop waits for a response that is still arriving."""
 
     @parameterized.expand(
         [
@@ -246,8 +246,8 @@
     def test_begun(self, _, whole_at, told_at, expected):
         """A thousand routes arrive over a narrow link while a VM starts.
 
-        Asked for again they would come as slowly. What another VM tells
-        meanwhile is as good, and what never comes is asked for anew.
+        A second request would take as long. Data that another VM sends
+        meanwhile ends the wait, and after a timeout the follower asks anew.
         """
         program = object.__new__(_Program)
         program._follower = _Follower()
--- a/tests/entry_metrics_test.py
+++ b/tests/entry_metrics_test.py
@@ -13,10 +13,10 @@
 
 
 class MetricsTest(TestCase):
-    """What a scraper reads."""
+    """The text that a Prometheus server scrapes."""
 
     def test_counters(self):
-        """Every reason is there from the start, at zero."""
+        """Every reason is exported from the start, with value zero."""
         counters = c.Counters()
         counters.add(c.RESETS, c.ResetReason.NO_ROUTE)
         lines = metrics.text(counters, c.Histograms()).decode().splitlines()
@@ -24,7 +24,7 @@
         self.assertIn('pollenmast_resets_total{reason="no_endpoint"} 0', lines)
 
     def test_histogram(self):
-        """Buckets are cumulative, and a long wait is in the last one."""
+        """Buckets are cumulative; a long wait counts only in the last one."""
         histograms = c.Histograms()
         for seconds in (0.0005, 0.03, 99.0):
             histograms.observe(c.ANSWER_WAIT, seconds)
@@ -45,7 +45,7 @@
         ]
     )
     def test_gauges(self, _, line):
-        """What a VM knows, and how surely, can be compared between VMs."""
+        """Gauges expose a VM's state and its age, to compare VMs."""
         core = group.steering(group.endpoint(1), epoch=3)
         drained = ZoneDrained(group.ZONE, 10)
         core.apply(Update((drained,), 10, epoch=3), 1.0)
@@ -54,7 +54,7 @@
         self.assertIn(line, text.splitlines())
 
     def test_gauges_at_start(self):
-        """A VM that knows nothing has no version and no age."""
+        """The state of a VM that has read nothing yet has no age."""
         core = Steering(group.ZONE, c.Counters(), random.Random(1))
         known = gauges.read(core, 2.5)
         text = metrics.text(c.Counters(), c.Histograms(), known).decode()
--- a/tests/entry_process_test.py
+++ b/tests/entry_process_test.py
@@ -1,7 +1,7 @@
 """Tests of the platform's program as real processes, under failure.
 
-No verdict rests on how long something took: clients are judged by what they
-received, and waits only bound how long a test may last.
+No assertion depends on how long something took: the tests check what clients
+received, and timeouts only limit the duration of a test.
 """
 
 import contextlib
@@ -90,7 +90,7 @@
         )
 
     async def status(self) -> int:
-        """Returns the readiness, or 0 without an answer."""
+        """Returns the HTTP status of readiness, or 0 without a response."""
         connection = http1.Connection(self.host, _READY)
         answer = await connection.get("/readiness", 1.0)
         await connection.aclose()
@@ -173,14 +173,14 @@
 
 
 def _has_packet_port(vm: _Vm) -> bool:
-    """Returns whether a process has opened the port of clients' packets."""
+    """Returns whether a VM has bound its port for clients' packets."""
     host = int.from_bytes(socket.inet_aton(vm.host), sys.byteorder)
     local = f" {host:08X}:{_PACKETS:04X} "
     return local in pathlib.Path("/proc/net/udp").read_text()
 
 
 class ProgramTest(TestCase):
-    """What clients receive while things fail."""
+    """What clients receive during failures."""
 
     def _play(self, script, vms: int = 2, read_log: bool = True) -> None:
         async def main() -> None:
@@ -190,7 +190,7 @@
         anyio.run(main)
 
     def test_any_vm(self):
-        """A flow's packets reach any VM, and its endpoint all the same."""
+        """A flow's packets reach its endpoint through any VM."""
 
         async def script(world: _World) -> None:
             flow = world.flow()
@@ -204,10 +204,10 @@
         self._play(script)
 
     def test_graceful_shutdown(self):
-        """A VM is told to stop; what still reaches it is carried.
+        """A VM that shuts down still forwards the packets it receives.
 
-        Routers go on sending to it for a second; cut at once, it would lose
-        the requests of a planned change.
+        Routers keep sending to it for a second. An immediate exit would lose
+        requests at each planned change.
         """
 
         async def script(world: _World) -> None:
@@ -221,10 +221,10 @@
         self._play(script, vms=1)
 
     def test_restart_without_store(self):
-        """The store is down and a VM is killed and starts again.
+        """A VM is killed and restarted while the store is down.
 
-        It learns routes and endpoints from another VM; without that its
-        clients wait until the store is back.
+        It learns routes and endpoints from another VM. Otherwise its clients
+        would wait until the store is back.
         """
 
         async def script(world: _World) -> None:
@@ -241,8 +241,8 @@
     def test_endpoint_dies(self):
         """An endpoint's process dies while a client's flow is idle.
 
-        The client is told, so that its next request, which may not be
-        repeated, goes by a flow that works.
+        The client is notified, so that its next request, which may not be
+        repeated, uses a working flow.
         """
 
         async def script(world: _World) -> None:
@@ -252,7 +252,7 @@
             dead = [e.name for e in world.endpoints].index(name)
             world.scopes[dead].cancel()
             await anyio.sleep(0.1)
-            # Somebody else's request finds out.
+            # Another client's request detects the failure.
             for _ in range(4):
                 await world.flow().open(world.addresses(0))
             self.assertTrue(await idle.ended(_WITHIN_S))
@@ -264,10 +264,10 @@
         self._play(script, vms=1)
 
     def test_paused(self):
-        """A VM stands still, and a configuration is changed meanwhile.
+        """The configuration changes while a VM's process is suspended.
 
-        It wakes with the old one; callers of the removed route must soon be
-        refused.
+        It resumes with the old configuration; callers of the removed route
+        must soon be refused.
         """
 
         async def script(world: _World) -> None:
@@ -285,9 +285,10 @@
 
     @parameterized.expand([("not_read", False), ("read", True)])
     def test_log_reader(self, _, read_log):
-        """Nobody reads the log; packets are carried all the same.
+        """Packets are forwarded even if nobody reads the log.
 
-        A pipe holds 64 KiB; a blocking write then stops every flow.
+        A pipe holds 64 KiB; once it is full, a blocking write would stop every
+        flow.
         """
 
         async def script(world: _World) -> None:
@@ -304,10 +305,10 @@
         self._play(script, vms=1, read_log=read_log)
 
     def test_signal_reload_at_start(self):
-        """The settings change again while a VM is still starting.
+        """SIGHUP for changed settings arrives while a VM is still starting.
 
-        Until the program handled the signal it ended by it. The platform
-        started it once more, and clients met a VM fewer for as long.
+        Before the program handled the signal, the signal terminated it. The
+        platform then restarted it, and clients had one VM fewer meanwhile.
         """
 
         async def script(world: _World) -> None:
@@ -324,7 +325,7 @@
         self._play(script, vms=1)
 
     def test_signal_reload(self):
-        """A signal that the settings changed neither ends nor stops it."""
+        """SIGHUP for changed settings leaves the process running and ready."""
 
         async def script(world: _World) -> None:
             world.vms[0].process.send_signal(signal.SIGHUP)
--- a/tests/entry_restored_store_test.py
+++ b/tests/entry_restored_store_test.py
@@ -1,4 +1,4 @@
-"""Tests of a fleet whose store comes back from an older copy."""
+"""Tests of a fleet whose store is restored from an older copy."""
 
 import anyio
 from parameterized import parameterized
@@ -7,16 +7,16 @@
 from tests.fleet_group import APPLY_S, FleetCase, name, name_key
 
 OUTAGE_S = 2.0
-"""How long the store is away before it is back."""
+"""Duration of the store's outage before the restore, in seconds."""
 
 SETTLE_S = 1.5
-"""After the return, until VMs have read the restored store."""
+"""Time after the restore until VMs have read the restored store, in seconds."""
 
 PER_VM_CALLS_S = 3
-"""Calls to the store that one VM may make a second, at the most."""
+"""Maximum number of calls to the store per VM and second."""
 
 LOST = 6
-"""Versions that the copy lacks."""
+"""Number of configuration versions that the copy lacks."""
 
 ZONE = "pos-woodbrook"
 
@@ -71,13 +71,13 @@
 
 
 class RestoredStoreTest(FleetCase):
-    """What was written to the restored store is in force everywhere."""
+    """What is written to the restored store comes into force on every VM."""
 
     async def _restore(self, meanwhile=None) -> None:
-        """Brings the store back without its latest changes.
+        """Restores the store without its latest changes, after an outage.
 
         Args:
-            meanwhile: Writes to the restored store before a VM reaches it.
+            meanwhile: Writes to the restored store before a VM can reach it.
         """
         copy = self.store.copy()
         for version in range(8, 8 + LOST):
@@ -92,7 +92,7 @@
         await anyio.sleep(SETTLE_S)
 
     def _in_force(self, change, holds) -> None:
-        """Makes a change, and tells whether it is in force in time."""
+        """Asserts that a change after a restore is applied in time."""
 
         async def script(tasks) -> None:
             await self._restore()
@@ -103,15 +103,15 @@
         self.play(script)
 
     def test_endpoint_drains(self):
-        """An endpoint that leaves after the return goes on getting flows."""
+        """Guards against new flows to an endpoint that drains afterwards."""
         self._in_force(lambda: _drains(self), _is_draining)
 
     def test_configuration(self):
-        """VMs that hear only from others go on with an old configuration."""
+        """Guards against an old configuration on VMs that only hear peers."""
         self._in_force(lambda: _publishes(self), _is_published)
 
     def test_calls(self):
-        """Readers ask for everything again and again, as fast as they can."""
+        """Guards against readers that repeat full reads without a delay."""
 
         async def script(tasks) -> None:
             await self._restore()
@@ -124,14 +124,18 @@
 
     @parameterized.expand(CHANGES)
     def test_change(self, _, change, holds):
-        """Changes numbered below what was known reach no VM."""
+        """A change's revision is below the one that VMs had reached.
+
+        VMs that compared the two would ignore the change.
+        """
         self._in_force(lambda: change(self), holds)
 
     @parameterized.expand(CHANGES)
     def test_numbers_given_out_again(self, _, change, holds):
         """The store has passed the old revision before a VM asks again.
 
-        A watch from there is answered, without what was written below it.
+        A watch from the old revision then succeeds, but misses the changes
+        that were written below that revision.
         """
 
         async def script(tasks) -> None:
@@ -148,7 +152,7 @@
 
     @parameterized.expand(CHANGES)
     def test_restored_twice(self, _, change, holds):
-        """A second restore follows within a second."""
+        """The store is restored again within a second."""
 
         async def script(tasks) -> None:
             copy = self.store.copy()
@@ -165,12 +169,16 @@
 
     @parameterized.expand(CHANGES)
     def test_cut_off(self, _, change, holds):
-        """A VM that the store does not answer hears of it from peers."""
+        """VMs that the store does not answer learn of the change from peers."""
         self.fleet.cut_off.update({"10.1.0.4", "10.2.0.1"})
         self._in_force(lambda: change(self), holds)
 
     def test_joins(self):
-        """A VM that starts takes the old news for the new ones."""
+        """A VM starts after the restore and cannot reach the store.
+
+        Guards against a VM that mistakes state from before the restore for
+        current state.
+        """
 
         async def script(tasks) -> None:
             await self._restore()
@@ -185,7 +193,11 @@
         self.play(script)
 
     def test_confirmed(self):
-        """VMs vouch for each other's views of the store before the restore."""
+        """All VMs reach the same position in the restored store's epoch.
+
+        Guards against VMs that confirm each other's state from before the
+        restore.
+        """
 
         async def script(tasks) -> None:
             await self._restore()
