--- a/src/pollenmast/entry/__init__.py
+++ b/src/pollenmast/entry/__init__.py
@@ -3,7 +3,7 @@
 Most of the program is loaded while packets are already forwarded; see `_boot`.
 """
 
-from pollenmast.entry._boot import Boot, Early, FirstRead, early
+from pollenmast.entry._boot import Boot, BootComponents, FirstRead, early
 from pollenmast.entry._ports import (
     EXIT_FAILED,
     EXIT_OK,
@@ -16,7 +16,7 @@
 )
 
 
-def run(parts: Early, ports: Ports, boot: Boot) -> int:
+def run(parts: BootComponents, ports: Ports, boot: Boot) -> int:
     """Runs the program of a VM until it is stopped; returns its exit code."""
     # Not imported at the top, as `Boot.load` loads it while packets are
     # forwarded.
@@ -31,7 +31,7 @@
     "EXIT_SETTINGS",
     "Address",
     "Boot",
-    "Early",
+    "BootComponents",
     "EntrySettings",
     "FirstRead",
     "HealthProbe",
--- a/src/pollenmast/entry/_boot.py
+++ b/src/pollenmast/entry/_boot.py
@@ -35,8 +35,8 @@
 
 from pollenmast.counters import Counters, Histograms
 from pollenmast.entry._carrier import Carrier
-from pollenmast.entry._news import NewsLog
 from pollenmast.entry._ports import EntrySettings, PacketFormat
+from pollenmast.entry._update_log import UpdateLog
 from pollenmast.events import (
     LOAD_FAILED,
     STARTED,
@@ -49,21 +49,21 @@
 PROGRAM = "entry"
 """Program name in log lines."""
 
-FIRST_WAIT_S = 0.03
+INITIAL_POLL_WAIT_S = 0.03
 """How long the first poll waits for the rest of the directory's response, in
 seconds. A response of 100 kB arrives in parts a few milliseconds apart, and
 loading a module between them would take longer. Over a narrow link the response
 takes longer than this, and loading continues."""
 
-LOAD_RETRY_S = 0.1
+LOAD_RETRY_DELAY_S = 0.1
 """Delay before loading a module is retried after a failure, in seconds."""
 
-LOAD_PATIENCE_S = 2.0
+LOAD_TIMEOUT_S = 2.0
 """How long a VM retries to load a module while it forwards packets without the
 rest of its program, in seconds. It learns of no changes meanwhile, so this is
 less than the time limit for applying a change."""
 
-LATE_MODULES = (
+DEFERRED_MODULES = (
     *("ssl", "concurrent.futures", "subprocess", "asyncio.events"),
     *("asyncio", "anyio", "anyio._backends._asyncio"),
     *("msgpack", "pollenmast.http1", "pollenmast.entry._program"),
@@ -94,7 +94,7 @@
 
 
 @attrs.frozen
-class Early:
+class BootComponents:
     """The components that exist from the first start-up stage on.
 
     Attributes:
@@ -123,7 +123,7 @@
     packets: PacketFormat,
     counters: Counters,
     sock: socket.socket,
-) -> Early:
+) -> BootComponents:
     """Creates the components of the first stage and logs the start."""
     histograms = Histograms()
     stream = BoundedStream(sys.stdout.fileno())
@@ -134,7 +134,7 @@
     )
     carrier = Carrier(sock, packets, steering, counters, log)
     log.write(STARTED, zone=settings.zone, pid=os.getpid())
-    return Early(
+    return BootComponents(
         settings, counters, histograms, stream, log, rng, steering, carrier
     )
 
@@ -142,7 +142,7 @@
 class Boot:
     """Loads the program and forwards packets after each module."""
 
-    def __init__(self, parts: Early, first_read: FirstRead | None):
+    def __init__(self, parts: BootComponents, first_read: FirstRead | None):
         self._parts = parts
         self._first_read = first_read
 
@@ -151,7 +151,7 @@
         """Whether the directory's response is still expected."""
         return self._first_read is not None
 
-    def load(self, modules: Iterable[str] = LATE_MODULES) -> None:
+    def load(self, modules: Iterable[str] = DEFERRED_MODULES) -> None:
         """Loads modules and forwards the waiting packets after each.
 
         Args:
@@ -160,12 +160,12 @@
         Raises:
             Exception: Whatever the last attempt to load a module raised.
         """
-        self.step(FIRST_WAIT_S)
+        self.step(INITIAL_POLL_WAIT_S)
         for name in modules:
             self._load(name)
             self.step()
         if self._first_read is not None and not self._first_read.begun:
-            self.give_up()
+            self.cancel_request()
 
     def step(self, wait_s: float = 0.0) -> None:
         """Applies the response if it is complete; forwards waiting packets.
@@ -174,14 +174,14 @@
             wait_s: How long to wait for the response, in seconds.
         """
         if self._first_read is not None:
-            answer = self._first_read.poll(wait_s)
-            if answer is not None:
-                self.give_up()
-                self._take(answer)
+            response = self._first_read.poll(wait_s)
+            if response is not None:
+                self.cancel_request()
+                self._apply_response(response)
         if self._parts.steering.ready:
             self._parts.carrier.carry_waiting(_now())
 
-    def give_up(self) -> None:
+    def cancel_request(self) -> None:
         """Stops waiting for the directory's response."""
         if self._first_read is not None:
             self._first_read.close()
@@ -189,7 +189,7 @@
 
     def _load(self, name: str) -> None:
         """Loads a module; forwards packets between failed attempts."""
-        give_up_at = _now() + LOAD_PATIENCE_S
+        deadline = _now() + LOAD_TIMEOUT_S
         while True:
             try:
                 importlib.import_module(name)
@@ -199,29 +199,29 @@
                 self._parts.log.write(
                     LOAD_FAILED, module=name, error=repr(error)
                 )
-                if not self._parts.steering.ready or _now() >= give_up_at:
+                if not self._parts.steering.ready or _now() >= deadline:
                     self._parts.stream.flush()
                     raise
-            self._carry_until(_now() + LOAD_RETRY_S)
+            self._forward_until(_now() + LOAD_RETRY_DELAY_S)
 
-    def _carry_until(self, until: float) -> None:
+    def _forward_until(self, deadline: float) -> None:
         sock = self._parts.carrier.sock
-        while (left_s := until - _now()) > 0.0:
+        while (left_s := deadline - _now()) > 0.0:
             select.select([sock], [], [], left_s)
             self.step()
 
-    def _take(self, answer: Result[Update, DirectoryFault]) -> None:
-        if isinstance(answer, Err):
+    def _apply_response(self, response: Result[Update, DirectoryFault]) -> None:
+        if isinstance(response, Err):
             # The program repeats the request and logs a fault.
             return
         now = _now()
         steering = self._parts.steering
-        applied = steering.apply(answer.ok_value, now)
+        applied = steering.apply(response.ok_value, now)
         steering.on_confirmed(now)
-        update, news = answer.ok_value, NewsLog(self._parts.log)
-        news.refused(update, "directory")
-        news.zones(applied, update.epoch, "directory")
-        news.routes(applied, update.position, "directory")
+        update, update_log = response.ok_value, UpdateLog(self._parts.log)
+        update_log.log_refused(update, "directory")
+        update_log.log_zones(applied, update.epoch, "directory")
+        update_log.log_routes(applied, update.position, "directory")
 
 
 def _now() -> float:
--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -19,7 +19,7 @@
 from result import Err, Result
 
 from pollenmast.counters import DIRECTORY_READ, Histograms
-from pollenmast.entry._news import NewsLog
+from pollenmast.entry._update_log import UpdateLog
 from pollenmast.events import (
     HISTORY_GONE,
     PLATFORM_BACK,
@@ -40,7 +40,7 @@
 and the VMs it reports to, that nothing newer exists. A connection that stopped
 delivering data is detected half a second after this time."""
 
-GATHER_S = 0.3
+BATCH_DELAY_S = 0.3
 """Pause after a response with changes, in seconds, to receive the next ones
 together. During the release of a service there are dozens of changes a second,
 and each would cost every reader one call. A change may take seconds to come
@@ -55,30 +55,30 @@
 """Upper bound of the random addition to `STALE_PART`. It makes one VM ask first
 and tell the others."""
 
-IDLE_MOST_S = 0.4
+MAX_IDLE_S = 0.4
 """Longest interval, in seconds, at which a VM that does not watch the directory
 checks whether it should. It bounds how late a VM notices that it has become a
 reader."""
 
-IDLE_LEAST_S = 0.02
+MIN_IDLE_S = 0.02
 """Shortest interval between two such checks, in seconds."""
 
-JOIN_S = 0.3
+READER_DISCOVERY_S = 0.3
 """Delay, in seconds, before the first request of a VM that has already read
 everything in its first start-up stage. Within this time the VM learns which VMs
 are its availability zone's readers. Before that it would consider itself one,
 and each start would cost a second call."""
 
-FIRST_RETRY_S = 0.1
+MIN_RETRY_DELAY_S = 0.1
 """Delay before the first retry, in seconds. It doubles with each failure, up to
 the maximum below."""
 
-MOST_RETRY_S = 0.8
+MAX_RETRY_DELAY_S = 0.8
 """Longest delay between retries, in seconds. The directory's recovery is
 detected within this time, and a thousand VMs that retry at this rate stay
 within the directory's limit for reads."""
 
-_READ_ANEW = (DirectoryFault.HISTORY_GONE, DirectoryFault.RESTORED)
+_FULL_READ_FAULTS = (DirectoryFault.HISTORY_GONE, DirectoryFault.RESTORED)
 """Faults from which only a full read recovers."""
 
 
@@ -108,16 +108,16 @@
         self._steering = steering
         self._histograms = histograms
         self._log = log
-        self._news = NewsLog(log)
+        self._update_log = UpdateLog(log)
         self._apply_s = apply_s
         self._rng = rng
         self._is_reader: Callable[[], bool] = _always
-        self._on_news: Callable[[], None] = _nothing
-        self._patience_s = 0.0
-        self._read = False
-        self._behind = False
-        self._pause_s = 0.0
-        self._reread_pause_s = 0.0
+        self._on_change: Callable[[], None] = _no_op
+        self._stale_after_s = 0.0
+        self._has_read = False
+        self._lagging = False
+        self._retry_delay_s = 0.0
+        self._reread_delay_s = 0.0
         self._lost_at: float | None = None
         self._scope: anyio.CancelScope | None = None
 
@@ -127,22 +127,22 @@
         return self._lost_at
 
     def join(
-        self, is_reader: Callable[[], bool], on_news: Callable[[], None]
+        self, is_reader: Callable[[], bool], on_change: Callable[[], None]
     ) -> None:
         """Divides the watching of the directory among several VMs.
 
         Args:
             is_reader: Returns whether this VM is one of its availability zone's
                 readers.
-            on_news: Called after the VM's state has advanced.
+            on_change: Called after the VM's state has advanced.
         """
         self._is_reader = is_reader
-        self._on_news = on_news
+        self._on_change = on_change
 
     def refresh(self) -> None:
         """Cancels a running request; asks again at once on new connections."""
-        self._pause_s = 0.0
-        self._patience_s = 0.0
+        self._retry_delay_s = 0.0
+        self._stale_after_s = 0.0
         if self._scope is not None:
             self._scope.cancel()
 
@@ -152,10 +152,10 @@
         Args:
             known: Whether a full read has just been completed.
         """
-        self._read = known
+        self._has_read = known
         if known:
-            self._draw_patience()
-            await anyio.sleep(JOIN_S)
+            self._draw_stale_after()
+            await anyio.sleep(READER_DISCOVERY_S)
         else:
             self._lost_at = anyio.current_time()
         while True:
@@ -174,13 +174,13 @@
         applied = self._steering.apply(update, now)
         position = self._steering.position
         if position > before:
-            self._on_news()
+            self._on_change()
         if position.epoch > before.epoch and before != NOTHING_KNOWN:
-            self._news.restored(before, update, source)
-        self._news.refused(update, source)
-        self._news.routes(applied, update.position, source)
-        self._news.zones(applied, update.epoch, source)
-        self._news.endpoints(applied, update.epoch, source)
+            self._update_log.log_restore(before, update, source)
+        self._update_log.log_refused(update, source)
+        self._update_log.log_routes(applied, update.position, source)
+        self._update_log.log_zones(applied, update.epoch, source)
+        self._update_log.log_endpoints(applied, update.epoch, source)
 
     def settle(self) -> None:
         """Accepts what a restored directory lists, replacing earlier state.
@@ -189,87 +189,87 @@
         """
         applied = self._steering.settle(anyio.current_time())
         epoch = self._steering.position.epoch
-        self._news.zones(applied, epoch, "settled")
-        self._news.endpoints(applied, epoch, "settled")
+        self._update_log.log_zones(applied, epoch, "settled")
+        self._update_log.log_endpoints(applied, epoch, "settled")
 
-    def _due(self) -> bool:
+    def _should_ask(self) -> bool:
         """Returns whether this VM has to ask the directory itself."""
-        if not self._read or self._lost_at is not None or self._is_reader():
+        if not self._has_read or self._lost_at is not None or self._is_reader():
             return True
         age_s = self._steering.age_s(anyio.current_time())
-        return age_s >= self._patience_s
+        return age_s >= self._stale_after_s
 
     def _idle_s(self) -> float:
         """Returns the seconds until the state is stale, within bounds."""
         age_s = self._steering.age_s(anyio.current_time())
-        left_s = self._patience_s - age_s
-        return min(max(left_s, IDLE_LEAST_S), IDLE_MOST_S)
+        left_s = self._stale_after_s - age_s
+        return min(max(left_s, MIN_IDLE_S), MAX_IDLE_S)
 
-    def _draw_patience(self) -> None:
-        part = STALE_PART + STALE_JITTER * self._rng.random()
-        self._patience_s = part * self._apply_s
+    def _draw_stale_after(self) -> None:
+        fraction = STALE_PART + STALE_JITTER * self._rng.random()
+        self._stale_after_s = fraction * self._apply_s
 
     async def _step(self) -> None:
-        if not self._due():
+        if not self._should_ask():
             await anyio.sleep(self._idle_s())
             return
         # The revision may come from a peer; a watch from there misses nothing.
         asked_at = anyio.current_time()
-        answer = self._in_order(await self._ask())
+        answer = self._reject_stale(await self._ask())
         if isinstance(answer, Err):
             await self._on_fault(answer.err_value)
             return
-        self._reread_pause_s = 0.0
-        self._read = True
-        self._draw_patience()
-        self._pace(answer.ok_value)
+        self._reread_delay_s = 0.0
+        self._has_read = True
+        self._draw_stale_after()
+        self._update_lagging(answer.ok_value)
         self._on_answer(answer.ok_value, asked_at)
         if answer.ok_value.changes:
-            await anyio.sleep(GATHER_S)
+            await anyio.sleep(BATCH_DELAY_S)
 
     async def _ask(self) -> Result[Update, DirectoryFault]:
         """Requests what is new by the call that transfers the fewest bytes."""
         position = self._steering.position
-        if not self._read and not position.revision:
+        if not self._has_read and not position.revision:
             return await self._read_all()
-        if not self._behind:
+        if not self._lagging:
             answer = await self._directory.watch(position, WATCH_S)
             if answer != Err(DirectoryFault.TOO_LONG):
                 return answer
-            self._behind = True
+            self._lagging = True
         answer = await self._directory.catch_up(position)
         if answer != Err(DirectoryFault.TOO_LONG):
             return answer
         return await self._read_all()
 
-    def _pace(self, update: Update) -> None:
+    def _update_lagging(self, update: Update) -> None:
         """Records whether configurations arrive faster than they are read."""
         known = self._steering.table.version if self._steering.table else 0
         newer = sum(
             isinstance(change, RoutesPublished) and change.table.version > known
             for change in update.changes
         )
-        self._behind = newer > (0 if self._behind else 1)
+        self._lagging = newer > (0 if self._lagging else 1)
 
     async def _read_all(self) -> Result[Update, DirectoryFault]:
-        began = anyio.current_time()
+        started_at = anyio.current_time()
         answer = await self._directory.read(self._steering.position)
         if not isinstance(answer, Err):
-            took = anyio.current_time() - began
-            self._histograms.observe(DIRECTORY_READ, took)
+            duration_s = anyio.current_time() - started_at
+            self._histograms.observe(DIRECTORY_READ, duration_s)
         return answer
 
-    async def _read_anew(self) -> Result[Update, DirectoryFault]:
+    async def _reread_all(self) -> Result[Update, DirectoryFault]:
         """Reads everything, with backoff until a watch succeeds again."""
-        await anyio.sleep(self._reread_pause_s)
-        self._reread_pause_s = _longer(self._reread_pause_s)
+        await anyio.sleep(self._reread_delay_s)
+        self._reread_delay_s = _next_delay_s(self._reread_delay_s)
         asked_at = anyio.current_time()
-        answer = self._in_order(await self._read_all())
+        answer = self._reject_stale(await self._read_all())
         if not isinstance(answer, Err):
             self._on_answer(answer.ok_value, asked_at)
         return answer
 
-    def _in_order(
+    def _reject_stale(
         self, answer: Result[Update, DirectoryFault]
     ) -> Result[Update, DirectoryFault]:
         """Rejects a response if peers have since reported a later epoch."""
@@ -280,14 +280,14 @@
 
     def _on_answer(self, update: Update, asked_at: float) -> None:
         now = anyio.current_time()
-        self._pause_s = 0.0
+        self._retry_delay_s = 0.0
         if self._lost_at is not None:
-            away = now - self._lost_at
+            outage_s = now - self._lost_at
             self._lost_at = None
             self._steering.on_return(now)
             self._log.write(
                 PLATFORM_BACK,
-                away_s=round(away, 3),
+                away_s=round(outage_s, 3),
                 revision=update.revision,
                 epoch=update.epoch,
             )
@@ -298,31 +298,31 @@
         self._steering.on_confirmed(asked_at if listed else now)
 
     async def _on_fault(self, fault: DirectoryFault) -> None:
-        if fault in _READ_ANEW:
+        if fault in _FULL_READ_FAULTS:
             self._log.write(
                 HISTORY_GONE,
                 fault=fault,
                 epoch=self._steering.position.epoch,
                 revision=self._steering.revision,
             )
-            answer = await self._read_anew()
+            answer = await self._reread_all()
             if not isinstance(answer, Err):
                 return
             fault = answer.err_value
         if self._lost_at is None:
             self._lost_at = anyio.current_time()
             self._log.write(PLATFORM_LOST, fault=fault)
-        self._pause_s = _longer(self._pause_s)
-        await anyio.sleep(self._pause_s)
+        self._retry_delay_s = _next_delay_s(self._retry_delay_s)
+        await anyio.sleep(self._retry_delay_s)
 
 
-def _longer(pause_s: float) -> float:
-    return min(max(2.0 * pause_s, FIRST_RETRY_S), MOST_RETRY_S)
+def _next_delay_s(delay_s: float) -> float:
+    return min(max(2.0 * delay_s, MIN_RETRY_DELAY_S), MAX_RETRY_DELAY_S)
 
 
 def _always() -> bool:
     return True
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     pass
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -10,7 +10,7 @@
 
 from pollenmast import http1
 from pollenmast.counters import EJECTIONS
-from pollenmast.entry._boot import Boot, Early
+from pollenmast.entry._boot import Boot, BootComponents
 from pollenmast.entry._checks import Checker
 from pollenmast.entry._follow import Follower
 from pollenmast.entry._gossip import Gossip
@@ -31,24 +31,24 @@
 )
 from pollenmast.steering import Record
 
-LEAVE_S = 1.8
+SHUTDOWN_DRAIN_S = 1.8
 """How long a VM that shuts down keeps forwarding packets, in seconds. Readiness
 is polled twice a second and two negative responses take a VM out of rotation.
 Packets in transit still arrive for some tenths of a second after that."""
 
-LEAVE_PART = 0.5
+MAX_SHUTDOWN_DRAIN_FRACTION = 0.5
 """Upper bound of that time, as a fraction of the time until the process is
 killed."""
 
-FIRST_READ_S = 1.0
+FIRST_READ_TIMEOUT_S = 1.0
 """How long to wait for the rest of the directory's first response, in seconds:
 enough for 600 kB, which is two thousand routes, at 5 Mbit/s. Another VM of the
 availability zone has usually sent the same data by then."""
 
-FIRST_READ_TICK_S = 0.01
+FIRST_READ_POLL_S = 0.01
 """Interval at which that response is polled, in seconds."""
 
-UPKEEP_S = 0.5
+MAINTENANCE_INTERVAL_S = 0.5
 """Interval between two rounds of expiring old state and flushing the log, in
 seconds."""
 
@@ -56,7 +56,7 @@
 class _Program:
     """One running VM."""
 
-    def __init__(self, parts: Early, ports: Ports, boot: Boot):
+    def __init__(self, parts: BootComponents, ports: Ports, boot: Boot):
         self._boot = boot
         self._settings = parts.settings
         self._ports = ports
@@ -91,10 +91,10 @@
             self._counters,
             self._log,
         )
-        self._join_fleet()
+        self._create_update_sources()
         self._pauses.notify(self._on_pause)
 
-    def _join_fleet(self) -> None:
+    def _create_update_sources(self) -> None:
         """Creates the components that follow the directory and other VMs."""
         settings = self._settings
         self._follower = Follower(
@@ -134,8 +134,8 @@
         signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
         with anyio.open_signal_receiver(*signals) as received:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._follow)
-                await self._listen(tasks)
+                tasks.start_soon(self._follow_directory)
+                await self._start_http_servers(tasks)
                 tasks.start_soon(self._packets.run)
                 tasks.start_soon(self._peers.run)
                 tasks.start_soon(self._peers.catch_up)
@@ -145,8 +145,8 @@
                 tasks.start_soon(self._checker.run)
                 tasks.start_soon(self._reach_watch.run)
                 tasks.start_soon(self._pauses.run)
-                tasks.start_soon(self._upkeep)
-                await self._obey(received)
+                tasks.start_soon(self._run_maintenance)
+                await self._handle_signals(received)
                 tasks.cancel_scope.cancel()
         self._carrier.close()
         self._gossip.close()
@@ -155,16 +155,16 @@
         self._stream.flush()
         return EXIT_OK
 
-    async def _follow(self) -> None:
+    async def _follow_directory(self) -> None:
         """Waits for the directory's first response, then follows it."""
-        with anyio.move_on_after(FIRST_READ_S):
+        with anyio.move_on_after(FIRST_READ_TIMEOUT_S):
             while self._boot.pending and not self._steering.ready:
                 self._boot.step()
-                await anyio.sleep(FIRST_READ_TICK_S)
-        self._boot.give_up()
+                await anyio.sleep(FIRST_READ_POLL_S)
+        self._boot.cancel_request()
         await self._follower.run(known=self._steering.ready)
 
-    async def _listen(self, tasks: anyio.abc.TaskGroup) -> None:
+    async def _start_http_servers(self, tasks: anyio.abc.TaskGroup) -> None:
         addresses = {self._settings.ready, self._settings.metrics}
         if self._settings.control is not None:
             addresses.add(self._settings.control)
@@ -174,16 +174,19 @@
             )
             tasks.start_soon(http1.serve, listener, self._site.answer)
 
-    async def _obey(self, received: AsyncIterator[int]) -> None:
+    async def _handle_signals(self, received: AsyncIterator[int]) -> None:
         """Handles signals; returns when the process has to exit."""
         async for number in received:
             if number != signal.SIGHUP:
                 break
             self._reload()
-        leave_s = min(LEAVE_S, LEAVE_PART * self._settings.grace_s)
+        drain_s = min(
+            SHUTDOWN_DRAIN_S,
+            MAX_SHUTDOWN_DRAIN_FRACTION * self._settings.grace_s,
+        )
         self._site.stop()
-        self._log.write(STOPPING, leave_s=leave_s)
-        with anyio.move_on_after(leave_s):
+        self._log.write(STOPPING, leave_s=drain_s)
+        with anyio.move_on_after(drain_s):
             async for number in received:
                 if number != signal.SIGHUP:
                     return
@@ -219,15 +222,15 @@
         self._gossip.discard_waiting()
         self._follower.refresh()
 
-    async def _upkeep(self) -> None:
+    async def _run_maintenance(self) -> None:
         while True:
-            await anyio.sleep(UPKEEP_S)
+            await anyio.sleep(MAINTENANCE_INTERVAL_S)
             self._steering.tick(anyio.current_time())
             self._follower.settle()
             self._stream.flush()
 
 
-def run(parts: Early, ports: Ports, boot: Boot) -> int:
+def run(parts: BootComponents, ports: Ports, boot: Boot) -> int:
     """Runs the program of a VM until it is stopped.
 
     Args:
@@ -246,7 +249,7 @@
     return anyio.run(_run, parts, ports, boot)
 
 
-async def _run(parts: Early, ports: Ports, boot: Boot) -> int:
+async def _run(parts: BootComponents, ports: Ports, boot: Boot) -> int:
     try:
         return await _Program(parts, ports, boot).run()
     except* OSError as group:
--- a/src/pollenmast/entry/_site.py
+++ b/src/pollenmast/entry/_site.py
@@ -15,15 +15,15 @@
 
 METRICS_PATH = "/metrics"
 
-MOST_ENCODED = 8
+MAX_CACHED_SNAPSHOTS = 8
 """Maximum number of cached snapshots. VMs that ask at the same time are at one
 or two different revisions."""
 
-MOST_DIGITS = 19
+MAX_DIGITS = 19
 """Maximum number of digits of a number in a query string."""
 
 _NOT_FOUND = Answer(404, b"not found\n")
-_NOTHING_NEWER = Answer(204)
+_NO_CONTENT = Answer(204)
 
 
 class Site:
@@ -41,7 +41,7 @@
         self._counters = counters
         self._histograms = histograms
         self._stopping = False
-        self._snapshots = (NOTHING_KNOWN, dict[Position, bytes]())
+        self._snapshot_cache = (NOTHING_KNOWN, dict[Position, bytes]())
 
     def stop(self) -> None:
         """Reports the VM as not ready from now on, as it shuts down."""
@@ -65,35 +65,37 @@
 
     def _snapshot(self, query: str) -> Answer:
         fields = urllib.parse.parse_qs(query)
-        known = Position(_count(fields, "epoch"), _count(fields, "after"))
+        known = Position(
+            _parse_count(fields, "epoch"), _parse_count(fields, "after")
+        )
         if not self._steering.ready or self._steering.position <= known:
-            return _NOTHING_NEWER
-        return Answer(200, self._encoded(known), "application/zlib")
+            return _NO_CONTENT
+        return Answer(200, self._cached_snapshot(known), "application/zlib")
 
-    def _encoded(self, known: Position) -> bytes:
+    def _cached_snapshot(self, known: Position) -> bytes:
         """Returns a snapshot of what is newer than a position, from the cache.
 
         The VMs of an availability zone learn of a change at the same time and
         ask a reader together, so that each snapshot is encoded only once.
         """
-        position, bodies = self._snapshots
+        position, bodies = self._snapshot_cache
         if position != self._steering.position:
             position, bodies = self._steering.position, {}
-            self._snapshots = (position, bodies)
-        if len(bodies) >= MOST_ENCODED:
+            self._snapshot_cache = (position, bodies)
+        if len(bodies) >= MAX_CACHED_SNAPSHOTS:
             bodies.clear()
         if known not in bodies:
             bodies[known] = snapshot.encode(self._steering, known)
         return bodies[known]
 
     def _metrics(self) -> Answer:
-        known = gauges.read(self._steering, anyio.current_time())
-        body = metrics.text(self._counters, self._histograms, known)
+        samples = gauges.read(self._steering, anyio.current_time())
+        body = metrics.text(self._counters, self._histograms, samples)
         return Answer(200, body, metrics.CONTENT_TYPE)
 
 
-def _count(fields: dict[str, list[str]], name: str) -> int:
+def _parse_count(fields: dict[str, list[str]], name: str) -> int:
     """Returns a non-negative integer of a query, 0 if missing or invalid."""
     text = fields.get(name, [""])[0]
-    usable = text.isascii() and text.isdecimal() and len(text) <= MOST_DIGITS
+    usable = text.isascii() and text.isdecimal() and len(text) <= MAX_DIGITS
     return int(text) if usable else 0
--- a/src/pollenmast/entry/_snapshot.py
+++ b/src/pollenmast/entry/_snapshot.py
@@ -62,7 +62,7 @@
     changes = changes_since(steering, after)
     whole = changes is None
     if changes is None:
-        changes = _everything(steering)
+        changes = _full_state(steering)
     epoch, revision = attrs.astuple(steering.position)
     body = (FORMAT, epoch, revision, whole, [_pack(c) for c in changes])
     return zlib.compress(msgpack.packb(body), _LEVEL)
@@ -85,7 +85,7 @@
         if not inflater.eof:
             return Err("truncated, or too long when inflated")
         number, epoch, revision, whole, changes = msgpack.unpackb(body)
-        if number != FORMAT or not _are_counts(epoch, revision):
+        if number != FORMAT or not _are_non_negative_ints(epoch, revision):
             return Err(
                 f"unsupported format or invalid position: format {number!r}"
             )
@@ -101,11 +101,11 @@
         return Err(f"{type(error).__name__}: {error}"[:120])
 
 
-def _are_counts(*values: Any) -> bool:
+def _are_non_negative_ints(*values: Any) -> bool:
     return all(isinstance(value, int) and value >= 0 for value in values)
 
 
-def _everything(steering: Steering) -> list[Change]:
+def _full_state(steering: Steering) -> list[Change]:
     changes: list[Change] = [
         EndpointAnnounced(record.announced, record.revision)
         for record in steering.catalog.records
@@ -176,13 +176,13 @@
 ) -> RoutesChanged:
     if not isinstance(base, int) or not isinstance(version, int):
         raise ValueError("version is not an integer")
-    gone = tuple((str(host), int(port)) for host, port in removed)
+    removed_addresses = tuple((str(host), int(port)) for host, port in removed)
     changed = tuple(_route(*each) for each in routes)
     return RoutesChanged(
         base,
         version,
         changed,
-        gone,
+        removed_addresses,
         dict(paths),
         float(idle_s),
         _unpack_warmups(warmups),
--- a/src/pollenmast/entry/_news.py
+++ b/src/pollenmast/entry/_update_log.py
@@ -20,13 +20,13 @@
 )
 
 
-class NewsLog:
+class UpdateLog:
     """Writes one log line for each change of the VM's state."""
 
     def __init__(self, log: EventLog):
         self._log = log
 
-    def restored(self, known: Position, update: Update, source: str) -> None:
+    def log_restore(self, known: Position, update: Update, source: str) -> None:
         """Logs that the directory was restored from a copy.
 
         Args:
@@ -43,12 +43,14 @@
             source=source,
         )
 
-    def refused(self, update: Update, source: str) -> None:
+    def log_refused(self, update: Update, source: str) -> None:
         """Logs the entries of an update that could not be parsed."""
         for entry in update.refused:
             self._log.write(ENTRY_REFUSED, entry=entry, source=source)
 
-    def routes(self, applied: Applied, position: Position, source: str) -> None:
+    def log_routes(
+        self, applied: Applied, position: Position, source: str
+    ) -> None:
         """Logs the configuration that came into force, if any."""
         if applied.table is None:
             return
@@ -61,7 +63,7 @@
             source=source,
         )
 
-    def zones(self, applied: Applied, epoch: int, source: str) -> None:
+    def log_zones(self, applied: Applied, epoch: int, source: str) -> None:
         """Logs availability zones that were drained or restored to service."""
         for change in applied.zones:
             drained = isinstance(change, ZoneDrained)
@@ -73,12 +75,12 @@
                 source=source,
             )
 
-    def endpoints(self, applied: Applied, epoch: int, source: str) -> None:
+    def log_endpoints(self, applied: Applied, epoch: int, source: str) -> None:
         """Logs endpoints that were added, changed or removed."""
         for record in applied.records:
-            self._endpoint(record, epoch, source)
+            self._log_endpoint(record, epoch, source)
 
-    def _endpoint(self, record: Record, epoch: int, source: str) -> None:
+    def _log_endpoint(self, record: Record, epoch: int, source: str) -> None:
         lapsed = record.presence is Presence.LAPSED
         self._log.write(
             ENDPOINT_LAPSED if lapsed else ENDPOINT_CHANGED,
--- a/tests/entry_boot_test.py
+++ b/tests/entry_boot_test.py
@@ -20,10 +20,10 @@
     Counters,
     Histograms,
 )
-from pollenmast.entry import Boot, Early, FirstRead
-from pollenmast.entry._boot import LOAD_RETRY_S
+from pollenmast.entry import Boot, BootComponents, FirstRead
+from pollenmast.entry._boot import LOAD_RETRY_DELAY_S
 from pollenmast.entry._carrier import BATCH, Carrier
-from pollenmast.entry._program import FIRST_READ_S, _Program
+from pollenmast.entry._program import FIRST_READ_TIMEOUT_S, _Program
 from pollenmast.events import EventLog, JsonSink
 from pollenmast.platform._packet import PlatformPackets
 from pollenmast.steering import DirectoryFault, Steering
@@ -36,19 +36,19 @@
 class _FirstRead(FirstRead):
     """Responds at a given poll, or never."""
 
-    def __init__(self, answer, at_look: int = 1):
-        self._answer = answer
-        self._at_look = at_look
-        self.looks = 0
+    def __init__(self, response, at_poll: int = 1):
+        self._response = response
+        self._at_poll = at_poll
+        self.polls = 0
         self.closed = False
 
     @property
     def begun(self):
-        return 0 < self.looks < self._at_look
+        return 0 < self.polls < self._at_poll
 
     def poll(self, wait_s):
-        self.looks += 1
-        return self._answer if self.looks >= self._at_look else None
+        self.polls += 1
+        return self._response if self.polls >= self._at_poll else None
 
     def close(self):
         self.closed = True
@@ -72,18 +72,18 @@
         self._address = sock.getsockname()
         stream = self._stream = io.BytesIO()
         log = EventLog("t", "vm", sink=JsonSink(stream))
-        self.core = Steering(group.ZONE, self._counters, random.Random(1))
+        self.steering = Steering(group.ZONE, self._counters, random.Random(1))
         carrier = Carrier(
-            sock, PlatformPackets(9), self.core, self._counters, log
+            sock, PlatformPackets(9), self.steering, self._counters, log
         )
-        parts = Early(
+        parts = BootComponents(
             None,
             self._counters,
             Histograms(),
             stream,
             log,
             random.Random(1),
-            self.core,
+            self.steering,
             carrier,
         )
         return Boot(parts, first_read)
@@ -94,27 +94,27 @@
                 syn = group.syn_datagram(group.flow(number))
                 client.sendto(syn, self._address)
 
-    def _carried(self) -> int:
+    def _forwarded(self) -> int:
         return self._counters.value(SEGMENTS)
 
     @parameterized.expand([("at_once", 1), ("slow", 3)])
-    def test_carried_while_loading(self, _, at_look):
+    def test_forwards_while_loading(self, _, at_poll):
         """Packets are forwarded before all modules have been loaded.
 
         After all VMs were killed, clients' packets wait in the sockets, and
         nobody is served until the first one is forwarded. The response of a
         slow directory is applied between two modules.
         """
-        first_read = _FirstRead(Ok(self._listing), at_look)
+        first_read = _FirstRead(Ok(self._listing), at_poll)
         boot = self._boot(first_read)
         self._send(3)
         boot.load(MODULES)
-        self.assertEqual(3, self._carried())
+        self.assertEqual(3, self._forwarded())
         self.assertTrue(first_read.closed)
-        self.assertEqual(at_look, first_read.looks)
-        self.assertLess(self.core.age_s(time.monotonic()), 5.0)
+        self.assertEqual(at_poll, first_read.polls)
+        self.assertLess(self.steering.age_s(time.monotonic()), 5.0)
 
-    def test_unusable_entry(self):
+    def test_invalid_entry_logged(self):
         """An entry that cannot be parsed is named in the log.
 
         The first response is the only complete list that a VM reads. Without
@@ -131,21 +131,21 @@
             ("silent", None, 1),
         ]
     )
-    def test_directory_away(self, _, answer, at_look):
+    def test_directory_unavailable(self, _, answer, at_poll):
         """The directory does not answer while a VM starts.
 
         Packets stay in the socket until the program has learned endpoints from
         other VMs. Clients would resend dropped packets only after 0.2 s.
         """
-        first_read = _FirstRead(answer, at_look)
+        first_read = _FirstRead(answer, at_poll)
         boot = self._boot(first_read)
         self._send(1)
         boot.load(MODULES)
-        self.assertEqual((False, 0), (self.core.ready, self._carried()))
+        self.assertEqual((False, 0), (self.steering.ready, self._forwarded()))
         self.assertTrue(first_read.closed)
-        self.core.apply(self._listing, 1.0)
+        self.steering.apply(self._listing, 1.0)
         boot.step()
-        self.assertEqual(1, self._carried())
+        self.assertEqual(1, self._forwarded())
 
     def test_narrow_link(self):
         """The response is still arriving when all modules are loaded.
@@ -157,18 +157,18 @@
         boot = self._boot(first_read)
         self._send(1)
         boot.load(MODULES)
-        self.assertEqual((True, False), (boot.pending, self.core.ready))
-        while first_read.looks < 99:
+        self.assertEqual((True, False), (boot.pending, self.steering.ready))
+        while first_read.polls < 99:
             boot.step()
-        self.assertEqual((False, 1), (boot.pending, self._carried()))
+        self.assertEqual((False, 1), (boot.pending, self._forwarded()))
 
-    def test_no_question(self):
+    def test_no_early_request(self):
         """Loading completes without an early request to the directory."""
         boot = self._boot(None)
         boot.load(MODULES)
-        self.assertFalse(self.core.ready)
+        self.assertFalse(self.steering.ready)
 
-    def test_flood(self):
+    def test_more_than_one_batch(self):
         """More packets wait than are forwarded in one batch.
 
         Loading continues between two batches: a VM that never finished loading
@@ -177,7 +177,7 @@
         boot = self._boot(_FirstRead(Ok(self._listing)))
         self._send(2 * BATCH + 5)
         boot.load(MODULES)
-        self.assertEqual(2 * BATCH + 5, self._carried())
+        self.assertEqual(2 * BATCH + 5, self._forwarded())
 
     @parameterized.expand([("once", 1), ("for_a_while", 3)])
     def test_module_fails(self, _, failures):
@@ -197,14 +197,14 @@
 
         with mock.patch.object(importlib, "import_module", load):
             boot.load(MODULES)
-        self.assertEqual(failures, self._carried())
+        self.assertEqual(failures, self._forwarded())
         self.assertEqual(failures + 1, loaded.count(MODULES[1]))
         self.assertEqual(MODULES[2], loaded[-1])
         self.assertEqual(
             failures, self._stream.getvalue().count(b"load_failed")
         )
 
-    def test_module_fails_before_carrying(self):
+    def test_module_fails_without_endpoints(self):
         """A module fails to load in a VM that knows no endpoint yet.
 
         It cannot forward packets, so that a restart is the quickest recovery.
@@ -213,7 +213,7 @@
         began = time.monotonic()
         names = (*MODULES, "pollenmast.no_such_module")
         self.assertRaises(ModuleNotFoundError, boot.load, names)
-        self.assertLess(time.monotonic() - began, LOAD_RETRY_S)
+        self.assertLess(time.monotonic() - began, LOAD_RETRY_DELAY_S)
 
     def test_module_missing(self):
         """The error of a module that can never be loaded is raised."""
@@ -232,18 +232,18 @@
         self.began = (round(anyio.current_time(), 1), known)
 
 
-class AwaitTest(TestCase):
+class FirstResponseTest(TestCase):
     """The event loop waits for a response that is still arriving."""
 
     @parameterized.expand(
         [
             ("whole", 0.5, None, (0.5, True)),
             ("told_by_a_vm", None, 0.3, (0.3, True)),
-            ("cut_off", None, None, (FIRST_READ_S, False)),
+            ("cut_off", None, None, (FIRST_READ_TIMEOUT_S, False)),
             ("known_already", 0.0, None, (0.0, True)),
         ]
     )
-    def test_begun(self, _, whole_at, told_at, expected):
+    def test_waits_for_response(self, _, whole_at, told_at, expected):
         """A thousand routes arrive over a narrow link while a VM starts.
 
         A second request would take as long. Data that another VM sends
@@ -252,25 +252,25 @@
         program = object.__new__(_Program)
         program._follower = _Follower()
 
-        class _Begun:
+        class _PartialResponse:
             pending = whole_at != 0.0
 
             def step(self):
                 if whole_at is not None and anyio.current_time() >= whole_at:
                     self.pending = False
 
-            def give_up(self):
+            def cancel_request(self):
                 self.pending = False
 
-        class _Beliefs:
+        class _Steering:
             @property
             def ready(self):
                 now = anyio.current_time()
                 times = (whole_at, told_at)
                 return any(at is not None and now >= at for at in times)
 
-        program._boot, program._steering = _Begun(), _Beliefs()
+        program._boot, program._steering = _PartialResponse(), _Steering()
         clock = trio.testing.MockClock(autojump_threshold=0)
-        trio.run(program._follow, clock=clock)
+        trio.run(program._follow_directory, clock=clock)
         self.assertEqual(expected, program._follower.began)
         self.assertFalse(program._boot.pending)
--- a/tests/entry_metrics_test.py
+++ b/tests/entry_metrics_test.py
@@ -46,16 +46,16 @@
     )
     def test_gauges(self, _, line):
         """Gauges expose a VM's state and its age, to compare VMs."""
-        core = group.steering(group.endpoint(1), epoch=3)
+        steering = group.steering(group.endpoint(1), epoch=3)
         drained = ZoneDrained(group.ZONE, 10)
-        core.apply(Update((drained,), 10, epoch=3), 1.0)
-        known = gauges.read(core, 2.5)
-        text = metrics.text(c.Counters(), c.Histograms(), known).decode()
+        steering.apply(Update((drained,), 10, epoch=3), 1.0)
+        samples = gauges.read(steering, 2.5)
+        text = metrics.text(c.Counters(), c.Histograms(), samples).decode()
         self.assertIn(line, text.splitlines())
 
     def test_gauges_at_start(self):
         """The state of a VM that has read nothing yet has no age."""
-        core = Steering(group.ZONE, c.Counters(), random.Random(1))
-        known = gauges.read(core, 2.5)
-        text = metrics.text(c.Counters(), c.Histograms(), known).decode()
+        steering = Steering(group.ZONE, c.Counters(), random.Random(1))
+        samples = gauges.read(steering, 2.5)
+        text = metrics.text(c.Counters(), c.Histograms(), samples).decode()
         self.assertIn("pollenmast_beliefs_age_seconds NaN", text.splitlines())
--- a/tests/entry_process_test.py
+++ b/tests/entry_process_test.py
@@ -28,7 +28,7 @@
 _STORE = (f"{_NET}.2.1", 8169)
 _PACKETS, _READY, _CONTROL, _GOSSIP = 8172, 8167, 8166, 7720
 _SERVICE = ("198.18.0.1", 443)
-_WITHIN_S = 15.0
+_TIMEOUT_S = 15.0
 _CONFIGURATION = {
     "version": 3,
     "routeTable": [
@@ -96,13 +96,13 @@
         await connection.aclose()
         return answer.ok_value.status if answer.is_ok() else 0
 
-    async def until(self, status: int) -> None:
-        with anyio.fail_after(_WITHIN_S):
+    async def wait_for_status(self, status: int) -> None:
+        with anyio.fail_after(_TIMEOUT_S):
             while await self.status() != status:
                 await anyio.sleep(0.02)
 
-    async def ended(self) -> int:
-        with anyio.fail_after(_WITHIN_S):
+    async def wait_for_exit(self) -> int:
+        with anyio.fail_after(_TIMEOUT_S):
             while self.process.poll() is None:
                 await anyio.sleep(0.02)
         return self.process.returncode
@@ -117,7 +117,7 @@
 
 
 @attrs.define
-class _World:
+class _Testbed:
     store: Store
     endpoints: list[Endpoint]
     vms: list[_Vm]
@@ -139,7 +139,7 @@
 
 
 @contextlib.asynccontextmanager
-async def _world(vms: int, read_log: bool = True):
+async def _running_testbed(vms: int, read_log: bool = True):
     store = Store()
     store.put("op/config", _CONFIGURATION)
     endpoints = [
@@ -163,8 +163,8 @@
                 for vm in fleet:
                     vm.start()
                 for vm in fleet:
-                    await vm.until(200)
-                yield _World(store, endpoints, fleet, scopes, client)
+                    await vm.wait_for_status(200)
+                yield _Testbed(store, endpoints, fleet, scopes, client)
             finally:
                 for vm in fleet:
                     vm.kill()
@@ -182,26 +182,28 @@
 class ProgramTest(TestCase):
     """What clients receive during failures."""
 
-    def _play(self, script, vms: int = 2, read_log: bool = True) -> None:
+    def _run_scenario(
+        self, scenario, vms: int = 2, read_log: bool = True
+    ) -> None:
         async def main() -> None:
-            async with _world(vms, read_log) as world:
-                await script(world)
+            async with _running_testbed(vms, read_log) as testbed:
+                await scenario(testbed)
 
         anyio.run(main)
 
-    def test_any_vm(self):
+    def test_flow_through_any_vm(self):
         """A flow's packets reach its endpoint through any VM."""
 
-        async def script(world: _World) -> None:
-            flow = world.flow()
-            self.assertTrue(await flow.open(world.addresses(0)))
-            first = await flow.ask(world.addresses(0), b"one")
-            second = await flow.ask(world.addresses(1), b"two")
+        async def scenario(testbed: _Testbed) -> None:
+            flow = testbed.flow()
+            self.assertTrue(await flow.open(testbed.addresses(0)))
+            first = await flow.ask(testbed.addresses(0), b"one")
+            second = await flow.ask(testbed.addresses(1), b"two")
             self.assertEqual(first, second)
-            ran = [data for each in world.endpoints for data in each.ran]
+            ran = [data for each in testbed.endpoints for data in each.ran]
             self.assertEqual([b"one", b"two"], ran)
 
-        self._play(script)
+        self._run_scenario(scenario)
 
     def test_graceful_shutdown(self):
         """A VM that shuts down still forwards the packets it receives.
@@ -210,15 +212,15 @@
         requests at each planned change.
         """
 
-        async def script(world: _World) -> None:
-            flow = world.flow()
-            await flow.open(world.addresses(0))
-            world.vms[0].process.send_signal(signal.SIGTERM)
-            await world.vms[0].until(503)
-            self.assertTrue(await flow.ask(world.addresses(0), b"late"))
-            self.assertEqual(0, await world.vms[0].ended())
+        async def scenario(testbed: _Testbed) -> None:
+            flow = testbed.flow()
+            await flow.open(testbed.addresses(0))
+            testbed.vms[0].process.send_signal(signal.SIGTERM)
+            await testbed.vms[0].wait_for_status(503)
+            self.assertTrue(await flow.ask(testbed.addresses(0), b"late"))
+            self.assertEqual(0, await testbed.vms[0].wait_for_exit())
 
-        self._play(script, vms=1)
+        self._run_scenario(scenario, vms=1)
 
     def test_restart_without_store(self):
         """A VM is killed and restarted while the store is down.
@@ -227,16 +229,16 @@
         would wait until the store is back.
         """
 
-        async def script(world: _World) -> None:
-            world.store.fault = Fault.DOWN
-            world.vms[0].kill()
-            world.vms[0].start()
-            await world.vms[0].until(200)
-            flow = world.flow()
-            self.assertTrue(await flow.open(world.addresses(0)))
-            self.assertTrue(await flow.ask(world.addresses(0), b"one"))
+        async def scenario(testbed: _Testbed) -> None:
+            testbed.store.fault = Fault.DOWN
+            testbed.vms[0].kill()
+            testbed.vms[0].start()
+            await testbed.vms[0].wait_for_status(200)
+            flow = testbed.flow()
+            self.assertTrue(await flow.open(testbed.addresses(0)))
+            self.assertTrue(await flow.ask(testbed.addresses(0), b"one"))
 
-        self._play(script)
+        self._run_scenario(scenario)
 
     def test_endpoint_dies(self):
         """An endpoint's process dies while a client's flow is idle.
@@ -245,64 +247,64 @@
         repeated, uses a working flow.
         """
 
-        async def script(world: _World) -> None:
-            idle = world.flow()
-            await idle.open(world.addresses(0))
-            name = (await idle.ask(world.addresses(0), b"one")).decode()
-            dead = [e.name for e in world.endpoints].index(name)
-            world.scopes[dead].cancel()
+        async def scenario(testbed: _Testbed) -> None:
+            idle = testbed.flow()
+            await idle.open(testbed.addresses(0))
+            name = (await idle.ask(testbed.addresses(0), b"one")).decode()
+            dead = [e.name for e in testbed.endpoints].index(name)
+            testbed.scopes[dead].cancel()
             await anyio.sleep(0.1)
             # Another client's request detects the failure.
             for _ in range(4):
-                await world.flow().open(world.addresses(0))
-            self.assertTrue(await idle.ended(_WITHIN_S))
-            flow = world.flow()
-            self.assertTrue(await flow.open(world.addresses(0)))
-            answer = await flow.ask(world.addresses(0), b"two")
-            self.assertEqual(world.endpoints[1 - dead].name, answer.decode())
+                await testbed.flow().open(testbed.addresses(0))
+            self.assertTrue(await idle.ended(_TIMEOUT_S))
+            flow = testbed.flow()
+            self.assertTrue(await flow.open(testbed.addresses(0)))
+            answer = await flow.ask(testbed.addresses(0), b"two")
+            self.assertEqual(testbed.endpoints[1 - dead].name, answer.decode())
 
-        self._play(script, vms=1)
+        self._run_scenario(scenario, vms=1)
 
-    def test_paused(self):
+    def test_process_suspended(self):
         """The configuration changes while a VM's process is suspended.
 
         It resumes with the old configuration; callers of the removed route
         must soon be refused.
         """
 
-        async def script(world: _World) -> None:
-            process = world.vms[0].process
+        async def scenario(testbed: _Testbed) -> None:
+            process = testbed.vms[0].process
             process.send_signal(signal.SIGSTOP)
             removed = {**_CONFIGURATION, "version": 9, "routeTable": []}
-            world.store.put("op/config", removed)
+            testbed.store.put("op/config", removed)
             await anyio.sleep(1.5)
             process.send_signal(signal.SIGCONT)
-            with anyio.fail_after(_WITHIN_S):
-                while await world.flow().open(world.addresses(0)):
+            with anyio.fail_after(_TIMEOUT_S):
+                while await testbed.flow().open(testbed.addresses(0)):
                     await anyio.sleep(0.05)
 
-        self._play(script, vms=1)
+        self._run_scenario(scenario, vms=1)
 
     @parameterized.expand([("not_read", False), ("read", True)])
-    def test_log_reader(self, _, read_log):
+    def test_log_not_read(self, _, read_log):
         """Packets are forwarded even if nobody reads the log.
 
         A pipe holds 64 KiB; once it is full, a blocking write would stop every
         flow.
         """
 
-        async def script(world: _World) -> None:
+        async def scenario(testbed: _Testbed) -> None:
             sock = bind(f"{_NET}.1.8", 9)
             for _ in range(30):
                 for number in range(100):
-                    sock.sendto(b"junk" * number, world.vms[0].address)
+                    sock.sendto(b"junk" * number, testbed.vms[0].address)
                 await anyio.sleep(0.05)
             sock.close()
-            flow = world.flow()
-            self.assertTrue(await flow.open(world.addresses(0)))
-            self.assertTrue(await flow.ask(world.addresses(0), b"one"))
+            flow = testbed.flow()
+            self.assertTrue(await flow.open(testbed.addresses(0)))
+            self.assertTrue(await flow.ask(testbed.addresses(0), b"one"))
 
-        self._play(script, vms=1, read_log=read_log)
+        self._run_scenario(scenario, vms=1, read_log=read_log)
 
     def test_signal_reload_at_start(self):
         """SIGHUP for changed settings arrives while a VM is still starting.
@@ -311,27 +313,29 @@
         platform then restarted it, and clients had one VM fewer meanwhile.
         """
 
-        async def script(world: _World) -> None:
-            vm = world.vms[0]
+        async def scenario(testbed: _Testbed) -> None:
+            vm = testbed.vms[0]
             vm.kill()
             vm.start()
-            with anyio.fail_after(_WITHIN_S):
+            with anyio.fail_after(_TIMEOUT_S):
                 while not _has_packet_port(vm):
                     await anyio.sleep(0.001)
             vm.process.send_signal(signal.SIGHUP)
-            await vm.until(200)
+            await vm.wait_for_status(200)
             self.assertIsNone(vm.process.poll())
 
-        self._play(script, vms=1)
+        self._run_scenario(scenario, vms=1)
 
     def test_signal_reload(self):
         """SIGHUP for changed settings leaves the process running and ready."""
 
-        async def script(world: _World) -> None:
-            world.vms[0].process.send_signal(signal.SIGHUP)
-            with anyio.fail_after(_WITHIN_S):
-                while b"settings_reloaded" not in world.vms[0].log.read_bytes():
+        async def scenario(testbed: _Testbed) -> None:
+            testbed.vms[0].process.send_signal(signal.SIGHUP)
+            with anyio.fail_after(_TIMEOUT_S):
+                while (
+                    b"settings_reloaded" not in testbed.vms[0].log.read_bytes()
+                ):
                     await anyio.sleep(0.02)
-            self.assertEqual(200, await world.vms[0].status())
+            self.assertEqual(200, await testbed.vms[0].status())
 
-        self._play(script, vms=1)
+        self._run_scenario(scenario, vms=1)
