--- a/src/pollenmast/entry/__init__.py
+++ b/src/pollenmast/entry/__init__.py
@@ -16,13 +16,13 @@
 )
 
 
-def run(parts: BootComponents, ports: Ports, boot: Boot) -> int:
+def run(components: BootComponents, ports: Ports, boot: Boot) -> int:
     """Runs the program of a VM until it is stopped; returns its exit code."""
     # Not imported at the top, as `Boot.load` loads it while packets are
     # forwarded.
     from pollenmast.entry import _program
 
-    return _program.run(parts, ports, boot)
+    return _program.run(components, ports, boot)
 
 
 __all__ = [
--- a/src/pollenmast/entry/_boot.py
+++ b/src/pollenmast/entry/_boot.py
@@ -142,8 +142,10 @@
 class Boot:
     """Loads the program and forwards packets after each module."""
 
-    def __init__(self, parts: BootComponents, first_read: FirstRead | None):
-        self._parts = parts
+    def __init__(
+        self, components: BootComponents, first_read: FirstRead | None
+    ):
+        self._components = components
         self._first_read = first_read
 
     @property
@@ -178,8 +180,8 @@
             if response is not None:
                 self.cancel_request()
                 self._apply_response(response)
-        if self._parts.steering.ready:
-            self._parts.carrier.carry_waiting(_now())
+        if self._components.steering.ready:
+            self._components.carrier.carry_waiting(_now())
 
     def cancel_request(self) -> None:
         """Stops waiting for the directory's response."""
@@ -196,16 +198,16 @@
                 return
             # Code at module level may raise any exception.
             except Exception as error:
-                self._parts.log.write(
+                self._components.log.write(
                     LOAD_FAILED, module=name, error=repr(error)
                 )
-                if not self._parts.steering.ready or _now() >= deadline:
-                    self._parts.stream.flush()
+                if not self._components.steering.ready or _now() >= deadline:
+                    self._components.stream.flush()
                     raise
             self._forward_until(_now() + LOAD_RETRY_DELAY_S)
 
     def _forward_until(self, deadline: float) -> None:
-        sock = self._parts.carrier.sock
+        sock = self._components.carrier.sock
         while (left_s := deadline - _now()) > 0.0:
             select.select([sock], [], [], left_s)
             self.step()
@@ -215,10 +217,10 @@
             # The program repeats the request and logs a fault.
             return
         now = _now()
-        steering = self._parts.steering
+        steering = self._components.steering
         applied = steering.apply(response.ok_value, now)
         steering.on_confirmed(now)
-        update, update_log = response.ok_value, UpdateLog(self._parts.log)
+        update, update_log = response.ok_value, UpdateLog(self._components.log)
         update_log.log_refused(update, "directory")
         update_log.log_zones(applied, update.epoch, "directory")
         update_log.log_routes(applied, update.position, "directory")
--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -154,7 +154,7 @@
         """
         self._has_read = known
         if known:
-            self._draw_stale_after()
+            self._randomize_stale_after()
             await anyio.sleep(READER_DISCOVERY_S)
         else:
             self._lost_at = anyio.current_time()
@@ -205,7 +205,7 @@
         left_s = self._stale_after_s - age_s
         return min(max(left_s, MIN_IDLE_S), MAX_IDLE_S)
 
-    def _draw_stale_after(self) -> None:
+    def _randomize_stale_after(self) -> None:
         fraction = STALE_PART + STALE_JITTER * self._rng.random()
         self._stale_after_s = fraction * self._apply_s
 
@@ -215,13 +215,13 @@
             return
         # The revision may come from a peer; a watch from there misses nothing.
         asked_at = anyio.current_time()
-        answer = self._reject_stale(await self._ask())
+        answer = self._reject_earlier_epoch(await self._ask())
         if isinstance(answer, Err):
             await self._on_fault(answer.err_value)
             return
         self._reread_delay_s = 0.0
         self._has_read = True
-        self._draw_stale_after()
+        self._randomize_stale_after()
         self._update_lagging(answer.ok_value)
         self._on_answer(answer.ok_value, asked_at)
         if answer.ok_value.changes:
@@ -264,12 +264,12 @@
         await anyio.sleep(self._reread_delay_s)
         self._reread_delay_s = _next_delay_s(self._reread_delay_s)
         asked_at = anyio.current_time()
-        answer = self._reject_stale(await self._read_all())
+        answer = self._reject_earlier_epoch(await self._read_all())
         if not isinstance(answer, Err):
             self._on_answer(answer.ok_value, asked_at)
         return answer
 
-    def _reject_stale(
+    def _reject_earlier_epoch(
         self, answer: Result[Update, DirectoryFault]
     ) -> Result[Update, DirectoryFault]:
         """Rejects a response if peers have since reported a later epoch."""
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -56,25 +56,27 @@
 class _Program:
     """One running VM."""
 
-    def __init__(self, parts: BootComponents, ports: Ports, boot: Boot):
+    def __init__(self, components: BootComponents, ports: Ports, boot: Boot):
         self._boot = boot
-        self._settings = parts.settings
+        self._settings = components.settings
         self._ports = ports
-        self._counters = parts.counters
-        self._histograms = parts.histograms
-        self._stream = parts.stream
-        self._log = parts.log
-        self._rng = parts.rng
-        self._steering = parts.steering
-        self._carrier = parts.carrier
+        self._counters = components.counters
+        self._histograms = components.histograms
+        self._stream = components.stream
+        self._log = components.log
+        self._rng = components.rng
+        self._steering = components.steering
+        self._carrier = components.carrier
         self._site = Site(
-            parts.settings.ready_path,
-            parts.steering,
-            parts.counters,
-            parts.histograms,
+            components.settings.ready_path,
+            components.steering,
+            components.counters,
+            components.histograms,
         )
         self._pauses = PauseWatch()
-        self._packets = PacketLoop(parts.carrier, parts.steering, self._pauses)
+        self._packets = PacketLoop(
+            components.carrier, components.steering, self._pauses
+        )
         self._checker = Checker(
             ports.probe,
             self._steering,
@@ -230,11 +232,11 @@
             self._stream.flush()
 
 
-def run(parts: BootComponents, ports: Ports, boot: Boot) -> int:
+def run(components: BootComponents, ports: Ports, boot: Boot) -> int:
     """Runs the program of a VM until it is stopped.
 
     Args:
-        parts: The components that the first stage created.
+        components: The components that the first stage created.
         ports: Interfaces to the platform that the program runs on.
         boot: The first stage, whose response from the directory may still be
             arriving.
@@ -246,13 +248,13 @@
     # each garbage collection would only delay packets.
     gc.freeze()
     gc.enable()
-    return anyio.run(_run, parts, ports, boot)
+    return anyio.run(_run, components, ports, boot)
 
 
-async def _run(parts: BootComponents, ports: Ports, boot: Boot) -> int:
+async def _run(components: BootComponents, ports: Ports, boot: Boot) -> int:
     try:
-        return await _Program(parts, ports, boot).run()
+        return await _Program(components, ports, boot).run()
     except* OSError as group:
         for error in group.exceptions:
-            parts.log.write(START_FAILED, error=str(error))
+            components.log.write(START_FAILED, error=str(error))
     return EXIT_FAILED
--- a/src/pollenmast/entry/_snapshot.py
+++ b/src/pollenmast/entry/_snapshot.py
@@ -41,7 +41,7 @@
 """Maximum size of a decompressed body: four times what 11,000 endpoints and
 2,500 routes take, and little compared with the memory of a VM."""
 
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 """Compression level of zlib. Compressing 47 kB takes 0.4 ms at this level; a
 result that is smaller by a sixth would take 0.6 ms."""
 
@@ -65,7 +65,7 @@
         changes = _full_state(steering)
     epoch, revision = attrs.astuple(steering.position)
     body = (FORMAT, epoch, revision, whole, [_pack(c) for c in changes])
-    return zlib.compress(msgpack.packb(body), _LEVEL)
+    return zlib.compress(msgpack.packb(body), _COMPRESSION_LEVEL)
 
 
 def changes_since(
@@ -84,10 +84,10 @@
         body = inflater.decompress(data, MOST_BYTES)
         if not inflater.eof:
             return Err("truncated, or too long when inflated")
-        number, epoch, revision, whole, changes = msgpack.unpackb(body)
-        if number != FORMAT or not _are_non_negative_ints(epoch, revision):
+        version, epoch, revision, whole, changes = msgpack.unpackb(body)
+        if version != FORMAT or not _are_non_negative_ints(epoch, revision):
             return Err(
-                f"unsupported format or invalid position: format {number!r}"
+                f"unsupported format or invalid position: format {version!r}"
             )
         unpacked = tuple(_unpack(*each) for each in changes)
         return Ok(Update(unpacked, revision, whole is True, epoch=epoch))
@@ -154,9 +154,9 @@
     if kind == _REMOVED:
         return EndpointRemoved(str(value), revision)
     if kind == _ROUTES:
-        return RoutesPublished(_table(*value), revision)
+        return RoutesPublished(_unpack_table(*value), revision)
     if kind == _ROUTES_CHANGED:
-        return _routes_changed(*value, revision)
+        return _unpack_routes_changed(*value, revision)
     if kind == _DRAINED:
         return ZoneDrained(str(value), revision)
     if kind == _RESTORED:
@@ -164,45 +164,49 @@
     raise ValueError(f"unknown kind of change: {kind!r}")
 
 
-def _routes_changed(
+def _unpack_routes_changed(
     base: int,
     version: int,
     routes: list[Any],
     removed: list[Any],
-    paths: dict[str, str],
-    idle_s: float,
+    health_paths: dict[str, str],
+    idle_timeout_s: float,
     warmups: dict[str, Any],
     revision: int,
 ) -> RoutesChanged:
     if not isinstance(base, int) or not isinstance(version, int):
         raise ValueError("version is not an integer")
     removed_addresses = tuple((str(host), int(port)) for host, port in removed)
-    changed = tuple(_route(*each) for each in routes)
+    changed = tuple(_unpack_route(*each) for each in routes)
     return RoutesChanged(
         base,
         version,
         changed,
         removed_addresses,
-        dict(paths),
-        float(idle_s),
+        dict(health_paths),
+        float(idle_timeout_s),
         _unpack_warmups(warmups),
         revision,
     )
 
 
-def _table(
+def _unpack_table(
     version: int,
     routes: list[Any],
-    paths: dict[str, str],
-    idle_s: float,
+    health_paths: dict[str, str],
+    idle_timeout_s: float,
     warmups: dict[str, Any],
 ) -> RouteTable:
     by_address = {}
     for each in routes:
-        route = _route(*each)
+        route = _unpack_route(*each)
         by_address[route.host, route.port] = route
     return RouteTable(
-        version, by_address, paths, idle_s, _unpack_warmups(warmups)
+        version,
+        by_address,
+        health_paths,
+        idle_timeout_s,
+        _unpack_warmups(warmups),
     )
 
 
@@ -217,7 +221,7 @@
     }
 
 
-def _route(
+def _unpack_route(
     name: str, host: str, port: int, splits: list[Any], idempotent: bool
 ) -> Route:
     return Route(name, host, port, tuple(Split(*s) for s in splits), idempotent)
--- a/tests/entry_boot_test.py
+++ b/tests/entry_boot_test.py
@@ -76,7 +76,7 @@
         carrier = Carrier(
             sock, PlatformPackets(9), self.steering, self._counters, log
         )
-        parts = BootComponents(
+        components = BootComponents(
             None,
             self._counters,
             Histograms(),
@@ -86,7 +86,7 @@
             self.steering,
             carrier,
         )
-        return Boot(parts, first_read)
+        return Boot(components, first_read)
 
     def _send(self, flows: int) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as client:
