--- a/src/pollenmast/entry/_site.py
+++ b/src/pollenmast/entry/_site.py
@@ -1,4 +1,4 @@
-"""The HTTP endpoints of a VM: readiness, snapshots for peers, and metrics."""
+"""HTTP responses of a VM: readiness, snapshots for peers, and metrics."""
 
 import urllib.parse
 
--- a/tests/entry_boot_test.py
+++ b/tests/entry_boot_test.py
@@ -243,7 +243,7 @@
             ("known_already", 0.0, None, (0.0, True)),
         ]
     )
-    def test_waits_for_response(self, _, whole_at, told_at, expected):
+    def test_waits_for_response(self, _, complete_at, peer_sent_at, expected):
         """A thousand routes arrive over a narrow link while a VM starts.
 
         A second request would take as long. Data that another VM sends
@@ -253,10 +253,13 @@
         program._follower = _Follower()
 
         class _PartialResponse:
-            pending = whole_at != 0.0
+            pending = complete_at != 0.0
 
             def step(self):
-                if whole_at is not None and anyio.current_time() >= whole_at:
+                if (
+                    complete_at is not None
+                    and anyio.current_time() >= complete_at
+                ):
                     self.pending = False
 
             def cancel_request(self):
@@ -266,7 +269,7 @@
             @property
             def ready(self):
                 now = anyio.current_time()
-                times = (whole_at, told_at)
+                times = (complete_at, peer_sent_at)
                 return any(at is not None and now >= at for at in times)
 
         program._boot, program._steering = _PartialResponse(), _Steering()
