--- a/src/pollenmast/entry/__init__.py
+++ b/src/pollenmast/entry/__init__.py
@@ -1,9 +1,9 @@
-"""The program of a VM whose packets name their endpoint by a token.
+"""The program of a VM whose packets identify their endpoint by a token.
 
-`run` loads most of the program, and packets are carried meanwhile: see `_boot`.
+Most of the program is loaded while packets are already forwarded; see `_boot`.
 """
 
-from pollenmast.entry._boot import Boot, Early, FirstRead, early
+from pollenmast.entry._boot import Boot, BootComponents, FirstRead, early
 from pollenmast.entry._ports import (
     EXIT_FAILED,
     EXIT_OK,
@@ -16,12 +16,13 @@
 )
 
 
-def run(parts: Early, ports: Ports, boot: Boot) -> int:
+def run(components: BootComponents, ports: Ports, boot: Boot) -> int:
     """Runs the program of a VM until it is stopped; returns its exit code."""
-    # Loaded by then, or only now: `Boot` decides when.
+    # Not imported at the top, as `Boot.load` loads it while packets are
+    # forwarded.
     from pollenmast.entry import _program
 
-    return _program.run(parts, ports, boot)
+    return _program.run(components, ports, boot)
 
 
 __all__ = [
@@ -30,7 +31,7 @@
     "EXIT_SETTINGS",
     "Address",
     "Boot",
-    "Early",
+    "BootComponents",
     "EntrySettings",
     "FirstRead",
     "HealthProbe",
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -1,4 +1,4 @@
-"""The program of a VM: joins socket, directory, peers, checks and signals."""
+"""The program of a VM: packets, directory, peers, health checks and signals."""
 
 import gc
 import signal
@@ -10,7 +10,7 @@
 
 from pollenmast import http1
 from pollenmast.counters import EJECTIONS
-from pollenmast.entry._boot import Boot, Early
+from pollenmast.entry._boot import Boot, BootComponents
 from pollenmast.entry._checks import Checker
 from pollenmast.entry._follow import Follower
 from pollenmast.entry._gossip import Gossip
@@ -31,46 +31,52 @@
 )
 from pollenmast.steering import Record
 
-LEAVE_S = 1.8
-"""How long a stopping VM goes on carrying packets: readiness is asked twice a
-second and two refusals take a VM out; what is under way then still arrives
-for tenths of a second."""
+SHUTDOWN_DRAIN_S = 1.8
+"""How long a VM that shuts down keeps forwarding packets, in seconds. Readiness
+is polled twice a second and two negative responses take a VM out of rotation.
+Packets in transit still arrive for some tenths of a second after that."""
 
-LEAVE_PART = 0.5
-"""The same as a part of the time until the process is killed, if less."""
+MAX_SHUTDOWN_DRAIN_FRACTION = 0.5
+"""Upper bound of that time, as a fraction of the time until the process is
+killed."""
 
-FIRST_READ_S = 1.0
-"""How long an answer is awaited that has begun to arrive: 600 kB, two thousand
-routes, at 5 Mbit/s. Another VM of the zone has mostly told the same by then."""
+FIRST_READ_TIMEOUT_S = 1.0
+"""How long to wait for the rest of the directory's first response, in seconds:
+enough for 600 kB, which is two thousand routes, at 5 Mbit/s. Another VM of the
+availability zone has usually sent the same data by then."""
 
-FIRST_READ_TICK_S = 0.01
+FIRST_READ_POLL_S = 0.01
+"""Interval at which that response is polled, in seconds."""
 
-UPKEEP_S = 0.5
-"""Between two rounds of forgetting and of writing out the log."""
+MAINTENANCE_INTERVAL_S = 0.5
+"""Interval between two rounds of expiring old state and flushing the log, in
+seconds."""
 
 
 class _Program:
     """One running VM."""
 
-    def __init__(self, parts: Early, ports: Ports, boot: Boot):
+    def __init__(self, components: BootComponents, ports: Ports, boot: Boot):
         self._boot = boot
-        self._settings = parts.settings
+        self._settings = components.settings
         self._ports = ports
-        self._counters = parts.counters
-        self._histograms = parts.histograms
-        self._stream = parts.stream
-        self._log = parts.log
-        self._rng = parts.rng
-        self._steering = parts.steering
-        self._carrier = parts.carrier
+        self._counters = components.counters
+        self._histograms = components.histograms
+        self._stream = components.stream
+        self._log = components.log
+        self._rng = components.rng
+        self._steering = components.steering
+        self._carrier = components.carrier
         self._site = Site(
-            parts.settings.ready_path,
-            parts.steering,
-            parts.counters,
-            parts.histograms,
+            components.settings.ready_path,
+            components.steering,
+            components.counters,
+            components.histograms,
         )
         self._pauses = PauseWatch()
-        self._packets = PacketLoop(parts.carrier, parts.steering, self._pauses)
+        self._packets = PacketLoop(
+            components.carrier, components.steering, self._pauses
+        )
         self._checker = Checker(
             ports.probe,
             self._steering,
@@ -87,11 +93,11 @@
             self._counters,
             self._log,
         )
-        self._join_fleet()
+        self._create_update_sources()
         self._pauses.notify(self._on_pause)
 
-    def _join_fleet(self) -> None:
-        """Makes what learns from the directory and from other VMs."""
+    def _create_update_sources(self) -> None:
+        """Creates the components that follow the directory and other VMs."""
         settings = self._settings
         self._follower = Follower(
             self._ports.directory,
@@ -130,8 +136,8 @@
         signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
         with anyio.open_signal_receiver(*signals) as received:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._follow)
-                await self._listen(tasks)
+                tasks.start_soon(self._follow_directory)
+                await self._start_http_servers(tasks)
                 tasks.start_soon(self._packets.run)
                 tasks.start_soon(self._peers.run)
                 tasks.start_soon(self._peers.catch_up)
@@ -141,8 +147,8 @@
                 tasks.start_soon(self._checker.run)
                 tasks.start_soon(self._reach_watch.run)
                 tasks.start_soon(self._pauses.run)
-                tasks.start_soon(self._upkeep)
-                await self._obey(received)
+                tasks.start_soon(self._run_maintenance)
+                await self._handle_signals(received)
                 tasks.cancel_scope.cancel()
         self._carrier.close()
         self._gossip.close()
@@ -151,16 +157,16 @@
         self._stream.flush()
         return EXIT_OK
 
-    async def _follow(self) -> None:
-        """Follows the directory, once its first answer is taken in."""
-        with anyio.move_on_after(FIRST_READ_S):
+    async def _follow_directory(self) -> None:
+        """Waits for the directory's first response, then follows it."""
+        with anyio.move_on_after(FIRST_READ_TIMEOUT_S):
             while self._boot.pending and not self._steering.ready:
                 self._boot.step()
-                await anyio.sleep(FIRST_READ_TICK_S)
-        self._boot.give_up()
+                await anyio.sleep(FIRST_READ_POLL_S)
+        self._boot.cancel_request()
         await self._follower.run(known=self._steering.ready)
 
-    async def _listen(self, tasks: anyio.abc.TaskGroup) -> None:
+    async def _start_http_servers(self, tasks: anyio.abc.TaskGroup) -> None:
         addresses = {self._settings.ready, self._settings.metrics}
         if self._settings.control is not None:
             addresses.add(self._settings.control)
@@ -170,25 +176,28 @@
             )
             tasks.start_soon(http1.serve, listener, self._site.answer)
 
-    async def _obey(self, received: AsyncIterator[int]) -> None:
-        """Handles signals; returns when it is time to end."""
+    async def _handle_signals(self, received: AsyncIterator[int]) -> None:
+        """Handles signals; returns when the process has to exit."""
         async for number in received:
             if number != signal.SIGHUP:
                 break
             self._reload()
-        leave_s = min(LEAVE_S, LEAVE_PART * self._settings.grace_s)
+        drain_s = min(
+            SHUTDOWN_DRAIN_S,
+            MAX_SHUTDOWN_DRAIN_FRACTION * self._settings.grace_s,
+        )
         self._site.stop()
-        self._log.write(STOPPING, leave_s=leave_s)
-        with anyio.move_on_after(leave_s):
+        self._log.write(STOPPING, leave_s=drain_s)
+        with anyio.move_on_after(drain_s):
             async for number in received:
                 if number != signal.SIGHUP:
                     return
 
     def _reload(self) -> None:
-        """Reads the settings again; they only matter at the next start.
+        """Validates the settings file; changes apply only at the next start.
 
-        Addresses and the availability zone of a running VM do not change, so
-        the signal is answered by a check that the file is still valid.
+        The addresses and the availability zone of a running VM do not change,
+        so the signal only triggers a check that the file is still valid.
         """
         loaded = self._ports.load()
         if isinstance(loaded, Err):
@@ -215,36 +224,37 @@
         self._gossip.discard_waiting()
         self._follower.refresh()
 
-    async def _upkeep(self) -> None:
+    async def _run_maintenance(self) -> None:
         while True:
-            await anyio.sleep(UPKEEP_S)
+            await anyio.sleep(MAINTENANCE_INTERVAL_S)
             self._steering.tick(anyio.current_time())
             self._follower.settle()
             self._stream.flush()
 
 
-def run(parts: Early, ports: Ports, boot: Boot) -> int:
+def run(components: BootComponents, ports: Ports, boot: Boot) -> int:
     """Runs the program of a VM until it is stopped.
 
     Args:
-        parts: What the first stage has made.
-        ports: What the program needs from the place it runs in.
-        boot: The first stage, whose answer may still be arriving.
+        components: The components that the first stage created.
+        ports: Interfaces to the platform that the program runs on.
+        boot: The first stage, whose response from the directory may still be
+            arriving.
 
     Returns:
         The exit code: 0 after a graceful shutdown, 1 if it could not start.
     """
-    # Start-up objects live as long as the process; walking them in each
-    # collection would only delay packets.
+    # Objects created at start-up live as long as the process; scanning them in
+    # each garbage collection would only delay packets.
     gc.freeze()
     gc.enable()
-    return anyio.run(_run, parts, ports, boot)
+    return anyio.run(_run, components, ports, boot)
 
 
-async def _run(parts: Early, ports: Ports, boot: Boot) -> int:
+async def _run(components: BootComponents, ports: Ports, boot: Boot) -> int:
     try:
-        return await _Program(parts, ports, boot).run()
+        return await _Program(components, ports, boot).run()
     except* OSError as group:
         for error in group.exceptions:
-            parts.log.write(START_FAILED, error=str(error))
+            components.log.write(START_FAILED, error=str(error))
     return EXIT_FAILED
--- a/src/pollenmast/entry/_snapshot.py
+++ b/src/pollenmast/entry/_snapshot.py
@@ -1,9 +1,10 @@
-"""What one VM tells another of endpoints and routes, as msgpack.
+"""Encodes endpoints and routes for another VM, as compressed msgpack.
 
-Load pattern: a configuration grows by a thousand routes and a reader tells
-each VM of its zone. Packed plainly, the routes are 37 kB a VM: 15 of them
-take a link of 5 Mbit/s for 0.9 s, in which clients' packets are lost. Host
-and service names repeat, so that deflated they are a quarter of that.
+When a configuration grows by a thousand routes, a reader sends them to each VM
+of its availability zone. Uncompressed, the routes are 37 kB per VM: sending
+them to 15 VMs occupies a link of 5 Mbit/s for 0.9 s, during which clients'
+packets are lost. Host and service names repeat, so that compression reduces
+this to a quarter.
 """
 
 import zlib
@@ -33,49 +34,61 @@
 )
 
 FORMAT = 6
-"""Number of this format; another one is refused, and the directory asked."""
+"""Version of this format. Data in another version is rejected, and the VM asks
+the directory instead."""
 
 MOST_BYTES = 8 << 20
-"""The most that a body may inflate to: four times what 11,000 endpoints and
-2,500 routes take, and little beside the memory of a VM."""
+"""Maximum size of a decompressed body: four times what 11,000 endpoints and
+2,500 routes take, and little compared with the memory of a VM."""
 
-_LEVEL = 1
-"""Deflating 47 kB takes 0.4 ms, and 0.6 ms for a sixth less."""
+_COMPRESSION_LEVEL = 1
+"""Compression level of zlib. Compressing 47 kB takes 0.4 ms at this level; a
+result that is smaller by a sixth would take 0.6 ms."""
 
 _ANNOUNCED, _REMOVED, _ROUTES, _ROUTES_CHANGED = 1, 2, 3, 4
 _DRAINED, _RESTORED = 5, 6
 
 
 def encode(steering: Steering, after: Position = NOTHING_KNOWN) -> bytes:
-    """Returns what this VM knows after a position, or everything."""
+    """Encodes the changes after a position.
+
+    Args:
+        steering: The state to encode.
+        after: The position that the receiver has reached.
+
+    Returns:
+        The changes, or the whole state where some of them are no longer known.
+    """
     changes = changes_since(steering, after)
     whole = changes is None
     if changes is None:
-        changes = _everything(steering)
+        changes = _full_state(steering)
     epoch, revision = attrs.astuple(steering.position)
     body = (FORMAT, epoch, revision, whole, [_pack(c) for c in changes])
-    return zlib.compress(msgpack.packb(body), _LEVEL)
+    return zlib.compress(msgpack.packb(body), _COMPRESSION_LEVEL)
 
 
 def changes_since(
     steering: Steering, after: Position
 ) -> tuple[Change, ...] | None:
-    """Returns every change after a position, None if some are not known."""
+    """Returns the changes after a position, None if some are not known."""
     if not after.revision or after.epoch != steering.position.epoch:
         return None
     return steering.journal.since(after.revision)
 
 
 def decode(data: bytes) -> Result[Update, str]:
-    """Returns what a peer has told, or what is wrong with it."""
+    """Returns the update that a peer has sent, or why it cannot be decoded."""
     try:
         inflater = zlib.decompressobj()
         body = inflater.decompress(data, MOST_BYTES)
         if not inflater.eof:
-            return Err("not whole, or too long")
-        number, epoch, revision, whole, changes = msgpack.unpackb(body)
-        if number != FORMAT or not _are_counts(epoch, revision):
-            return Err(f"format {number!r}")
+            return Err("truncated, or too long when inflated")
+        version, epoch, revision, whole, changes = msgpack.unpackb(body)
+        if version != FORMAT or not _are_non_negative_ints(epoch, revision):
+            return Err(
+                f"unsupported format or invalid position: format {version!r}"
+            )
         unpacked = tuple(_unpack(*each) for each in changes)
         return Ok(Update(unpacked, revision, whole is True, epoch=epoch))
     except (
@@ -88,11 +101,11 @@
         return Err(f"{type(error).__name__}: {error}"[:120])
 
 
-def _are_counts(*values: Any) -> bool:
+def _are_non_negative_ints(*values: Any) -> bool:
     return all(isinstance(value, int) and value >= 0 for value in values)
 
 
-def _everything(steering: Steering) -> list[Change]:
+def _full_state(steering: Steering) -> list[Change]:
     changes: list[Change] = [
         EndpointAnnounced(record.announced, record.revision)
         for record in steering.catalog.records
@@ -135,61 +148,65 @@
 
 def _unpack(kind: int, revision: int, value: Any) -> Change:
     if not isinstance(revision, int):
-        raise ValueError("revision")
+        raise ValueError("revision is not an integer")
     if kind == _ANNOUNCED:
         return EndpointAnnounced(Endpoint(*value), revision)
     if kind == _REMOVED:
         return EndpointRemoved(str(value), revision)
     if kind == _ROUTES:
-        return RoutesPublished(_table(*value), revision)
+        return RoutesPublished(_unpack_table(*value), revision)
     if kind == _ROUTES_CHANGED:
-        return _routes_changed(*value, revision)
+        return _unpack_routes_changed(*value, revision)
     if kind == _DRAINED:
         return ZoneDrained(str(value), revision)
     if kind == _RESTORED:
         return ZoneRestored(str(value), revision)
-    raise ValueError(f"kind {kind!r}")
+    raise ValueError(f"unknown kind of change: {kind!r}")
 
 
-def _routes_changed(
+def _unpack_routes_changed(
     base: int,
     version: int,
     routes: list[Any],
     removed: list[Any],
-    paths: dict[str, str],
-    idle_s: float,
+    health_paths: dict[str, str],
+    idle_timeout_s: float,
     warmups: dict[str, Any],
     revision: int,
 ) -> RoutesChanged:
     if not isinstance(base, int) or not isinstance(version, int):
-        raise ValueError("version")
-    gone = tuple((str(host), int(port)) for host, port in removed)
-    changed = tuple(_route(*each) for each in routes)
+        raise ValueError("version is not an integer")
+    removed_addresses = tuple((str(host), int(port)) for host, port in removed)
+    changed = tuple(_unpack_route(*each) for each in routes)
     return RoutesChanged(
         base,
         version,
         changed,
-        gone,
-        dict(paths),
-        float(idle_s),
+        removed_addresses,
+        dict(health_paths),
+        float(idle_timeout_s),
         _unpack_warmups(warmups),
         revision,
     )
 
 
-def _table(
+def _unpack_table(
     version: int,
     routes: list[Any],
-    paths: dict[str, str],
-    idle_s: float,
+    health_paths: dict[str, str],
+    idle_timeout_s: float,
     warmups: dict[str, Any],
 ) -> RouteTable:
     by_address = {}
     for each in routes:
-        route = _route(*each)
+        route = _unpack_route(*each)
         by_address[route.host, route.port] = route
     return RouteTable(
-        version, by_address, paths, idle_s, _unpack_warmups(warmups)
+        version,
+        by_address,
+        health_paths,
+        idle_timeout_s,
+        _unpack_warmups(warmups),
     )
 
 
@@ -204,7 +221,7 @@
     }
 
 
-def _route(
+def _unpack_route(
     name: str, host: str, port: int, splits: list[Any], idempotent: bool
 ) -> Route:
     return Route(name, host, port, tuple(Split(*s) for s in splits), idempotent)
--- a/src/pollenmast/entry/_news.py
+++ b/src/pollenmast/entry/_update_log.py
@@ -1,4 +1,4 @@
-"""Log lines of what a VM has taken in from the directory or a peer."""
+"""Logs the updates that a VM applies from the directory or a peer."""
 
 from pollenmast.events import (
     DIRECTORY_RESTORED,
@@ -20,19 +20,19 @@
 )
 
 
-class NewsLog:
-    """Writes one line for each belief that has changed."""
+class UpdateLog:
+    """Writes one log line for each change of the VM's state."""
 
     def __init__(self, log: EventLog):
         self._log = log
 
-    def restored(self, known: Position, update: Update, source: str) -> None:
-        """Tells that the directory was restored from a copy.
+    def log_restore(self, known: Position, update: Update, source: str) -> None:
+        """Logs that the directory was restored from a copy.
 
         Args:
-            known: How far it was known before.
-            update: What tells of the restored one.
-            source: Who told.
+            known: The position that the VM had reached before.
+            update: The first update from the restored directory.
+            source: Where the update came from: the directory or a peer.
         """
         self._log.write(
             DIRECTORY_RESTORED,
@@ -43,13 +43,15 @@
             source=source,
         )
 
-    def refused(self, update: Update, source: str) -> None:
-        """Tells what could not be understood."""
+    def log_refused(self, update: Update, source: str) -> None:
+        """Logs the entries of an update that could not be parsed."""
         for entry in update.refused:
             self._log.write(ENTRY_REFUSED, entry=entry, source=source)
 
-    def routes(self, applied: Applied, position: Position, source: str) -> None:
-        """Tells which configuration came into force, if one did."""
+    def log_routes(
+        self, applied: Applied, position: Position, source: str
+    ) -> None:
+        """Logs the configuration that came into force, if any."""
         if applied.table is None:
             return
         self._log.write(
@@ -61,8 +63,8 @@
             source=source,
         )
 
-    def zones(self, applied: Applied, epoch: int, source: str) -> None:
-        """Tells which zones were drained or are in service again."""
+    def log_zones(self, applied: Applied, epoch: int, source: str) -> None:
+        """Logs availability zones that were drained or restored to service."""
         for change in applied.zones:
             drained = isinstance(change, ZoneDrained)
             self._log.write(
@@ -73,12 +75,12 @@
                 source=source,
             )
 
-    def endpoints(self, applied: Applied, epoch: int, source: str) -> None:
-        """Tells which endpoints came, changed or vanished."""
+    def log_endpoints(self, applied: Applied, epoch: int, source: str) -> None:
+        """Logs endpoints that were added, changed or removed."""
         for record in applied.records:
-            self._endpoint(record, epoch, source)
+            self._log_endpoint(record, epoch, source)
 
-    def _endpoint(self, record: Record, epoch: int, source: str) -> None:
+    def _log_endpoint(self, record: Record, epoch: int, source: str) -> None:
         lapsed = record.presence is Presence.LAPSED
         self._log.write(
             ENDPOINT_LAPSED if lapsed else ENDPOINT_CHANGED,
--- a/tests/entry_boot_test.py
+++ b/tests/entry_boot_test.py
@@ -20,10 +20,10 @@
     Counters,
     Histograms,
 )
-from pollenmast.entry import Boot, Early, FirstRead
-from pollenmast.entry._boot import LOAD_RETRY_S
+from pollenmast.entry import Boot, BootComponents, FirstRead
+from pollenmast.entry._boot import LOAD_RETRY_DELAY_S
 from pollenmast.entry._carrier import BATCH, Carrier
-from pollenmast.entry._program import FIRST_READ_S, _Program
+from pollenmast.entry._program import FIRST_READ_TIMEOUT_S, _Program
 from pollenmast.events import EventLog, JsonSink
 from pollenmast.platform._packet import PlatformPackets
 from pollenmast.steering import DirectoryFault, Steering
@@ -34,31 +34,31 @@
 
 
 class _FirstRead(FirstRead):
-    """Answers at a given look, or never."""
+    """Responds at a given poll, or never."""
 
-    def __init__(self, answer, at_look: int = 1):
-        self._answer = answer
-        self._at_look = at_look
-        self.looks = 0
+    def __init__(self, response, at_poll: int = 1):
+        self._response = response
+        self._at_poll = at_poll
+        self.polls = 0
         self.closed = False
 
     @property
     def begun(self):
-        return 0 < self.looks < self._at_look
+        return 0 < self.polls < self._at_poll
 
     def poll(self, wait_s):
-        self.looks += 1
-        return self._answer if self.looks >= self._at_look else None
+        self.polls += 1
+        return self._response if self.polls >= self._at_poll else None
 
     def close(self):
         self.closed = True
 
 
 class BootTest(TestCase):
-    """Packets are carried before the program is loaded."""
+    """Packets are forwarded before the program is loaded."""
 
     def setUp(self):
-        """Makes an endpoint that packets can be sent to."""
+        """Creates an endpoint that packets can be sent to."""
         super().setUp()
         self._endpoint = segments.bind("127.0.0.1", 0)
         self.addCleanup(self._endpoint.close)
@@ -72,21 +72,21 @@
         self._address = sock.getsockname()
         stream = self._stream = io.BytesIO()
         log = EventLog("t", "vm", sink=JsonSink(stream))
-        self.core = Steering(group.ZONE, self._counters, random.Random(1))
+        self.steering = Steering(group.ZONE, self._counters, random.Random(1))
         carrier = Carrier(
-            sock, PlatformPackets(9), self.core, self._counters, log
+            sock, PlatformPackets(9), self.steering, self._counters, log
         )
-        parts = Early(
+        components = BootComponents(
             None,
             self._counters,
             Histograms(),
             stream,
             log,
             random.Random(1),
-            self.core,
+            self.steering,
             carrier,
         )
-        return Boot(parts, first_read)
+        return Boot(components, first_read)
 
     def _send(self, flows: int) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as client:
@@ -94,31 +94,31 @@
                 syn = group.syn_datagram(group.flow(number))
                 client.sendto(syn, self._address)
 
-    def _carried(self) -> int:
+    def _forwarded(self) -> int:
         return self._counters.value(SEGMENTS)
 
     @parameterized.expand([("at_once", 1), ("slow", 3)])
-    def test_carried_while_loading(self, _, at_look):
-        """All VMs were killed; their clients' packets wait in the sockets.
+    def test_forwards_while_loading(self, _, at_poll):
+        """Packets are forwarded before all modules have been loaded.
 
-        Each tenth of a second until the first is carried is one in which
-        nobody is served. A slow directory's answer is taken between two
-        modules.
+        After all VMs were killed, clients' packets wait in the sockets, and
+        nobody is served until the first one is forwarded. The response of a
+        slow directory is applied between two modules.
         """
-        first_read = _FirstRead(Ok(self._listing), at_look)
+        first_read = _FirstRead(Ok(self._listing), at_poll)
         boot = self._boot(first_read)
         self._send(3)
         boot.load(MODULES)
-        self.assertEqual(3, self._carried())
+        self.assertEqual(3, self._forwarded())
         self.assertTrue(first_read.closed)
-        self.assertEqual(at_look, first_read.looks)
-        self.assertLess(self.core.age_s(time.monotonic()), 5.0)
+        self.assertEqual(at_poll, first_read.polls)
+        self.assertLess(self.steering.age_s(time.monotonic()), 5.0)
 
-    def test_unusable_entry(self):
-        """Another writer's entry cannot be read; the log says which.
+    def test_invalid_entry_logged(self):
+        """An entry that cannot be parsed is named in the log.
 
-        The first answer is the only whole one that a VM reads: left out here,
-        nobody would learn why an endpoint gets no flows.
+        The first response is the only complete list that a VM reads. Without
+        this line nobody would learn why an endpoint gets no flows.
         """
         update = attrs.evolve(self._listing, refused=("i-bad: state",))
         self._boot(_FirstRead(Ok(update))).load(MODULES)
@@ -131,60 +131,60 @@
             ("silent", None, 1),
         ]
     )
-    def test_directory_away(self, _, answer, at_look):
-        """The directory is away while a VM starts.
+    def test_directory_unavailable(self, _, answer, at_poll):
+        """The directory does not answer while a VM starts.
 
-        Its packets stay in the socket until the program has learned from
-        other VMs; thrown away, each would come again only after 0.2 s.
+        Packets stay in the socket until the program has learned endpoints from
+        other VMs. Clients would resend dropped packets only after 0.2 s.
         """
-        first_read = _FirstRead(answer, at_look)
+        first_read = _FirstRead(answer, at_poll)
         boot = self._boot(first_read)
         self._send(1)
         boot.load(MODULES)
-        self.assertEqual((False, 0), (self.core.ready, self._carried()))
+        self.assertEqual((False, 0), (self.steering.ready, self._forwarded()))
         self.assertTrue(first_read.closed)
-        self.core.apply(self._listing, 1.0)
+        self.steering.apply(self._listing, 1.0)
         boot.step()
-        self.assertEqual(1, self._carried())
+        self.assertEqual(1, self._forwarded())
 
     def test_narrow_link(self):
-        """The answer has begun to arrive when all is loaded.
+        """The response is still arriving when all modules are loaded.
 
-        Asked for again, it would come as slowly; awaited without the event
-        loop, it would keep the VM from what others tell sooner.
+        A second request would take as long, and waiting without the event loop
+        would keep the VM from data that other VMs send sooner.
         """
         first_read = _FirstRead(Ok(self._listing), 99)
         boot = self._boot(first_read)
         self._send(1)
         boot.load(MODULES)
-        self.assertEqual((True, False), (boot.pending, self.core.ready))
-        while first_read.looks < 99:
+        self.assertEqual((True, False), (boot.pending, self.steering.ready))
+        while first_read.polls < 99:
             boot.step()
-        self.assertEqual((False, 1), (boot.pending, self._carried()))
+        self.assertEqual((False, 1), (boot.pending, self._forwarded()))
 
-    def test_no_question(self):
-        """The settings name no directory that could be asked so early."""
+    def test_no_early_request(self):
+        """Loading completes without an early request to the directory."""
         boot = self._boot(None)
         boot.load(MODULES)
-        self.assertFalse(self.core.ready)
+        self.assertFalse(self.steering.ready)
 
-    def test_flood(self):
-        """More packets wait than are carried in one turn.
+    def test_more_than_one_batch(self):
+        """More packets wait than are forwarded in one batch.
 
-        Loading goes on between two turns: a VM that never finished would
-        stay out of rotation.
+        Loading continues between two batches: a VM that never finished loading
+        would stay out of rotation.
         """
         boot = self._boot(_FirstRead(Ok(self._listing)))
         self._send(2 * BATCH + 5)
         boot.load(MODULES)
-        self.assertEqual(2 * BATCH + 5, self._carried())
+        self.assertEqual(2 * BATCH + 5, self._forwarded())
 
     @parameterized.expand([("once", 1), ("for_a_while", 3)])
     def test_module_fails(self, _, failures):
-        """Memory is short while a VM starts, and a module fails to load.
+        """A module fails to load for lack of memory while a VM starts.
 
-        Ended at once, the VM would leave the packets in its socket unread
-        until its next start; it carries them and tries again.
+        If the VM exited at once, the packets in its socket would stay unread
+        until its next start. It forwards them and retries.
         """
         boot = self._boot(_FirstRead(Ok(self._listing)))
         loaded = []
@@ -197,33 +197,33 @@
 
         with mock.patch.object(importlib, "import_module", load):
             boot.load(MODULES)
-        self.assertEqual(failures, self._carried())
+        self.assertEqual(failures, self._forwarded())
         self.assertEqual(failures + 1, loaded.count(MODULES[1]))
         self.assertEqual(MODULES[2], loaded[-1])
         self.assertEqual(
             failures, self._stream.getvalue().count(b"load_failed")
         )
 
-    def test_module_fails_before_carrying(self):
+    def test_module_fails_without_endpoints(self):
         """A module fails to load in a VM that knows no endpoint yet.
 
-        It has nothing to carry packets by: a new start is the quickest way.
+        It cannot forward packets, so that a restart is the quickest recovery.
         """
         boot = self._boot(None)
         began = time.monotonic()
         names = (*MODULES, "pollenmast.no_such_module")
         self.assertRaises(ModuleNotFoundError, boot.load, names)
-        self.assertLess(time.monotonic() - began, LOAD_RETRY_S)
+        self.assertLess(time.monotonic() - began, LOAD_RETRY_DELAY_S)
 
     def test_module_missing(self):
-        """A module cannot be loaded: the process ends and says which."""
+        """The error of a module that can never be loaded is raised."""
         boot = self._boot(_FirstRead(Ok(self._listing)))
         names = (*MODULES, "pollenmast.no_such_module")
         self.assertRaises(ModuleNotFoundError, boot.load, names)
 
 
 class _Follower:
-    """Notes when it began, and whether everything was known."""
+    """Records when it was started, and with which argument."""
 
     def __init__(self):
         self.began = None
@@ -232,45 +232,48 @@
         self.began = (round(anyio.current_time(), 1), known)
 
 
-class AwaitTest(TestCase):
-    """The event loop awaits an answer that has begun to arrive."""
+class FirstResponseTest(TestCase):
+    """The event loop waits for a response that is still arriving."""
 
     @parameterized.expand(
         [
             ("whole", 0.5, None, (0.5, True)),
             ("told_by_a_vm", None, 0.3, (0.3, True)),
-            ("cut_off", None, None, (FIRST_READ_S, False)),
+            ("cut_off", None, None, (FIRST_READ_TIMEOUT_S, False)),
             ("known_already", 0.0, None, (0.0, True)),
         ]
     )
-    def test_begun(self, _, whole_at, told_at, expected):
+    def test_waits_for_response(self, _, complete_at, peer_sent_at, expected):
         """A thousand routes arrive over a narrow link while a VM starts.
 
-        Asked for again they would come as slowly. What another VM tells
-        meanwhile is as good, and what never comes is asked for anew.
+        A second request would take as long. Data that another VM sends
+        meanwhile ends the wait, and after a timeout the follower asks anew.
         """
         program = object.__new__(_Program)
         program._follower = _Follower()
 
-        class _Begun:
-            pending = whole_at != 0.0
+        class _PartialResponse:
+            pending = complete_at != 0.0
 
             def step(self):
-                if whole_at is not None and anyio.current_time() >= whole_at:
+                if (
+                    complete_at is not None
+                    and anyio.current_time() >= complete_at
+                ):
                     self.pending = False
 
-            def give_up(self):
+            def cancel_request(self):
                 self.pending = False
 
-        class _Beliefs:
+        class _Steering:
             @property
             def ready(self):
                 now = anyio.current_time()
-                times = (whole_at, told_at)
+                times = (complete_at, peer_sent_at)
                 return any(at is not None and now >= at for at in times)
 
-        program._boot, program._steering = _Begun(), _Beliefs()
+        program._boot, program._steering = _PartialResponse(), _Steering()
         clock = trio.testing.MockClock(autojump_threshold=0)
-        trio.run(program._follow, clock=clock)
+        trio.run(program._follow_directory, clock=clock)
         self.assertEqual(expected, program._follower.began)
         self.assertFalse(program._boot.pending)
