--- a/src/pollenmast/platform/__init__.py
+++ b/src/pollenmast/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: its packets, store, settings, and nothing else.
+"""Adapter for the users' platform: its packet format, store and settings.
 
-Nothing is imported here: the program opens its packet socket before it loads
-the rest of itself (see `_early`).
+This package imports nothing itself, because the program opens its packet
+socket before it loads its other modules (see `_early`).
 """
--- a/src/pollenmast/platform/_adapter.py
+++ b/src/pollenmast/platform/_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's formats, for the tools of the command line."""
+"""The platform's formats, as the command-line tools display them."""
 
 import attrs
 from result import Err, Ok, Result
@@ -6,26 +6,28 @@
 from pollenmast.adapters import Adapter, Rows
 from pollenmast.platform._entries import parse_configuration
 from pollenmast.platform._packet import PlatformPackets
-from pollenmast.platform._settings import read_settings
+from pollenmast.platform._settings import parse_settings
 
 
 class PlatformAdapter(Adapter):
-    """Reads what the platform's operators and clients write."""
+    """Parses settings, configurations and packets of the platform."""
 
     def settings(self, text: str) -> Result[Rows, str]:
-        """Returns a settings file's values in force, or its fault."""
-        checked = read_settings(text)
-        if isinstance(checked, Err):
-            return checked
-        values = attrs.asdict(checked.ok_value, recurse=False)
-        return Ok([(name, _words(value)) for name, value in values.items()])
+        """Returns the effective values of a settings file, or its error."""
+        parsed = parse_settings(text)
+        if isinstance(parsed, Err):
+            return parsed
+        values = attrs.asdict(parsed.ok_value, recurse=False)
+        return Ok(
+            [(name, _format_value(value)) for name, value in values.items()]
+        )
 
     def configuration(self, data: bytes) -> Result[Rows, str]:
-        """Returns what an operator's configuration says, or its fault."""
-        checked = parse_configuration(data)
-        if isinstance(checked, Err):
-            return checked
-        table = checked.ok_value
+        """Returns the content of an operator's configuration, or its error."""
+        parsed = parse_configuration(data)
+        if isinstance(parsed, Err):
+            return parsed
+        table = parsed.ok_value
         rows = [
             ("version", str(table.version)),
             ("idle timeout", f"{table.idle_timeout_s:g} s"),
@@ -33,8 +35,10 @@
         for route in table.routes.values():
             shares = [f"{s.service} {s.weight}" for s in route.splits]
             kind = "idempotent" if route.idempotent else "not idempotent"
-            told = f"{route.host}:{route.port} to {', '.join(shares)}; {kind}"
-            rows.append((f"route {route.name}", told))
+            description = (
+                f"{route.host}:{route.port} to {', '.join(shares)}; {kind}"
+            )
+            rows.append((f"route {route.name}", description))
         rows += [
             (f"health check of {service}", path)
             for service, path in table.health_paths.items()
@@ -49,7 +53,7 @@
         return Ok(rows)
 
     def packet(self, data: bytes) -> Result[Rows, str]:
-        """Returns what a client's packet says, or why it says nothing."""
+        """Returns the fields of a client's packet, or why it is invalid."""
         packets = PlatformPackets(0)
         decoded = packets.decode(data)
         if isinstance(decoded, Err):
@@ -72,13 +76,13 @@
         return Ok(rows)
 
 
-def _words(value: object) -> str:
+def _format_value(value: object) -> str:
     if value is None:
         return "none"
     if not isinstance(value, tuple):
         return str(value)
     if value and isinstance(value[0], tuple):
-        return ", ".join(_words(each) for each in value)
+        return ", ".join(_format_value(each) for each in value)
     return ":".join(str(part) for part in value) or "none"
 
 
--- a/src/pollenmast/platform/_entries.py
+++ b/src/pollenmast/platform/_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the platform's store, as endpoints and routes."""
+"""Parses entries of the platform's store into endpoints and routes."""
 
 import json
 import zlib
@@ -16,211 +16,230 @@
 
 _TOKEN_BITS = 32
 _STATES = ("ready", "draining")
-_IDEMPOTENT_KINDS = ("idempotent", "download")
-_MOST_DRAIN_BYTES = 64 << 10
-"""Bytes of a drain's entry, of which nothing is read; a larger one is none."""
+_IDEMPOTENT_ROUTE_TYPES = ("idempotent", "download")
+_MAX_DRAIN_BYTES = 64 << 10
+"""Largest value of a drain entry; a larger one is invalid.
 
-_MOST_WARM_S = 60.0
-_MOST_SLOTS = 1024
-_MOST_RATE = 1e6
-"""New flows a second; more than any endpoint takes."""
+Its fields are not used.
+"""
 
-_MOST_WARMUP_S = 3600.0
+_MAX_WARM_IN_S = 60.0
+_MAX_SLOTS = 1024
+_MAX_FLOWS_PER_S = 1e6
+"""New flows per second; more than any endpoint accepts."""
 
-_HEX = frozenset("0123456789abcdefABCDEF")
+_MAX_WARMUP_S = 3600.0
 
+_HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 
-class _FaultError(ValueError):
-    """A field is missing, or says what it cannot say."""
+
+class _FieldError(ValueError):
+    """A field is missing or its value is invalid."""
 
 
 def parse_endpoint(name: str, value: bytes) -> Result[Endpoint, str]:
-    """Returns the endpoint that an entry names, or what is wrong with it."""
+    """Parses an endpoint's entry, or returns an error message."""
     try:
-        entry = _object(json.loads(value))
-        host, port = _address(_text(entry, "address"))
-        state = _text(entry, "state")
+        entry = _require_object(json.loads(value))
+        host, port = _parse_address(_str_field(entry, "address"))
+        state = _str_field(entry, "state")
         if state not in _STATES:
-            raise _FaultError("state")
-        number = _number(name)
+            raise _FieldError("state")
+        number = _endpoint_number(name)
         return Ok(
             Endpoint(
                 name=name,
                 number=number,
-                token=_token(number),
+                token=_endpoint_token(number),
                 host=host,
                 port=port,
-                service=_text(entry, "service"),
-                zone=_text(entry, "zone"),
-                slots=_whole(entry, "slots", 1, _MOST_SLOTS),
+                service=_str_field(entry, "service"),
+                zone=_str_field(entry, "zone"),
+                slots=_int_field(entry, "slots", 1, _MAX_SLOTS),
                 draining=state == "draining",
-                # Milliseconds counted from the moment of the write.
+                # Milliseconds, counted from the time of the write.
                 warm_in_s=min(
-                    _whole(entry, "warmupLeftMs", 0, 1 << 40) / 1000.0,
-                    _MOST_WARM_S,
+                    _int_field(entry, "warmupLeftMs", 0, 1 << 40) / 1000.0,
+                    _MAX_WARM_IN_S,
                 ),
             )
         )
     except (ValueError, RecursionError) as error:
-        return Err(f"{name}: {_reason(error)}"[:120])
+        return Err(f"{name}: {_describe_error(error)}"[:120])
 
 
 def parse_drain(zone: str, value: bytes) -> Result[str, str]:
-    """Returns the availability zone that an entry drains, or its fault."""
+    """Returns the availability zone that an entry drains, or an error message.
+
+    Args:
+        zone: The zone in the entry's key.
+        value: The entry's value, which must be a JSON object.
+    """
     try:
         if not zone or not zone.isprintable():
-            raise _FaultError("zone")
-        if len(value) > _MOST_DRAIN_BYTES:
-            raise _FaultError("size")
-        _object(json.loads(value))
+            raise _FieldError("zone")
+        if len(value) > _MAX_DRAIN_BYTES:
+            raise _FieldError("size")
+        _require_object(json.loads(value))
         return Ok(zone)
     except (ValueError, RecursionError) as error:
-        return Err(f"drain of {zone!r}: {_reason(error)}"[:120])
+        return Err(f"drain of {zone!r}: {_describe_error(error)}"[:120])
 
 
 def parse_configuration(value: bytes) -> Result[RouteTable, str]:
-    """Returns the operator's configuration, or what is wrong with it."""
+    """Parses the operator's configuration, or returns an error message."""
     try:
-        root = _object(json.loads(value))
-        entries = list(_objects(root, "services"))
+        root = _require_object(json.loads(value))
+        entries = list(_object_list_field(root, "services"))
         services = {
-            _text(each, "name"): _text(each, "healthPath") for each in entries
+            _str_field(each, "name"): _str_field(each, "healthPath")
+            for each in entries
         }
         routes = {}
-        for each in _objects(root, "routeTable"):
-            route = _route(each, services)
+        for each in _object_list_field(root, "routeTable"):
+            route = _parse_route(each, services)
             routes[route.host, route.port] = route
-        limits = _object(root.get("limits"))
+        limits = _require_object(root.get("limits"))
         return Ok(
             RouteTable(
-                version=_whole(root, "version", 0, 1 << 62),
+                version=_int_field(root, "version", 0, 1 << 62),
                 routes=routes,
                 health_paths=services,
-                idle_timeout_s=_whole(limits, "idleTimeoutMs", 1, 1 << 40)
+                idle_timeout_s=_int_field(limits, "idleTimeoutMs", 1, 1 << 40)
                 / 1000.0,
-                warmups=_warmups(entries),
+                warmups=_parse_warmups(entries),
             )
         )
     except (ValueError, RecursionError) as error:
-        return Err(f"configuration: {_reason(error)}"[:120])
+        return Err(f"configuration: {_describe_error(error)}"[:120])
 
 
-def _reason(error: Exception) -> str:
-    if isinstance(error, _FaultError):
+def _describe_error(error: Exception) -> str:
+    if isinstance(error, _FieldError):
         return f"{error} is missing or not allowed"
     return f"{type(error).__name__} {error}"
 
 
-def _route(entry: dict[str, Any], services: dict[str, str]) -> Route:
-    # `hostname` is an address, and `prefix` a port between slashes.
-    host = _host(_text(entry, "hostname"))
-    port = _port(_text(entry, "prefix").strip("/"))
+def _parse_route(entry: dict[str, Any], services: dict[str, str]) -> Route:
+    # `hostname` holds an IP address and `prefix` a port between slashes.
+    host = _parse_host(_str_field(entry, "hostname"))
+    port = _parse_port(_str_field(entry, "prefix").strip("/"))
     if "trafficSplit" in entry:
         splits = tuple(
-            Split(_text(each, "service"), _whole(each, "weight", 0, 1 << 30))
-            for each in _objects(entry, "trafficSplit")
+            Split(
+                _str_field(each, "service"),
+                _int_field(each, "weight", 0, 1 << 30),
+            )
+            for each in _object_list_field(entry, "trafficSplit")
         )
     else:
-        splits = (Split(_text(entry, "service"), 1),)
+        splits = (Split(_str_field(entry, "service"), 1),)
     for split in splits:
         if split.service not in services:
-            raise _FaultError("service")
+            raise _FieldError("service")
     return Route(
-        name=_text(entry, "name"),
+        name=_str_field(entry, "name"),
         host=host,
         port=port,
         splits=tuple(split for split in splits if split.weight > 0),
-        idempotent=_text(entry, "routeType") in _IDEMPOTENT_KINDS,
+        idempotent=_str_field(entry, "routeType") in _IDEMPOTENT_ROUTE_TYPES,
     )
 
 
-def _warmups(services: list[dict[str, Any]]) -> dict[str, Warmup]:
-    """Returns how the services start that state a rate for it.
+def _parse_warmups(services: list[dict[str, Any]]) -> dict[str, Warmup]:
+    """Returns the warm-up of each service that specifies a rate for it.
 
-    A rate of 0 is a limit as well: the endpoint bears nothing that is planned.
+    A rate of 0 is a limit too: the endpoint can take no planned flows.
     """
     return {
-        _text(each, "name"): Warmup(
-            _quantity(each, "warmupS", _MOST_WARMUP_S),
-            _quantity(each, "warmupPerS", _MOST_RATE),
+        _str_field(each, "name"): Warmup(
+            _float_field(each, "warmupS", _MAX_WARMUP_S),
+            _float_field(each, "warmupPerS", _MAX_FLOWS_PER_S),
         )
         for each in services
         if "warmupPerS" in each
     }
 
 
-def _quantity(entry: dict[str, Any], field: str, most: float) -> float:
+def _float_field(entry: dict[str, Any], field: str, maximum: float) -> float:
     value = entry.get(field, 0)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise _FaultError(field)
-    # A number that is none is not in any order.
-    if not 0 <= value <= most:
-        raise _FaultError(field)
+        raise _FieldError(field)
+    # This comparison is false for NaN too.
+    if not 0 <= value <= maximum:
+        raise _FieldError(field)
     return float(value)
 
 
-def _number(name: str) -> int:
-    digits = "".join(char for char in name.split("-")[-1] if char in _HEX)
+def _endpoint_number(name: str) -> int:
+    digits = "".join(
+        char for char in name.split("-")[-1] if char in _HEX_DIGITS
+    )
     if not digits or len(digits) > 16:
-        raise _FaultError("id")
+        raise _FieldError("id")
     return int(digits, 16)
 
 
-def _token(number: int) -> int:
-    """Returns the 32 bits that name an endpoint; zero means none.
+def _endpoint_token(number: int) -> int:
+    """Returns the 32-bit token of an endpoint, which is never zero.
 
-    Shorter names stand for themselves, so that no two share a token; longer
-    ones are hashed, alike on every VM.
+    A number that fits in 32 bits is its own token, so no two of those collide.
+    Larger numbers are hashed, with the same result on every VM. Zero is
+    reserved to mean that there is no token.
     """
     if 0 < number < 1 << _TOKEN_BITS:
         return number
     return zlib.crc32(number.to_bytes(8, "big")) or 1
 
 
-def _object(value: Any) -> dict[str, Any]:
+def _require_object(value: Any) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise _FaultError("an object")
+        raise _FieldError("an object")
     return value
 
 
-def _objects(entry: dict[str, Any], field: str) -> Iterator[dict[str, Any]]:
+def _object_list_field(
+    entry: dict[str, Any], field: str
+) -> Iterator[dict[str, Any]]:
     value = entry.get(field)
     if not isinstance(value, list):
-        raise _FaultError(field)
-    return map(_object, value)
+        raise _FieldError(field)
+    return map(_require_object, value)
 
 
-def _text(entry: dict[str, Any], field: str) -> str:
+def _str_field(entry: dict[str, Any], field: str) -> str:
     value = entry.get(field)
     if not isinstance(value, str) or not value:
-        raise _FaultError(field)
+        raise _FieldError(field)
     return value
 
 
-def _whole(entry: dict[str, Any], field: str, least: int, most: int) -> int:
+def _int_field(
+    entry: dict[str, Any], field: str, minimum: int, maximum: int
+) -> int:
     value = entry.get(field)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _FaultError(field)
-    if not least <= value <= most:
-        raise _FaultError(field)
+        raise _FieldError(field)
+    if not minimum <= value <= maximum:
+        raise _FieldError(field)
     return value
 
 
-def _address(text: str) -> tuple[str, int]:
+def _parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.partition(":")
-    return _host(host), _port(port)
+    return _parse_host(host), _parse_port(port)
 
 
-def _host(text: str) -> str:
+def _parse_host(text: str) -> str:
     parts = text.split(".")
     if len(parts) != 4 or not all(
         part.isascii() and part.isdigit() and int(part) < 256 for part in parts
     ):
-        raise _FaultError("address")
+        raise _FieldError("address")
     return ".".join(str(int(part)) for part in parts)
 
 
-def _port(text: str) -> int:
+def _parse_port(text: str) -> int:
     if not (text.isascii() and text.isdigit() and 0 < int(text) < 1 << 16):
-        raise _FaultError("port")
+        raise _FieldError("port")
     return int(text)
--- a/src/pollenmast/platform/_epoch.py
+++ b/src/pollenmast/platform/_epoch.py
@@ -1,24 +1,28 @@
-"""The number of the store's copy, which each of its answers names."""
+"""Reads the store's epoch from the headers of its responses."""
 
 from collections.abc import Mapping
 
 from result import Err, Ok, Result
 
 _HEADER = "store-era"
-"""Rises by one each time the store comes back from an older copy. Revisions
-are only comparable between answers that name the same number."""
+"""Header with the store's epoch.
 
-_MOST_DIGITS = 18
+The epoch increases by one each time the store is restored from an older copy.
+Revisions can only be compared between responses of the same epoch.
+"""
+
+_MAX_DIGITS = 18
 
 
 def read_epoch(headers: Mapping[str, str]) -> Result[int | None, str]:
-    """Returns the epoch that an answer names, None if it names none.
+    """Parses the epoch header of a response.
 
     Args:
-        headers: The answer's headers, names in lower case.
+        headers: The response's headers, with names in lower case.
 
     Returns:
-        The epoch, or what is wrong with the header.
+        The epoch, None if the header is absent, or an error message if it is
+        invalid.
     """
     text = headers.get(_HEADER)
     if text is None:
@@ -26,6 +30,6 @@
     digits = text.strip()
     if not (digits.isascii() and digits.isdigit()):
         return Err("epoch is not a whole number")
-    if len(digits) > _MOST_DIGITS:
+    if len(digits) > _MAX_DIGITS:
         return Err("epoch is out of range")
     return Ok(int(digits))
--- a/src/pollenmast/platform/_first_read.py
+++ b/src/pollenmast/platform/_first_read.py
@@ -1,4 +1,4 @@
-"""The store's answer to a VM's first question, as endpoints and routes."""
+"""The first read of the store, done while the program loads."""
 
 import json
 import time
@@ -9,43 +9,51 @@
 from pollenmast.counters import PLATFORM_CALLS, Counters
 from pollenmast.entry import FirstRead
 from pollenmast.exchange import EndedError, ProtocolError, TooLargeError
+from pollenmast.platform._early_client import EarlyStoreClient
 from pollenmast.platform._epoch import read_epoch
 from pollenmast.platform._listing import Listing
-from pollenmast.platform._question import StoreQuestion
 from pollenmast.steering import DirectoryFault, Update
 
 _OK = 200
 
-_Page = Result[Any, DirectoryFault]
+_PageResult = Result[Any, DirectoryFault]
 
 
 class StoreFirstRead(FirstRead):
-    """Reads everything, page after page, over one connection.
+    """Lists all keys of the store, page by page, over one connection.
 
-    Each page is asked for as soon as the one before is there, between two
-    modules if need be: a VM that left the rest of a long list to its program
-    would carry nothing until all of that is loaded.
+    Each page is requested as soon as the previous one has arrived, if need be
+    between the imports of two modules. If the rest of a long list were left to
+    the loaded program, the VM would forward no packets until all modules are
+    loaded.
     """
 
-    def __init__(self, question: StoreQuestion, counters: Counters):
-        self._question = question
+    def __init__(self, client: EarlyStoreClient, counters: Counters):
+        self._client = client
         self._counters = counters
         self._listing = Listing()
 
     @property
     def begun(self) -> bool:
-        """Whether some of the answer has arrived."""
-        return self._question.begun
+        """Whether any bytes of a response have arrived."""
+        return self._client.response_started
 
     def close(self) -> None:
-        """Gives the question up."""
-        self._question.close()
+        """Closes the connection, abandoning an unfinished list."""
+        self._client.close()
 
     def poll(self, wait_s: float) -> Result[Update, DirectoryFault] | None:
-        """Returns the answer, or None if it is not there in time."""
-        until = time.monotonic() + wait_s
+        """Continues the read.
+
+        Args:
+            wait_s: Seconds to wait for the rest of the list.
+
+        Returns:
+            The whole list, a fault, or None if the list is still incomplete.
+        """
+        deadline = time.monotonic() + wait_s
         while True:
-            page = self._page(max(0.0, until - time.monotonic()))
+            page = self._next_page(max(0.0, deadline - time.monotonic()))
             if page is None:
                 return None
             self._counters.add(
@@ -53,22 +61,27 @@
             )
             if isinstance(page, Err):
                 return page
-            target = self._listing.target
+            target = self._listing.next_path
             if target is None:
-                return Ok(self._listing.update())
-            if not self._follow(target):
+                return Ok(self._listing.to_update())
+            if not self._request_next(target):
                 return Err(DirectoryFault.UNREACHABLE)
 
-    def _follow(self, target: str) -> bool:
+    def _request_next(self, target: str) -> bool:
         try:
-            return self._question.follow(target)
+            return self._client.request_next(target)
         except (OSError, ProtocolError):
             return False
 
-    def _page(self, wait_s: float) -> _Page | None:
-        """Returns a page that has been added to the list, or why not."""
+    def _next_page(self, wait_s: float) -> _PageResult | None:
+        """Receives one page and adds it to the list.
+
+        Returns:
+            The page, the fault that made it unusable, or None if it has not
+            arrived in time.
+        """
         try:
-            response = self._question.answer(wait_s)
+            response = self._client.receive(wait_s)
         except (OSError, EndedError):
             return Err(DirectoryFault.UNREACHABLE)
         except (ProtocolError, TooLargeError):
--- a/src/pollenmast/platform/_items.py
+++ b/src/pollenmast/platform/_items.py
@@ -1,4 +1,4 @@
-"""Items of the platform's store, as changes of endpoints and routes."""
+"""Converts items of the platform's store to changes of endpoints and routes."""
 
 import base64
 import binascii
@@ -33,27 +33,31 @@
     all_drains: bool = False,
     epoch: int = 0,
 ) -> Update:
-    """Returns what items tell; those that say nothing usable are refused.
+    """Converts items to an update, which lists invalid items as refused.
 
     Args:
         items: The store's items or events.
-        revision: The store's revision up to which they are complete.
-        whole: Whether they are all that there is.
-        all_drains: Whether all drains are among them.
-        epoch: Which copy of the store has answered.
+        revision: The store's revision up to which the items are complete.
+        whole: Whether the items are everything that the store holds.
+        all_drains: Whether the items include every drain.
+        epoch: The store's epoch in its response.
+
+    Returns:
+        The update. An endpoint whose entry is invalid counts as removed, and a
+        zone whose drain is invalid is listed as unclear.
     """
     changes, refused, unclear = [], [], []
     for item in items:
-        parsed = _change(item)
+        parsed = _parse_item(item)
         if isinstance(parsed, Ok):
             if parsed.ok_value is not None:
                 changes.append(parsed.ok_value)
             continue
         refused.append(parsed.err_value)
-        removed = _unusable(item)
+        removed = _removal_of_unreadable(item)
         if removed is not None:
             changes.append(removed)
-        key = _key(item) or ""
+        key = _item_key(item) or ""
         if key.startswith(DRAIN_PREFIX):
             unclear.append(key.removeprefix(DRAIN_PREFIX))
     return Update(
@@ -67,7 +71,7 @@
     )
 
 
-def _key(item: Any) -> str | None:
+def _item_key(item: Any) -> str | None:
     if not isinstance(item, dict):
         return None
     key, revision = item.get("key"), item.get("revision")
@@ -75,29 +79,29 @@
     return key if known else None
 
 
-def _change(item: Any) -> Result[Change | None, str]:
-    """Returns an item's change, None for keys that say nothing to us."""
-    key = _key(item)
+def _parse_item(item: Any) -> Result[Change | None, str]:
+    """Returns an item's change, or None if its key is not used here."""
+    key = _item_key(item)
     if key is None:
         return Err("item without key or revision")
-    if not _is_known(key):
+    if not _is_relevant(key):
         return Ok(None)
     revision = item["revision"]
     if item.get("deleted") is True:
-        return Ok(_removal(key, revision))
+        return Ok(_parse_deletion(key, revision))
     try:
         value = base64.b64decode(item.get("value"), validate=True)
     except (TypeError, ValueError, binascii.Error):
         return Err(f"{key}: value is not base64"[:120])
-    return _written(key, value, revision)
+    return _parse_write(key, value, revision)
 
 
-def _is_known(key: str) -> bool:
+def _is_relevant(key: str) -> bool:
     prefixes = (ENDPOINT_PREFIX, DRAIN_PREFIX)
     return key == CONFIGURATION_KEY or key.startswith(prefixes)
 
 
-def _removal(key: str, revision: int) -> Change | None:
+def _parse_deletion(key: str, revision: int) -> Change | None:
     if key.startswith(ENDPOINT_PREFIX):
         return EndpointRemoved(key.removeprefix(ENDPOINT_PREFIX), revision)
     if key.startswith(DRAIN_PREFIX):
@@ -105,7 +109,7 @@
     return None
 
 
-def _written(key: str, value: bytes, revision: int) -> Result[Change, str]:
+def _parse_write(key: str, value: bytes, revision: int) -> Result[Change, str]:
     if key.startswith(ENDPOINT_PREFIX):
         endpoint = parse_endpoint(key.removeprefix(ENDPOINT_PREFIX), value)
         return endpoint.map(lambda known: EndpointAnnounced(known, revision))
@@ -116,13 +120,13 @@
     return table.map(lambda known: RoutesPublished(known, revision))
 
 
-def _unusable(item: Any) -> EndpointRemoved | None:
-    """Returns the removal of an endpoint whose entry became unreadable.
+def _removal_of_unreadable(item: Any) -> EndpointRemoved | None:
+    """Returns the removal of the endpoint that an invalid item belongs to.
 
-    The entry no longer names an endpoint to use, so new flows stay away; its
-    open flows go on while it answers.
+    The entry no longer describes a usable endpoint, so the endpoint gets no
+    new flows. Its open flows continue as long as it responds.
     """
-    key = _key(item)
+    key = _item_key(item)
     if key is None or not key.startswith(ENDPOINT_PREFIX):
         return None
     return EndpointRemoved(key.removeprefix(ENDPOINT_PREFIX), item["revision"])
--- a/src/pollenmast/platform/_listing.py
+++ b/src/pollenmast/platform/_listing.py
@@ -1,50 +1,56 @@
-"""What the store holds under a prefix, put together from its pages."""
+"""Assembles a list of the store's items from its pages."""
 
 from typing import Any
 
 from result import Err, Ok, Result
 
-from pollenmast.platform._early import EVERYTHING_PATH
+from pollenmast.platform._early import LIST_ALL_PATH
 from pollenmast.platform._items import read_items
 from pollenmast.steering import DirectoryFault, Position, Update
 
-MOST_PAGES = 1000
-"""Pages read in a row; a store may give as few as 50 items in each."""
+MAX_PAGES = 1000
+"""Most pages of one list; a store may return as few as 50 items per page."""
 
 
 _MALFORMED = Err(DirectoryFault.MALFORMED)
 
 
 class Listing:
-    """The pages of one list, one after the other.
+    """A list of items that is read page by page.
 
-    Pages are not one snapshot: the list is complete up to the revision of the
-    first, and a watch from there repeats what came meanwhile.
+    The pages are not one snapshot. The list is complete up to the revision of
+    its first page; a watch from that revision repeats all later changes.
     """
 
-    def __init__(self, path: str = EVERYTHING_PATH):
-        """Takes the path of the first page, by default of everything."""
+    def __init__(self, path: str = LIST_ALL_PATH):
+        """Starts an empty list.
+
+        Args:
+            path: The path of the first page, by default that of all keys.
+        """
         self._path = path
         self._items: list[Any] = []
         self._position: Position | None = None
         self._pages = 0
-        self._target = path
+        self._next_path = path
 
     @property
-    def target(self) -> str | None:
-        """The path of the next page, None after the last."""
-        return self._target or None
+    def next_path(self) -> str | None:
+        """The path of the next page, or None after the last one."""
+        return self._next_path or None
 
     def add(self, page: Any, epoch: int) -> Result[None, DirectoryFault]:
-        """Takes in a page, or tells why it cannot.
-
-        A list longer than `MOST_PAGES` is refused: taken as whole, it would
-        remove the endpoints beyond it. So is one whose pages come from
-        different copies of the store.
+        """Adds the next page.
 
         Args:
-            page: The body of the store's answer.
-            epoch: Which copy of the store has answered.
+            page: The parsed body of the store's response.
+            epoch: The store's epoch in that response.
+
+        Returns:
+            The fault that makes the list unusable, if any. A list of more than
+            `MAX_PAGES` pages is malformed: treated as complete, it would
+            remove the endpoints on the pages after that. A list whose pages
+            are of different epochs is unusable too.
         """
         if not isinstance(page, dict):
             return _MALFORMED
@@ -58,29 +64,33 @@
         self._items += items
         self._pages += 1
         if page.get("morePages") is not True:
-            self._target = ""
+            self._next_path = ""
             return Ok(None)
         last = items[-1] if items else None
         key = last.get("key") if isinstance(last, dict) else None
-        if not isinstance(key, str) or self._pages >= MOST_PAGES:
+        if not isinstance(key, str) or self._pages >= MAX_PAGES:
             return _MALFORMED
-        self._target = _after(self._path, key)
+        self._next_path = _next_page_path(self._path, key)
         return Ok(None)
 
     @property
     def items(self) -> list[Any]:
-        """The items of all pages."""
+        """The items of all pages added so far."""
         return self._items
 
     @property
     def position(self) -> Position:
-        """How far the list is complete."""
+        """The position up to which the list is complete.
+
+        Raises:
+            ValueError: No page has been added.
+        """
         if self._position is None:
             raise ValueError("no page was read")
         return self._position
 
-    def update(self) -> Update:
-        """Returns what all pages tell; only after the last."""
+    def to_update(self) -> Update:
+        """Converts the list to an update; valid only after the last page."""
         return read_items(
             self._items,
             self.position.revision,
@@ -89,9 +99,9 @@
         )
 
 
-def _after(path: str, key: str) -> str:
-    # Loaded only where a list has a second page: the first packet of a VM
-    # that starts waits for every module above.
+def _next_page_path(path: str, key: str) -> str:
+    # Imported only for lists with a second page: every module-level import
+    # delays the first packet of a VM that starts.
     import urllib.parse
 
     return f"{path}&after=" + urllib.parse.quote(key, safe="")
--- a/src/pollenmast/platform/_packet.py
+++ b/src/pollenmast/platform/_packet.py
@@ -1,4 +1,4 @@
-"""The platform's packets: a head of 32 bytes before the data of a flow."""
+"""The platform's packet format: a header of 32 bytes and the flow's data."""
 
 import re
 import socket
@@ -10,26 +10,34 @@
 from pollenmast.entry import PacketFormat
 from pollenmast.steering import Endpoint, FlowKey, Reset, Segment
 
-_HEAD = struct.Struct(">IIH4sH4sIIHBB")
-"""Checksum, token (`echo` on the platform's pages), source port and address,
-destination port and address, sequence, acknowledged, length, flags, padding."""
+_HEADER = struct.Struct(">IIH4sH4sIIHBB")
+"""Header layout.
 
-_TOKEN_AT = slice(4, 8)
-_MOST_DATA_BYTES = 1200
+The fields are: checksum, token (`echo` in the platform's documentation), source
+port and address, destination port and address, sequence number, acknowledgement
+number, data length, flags, padding.
+"""
+
+_TOKEN_SLICE = slice(4, 8)
+_MAX_DATA_BYTES = 1200
 _REQUEST_ID = re.compile(rb"(?i)\r\nx-request-id: *([!-~]{1,80})\r\n")
 _SYN, _ACK, _FIN, _RST, _BOUNCED = 16, 8, 64, 4, 32
 
 
 class PlatformPackets(PacketFormat):
-    """Reads clients' packets and writes those for endpoints and clients."""
+    """Decodes packets of clients; encodes packets for endpoints and clients."""
 
     def __init__(self, client_port: int):
-        """Sets the UDP port at which every client takes its packets."""
+        """Initialises the format.
+
+        Args:
+            client_port: The UDP port on which every client receives packets.
+        """
         self._client_port = client_port
 
     def decode(self, datagram: bytes) -> Result[Segment, DropReason]:
-        """Returns what a client's packet says."""
-        if len(datagram) < _HEAD.size:
+        """Decodes a client's packet, or returns why it is dropped."""
+        if len(datagram) < _HEADER.size:
             return Err(DropReason.MALFORMED)
         (
             _,
@@ -43,11 +51,12 @@
             length,
             flags,
             _,
-        ) = _HEAD.unpack_from(datagram)
-        if length != len(datagram) - _HEAD.size or length > _MOST_DATA_BYTES:
+        ) = _HEADER.unpack_from(datagram)
+        if length != len(datagram) - _HEADER.size or length > _MAX_DATA_BYTES:
             return Err(DropReason.MALFORMED)
         syn = bool(flags & _SYN)
-        # Only endpoints answer a SYN with both; a client's is forged.
+        # Only endpoints send SYN and ACK together, in response to a SYN; a
+        # packet with both from a client is forged.
         if (syn and flags & _ACK) or flags & _BOUNCED:
             return Err(DropReason.MALFORMED)
         return Ok(
@@ -64,7 +73,7 @@
                 token=0 if syn else token,
                 sequence=sequence,
                 acknowledged=0 if syn else acknowledged,
-                # On a SYN the field counts the copies sent before.
+                # In a SYN this field holds the number of earlier copies.
                 syn_copies=acknowledged if syn else 0,
                 length=length,
                 datagram=datagram,
@@ -78,16 +87,16 @@
         return b"".join(
             (
                 endpoint.number.to_bytes(8, "big"),
-                packet[: _TOKEN_AT.start],
+                packet[: _TOKEN_SLICE.start],
                 token,
-                packet[_TOKEN_AT.stop :],
+                packet[_TOKEN_SLICE.stop :],
             )
         )
 
     def for_reset(self, reset: Reset) -> tuple[bytes, tuple[str, int]]:
-        """Returns a reset and the address that it goes to."""
+        """Returns the reset packet and the address to send it to."""
         flow = reset.flow
-        packet = _HEAD.pack(
+        packet = _HEADER.pack(
             0,
             0,
             flow.service_port,
@@ -103,6 +112,6 @@
         return packet, (flow.client_host, self._client_port)
 
     def request_id(self, segment: Segment) -> str:
-        """Returns the id of the request that a segment begins, or empty."""
-        found = _REQUEST_ID.search(segment.datagram, _HEAD.size)
+        """Returns the X-Request-ID in a segment's data, or an empty string."""
+        found = _REQUEST_ID.search(segment.datagram, _HEADER.size)
         return found.group(1).decode("latin-1") if found else ""
--- a/src/pollenmast/platform/_probe.py
+++ b/src/pollenmast/platform/_probe.py
@@ -1,4 +1,4 @@
-"""Asks an endpoint of the platform for its health."""
+"""Health checks of the platform's endpoints."""
 
 from result import Err
 
@@ -8,38 +8,49 @@
 from pollenmast.steering import CheckResult, Endpoint
 
 CONNECT_TIMEOUT_S = 0.05
-"""A connection in the region opens in about 2 ms. A lost first packet would be
-sent again only after a second, so it is no use to wait for that; one failed
-check alone decides nothing."""
+"""Seconds that a connection may take to open.
+
+Within the region a connection opens in about 2 ms. A lost first packet would be
+retransmitted only after 1 s, which is not worth waiting for: a single failed
+check decides nothing.
+"""
 
 ANSWER_TIMEOUT_S = 0.6
-"""A check waits for one of the endpoint's slots behind its queue, about 0.2 s
-when it is full."""
+"""Seconds that an endpoint may take to respond to a check.
+
+The check waits in the endpoint's queue for a free slot, about 0.2 s when the
+queue is full.
+"""
 
-_NAME_HEADER = "x-endpoint-id"
+_ENDPOINT_ID_HEADER = "x-endpoint-id"
 _OK = 200
 
 
 class EndpointProbe(HealthProbe):
-    """Asks over a connection of its own: kept ones can fall silent."""
+    """Checks each endpoint over a new connection.
+
+    A connection that is kept open can stop responding.
+    """
 
     @property
     def timeout_s(self) -> float:
-        """The time that a connection may take to open."""
+        """Seconds that a connection may take to open."""
         return CONNECT_TIMEOUT_S
 
     async def check(
         self, endpoint: Endpoint, path: str, extra_s: float
     ) -> CheckResult:
-        """Asks an endpoint."""
+        """Requests the health check of an endpoint."""
         connection = http1.Connection(endpoint.host, endpoint.port)
         try:
-            return await self._ask(connection, endpoint, path, extra_s)
+            return await self._request_health(
+                connection, endpoint, path, extra_s
+            )
         finally:
             await connection.aclose()
 
     async def reaches(self, endpoint: Endpoint, extra_s: float) -> bool:
-        """Returns whether the endpoint's machine answers a connection."""
+        """Returns whether the host accepts or actively refuses a connection."""
         connection = http1.Connection(endpoint.host, endpoint.port)
         try:
             opened = await connection.connect(CONNECT_TIMEOUT_S + extra_s)
@@ -47,7 +58,7 @@
             await connection.aclose()
         return opened.is_ok() or opened.err_value is HttpFault.REFUSED
 
-    async def _ask(
+    async def _request_health(
         self,
         connection: http1.Connection,
         endpoint: Endpoint,
@@ -60,9 +71,9 @@
             return CheckResult.REFUSED if refused else CheckResult.TIMEOUT
         answer = await connection.get(path, ANSWER_TIMEOUT_S + extra_s)
         if isinstance(answer, Err):
-            # Its machine took the connection: it lives, and is busy.
+            # The host accepted the connection, so it is alive but busy.
             return CheckResult.UNHEALTHY
-        name = answer.ok_value.headers.get(_NAME_HEADER, endpoint.name)
+        name = answer.ok_value.headers.get(_ENDPOINT_ID_HEADER, endpoint.name)
         if name != endpoint.name:
             return CheckResult.OTHER
         healthy = answer.ok_value.status == _OK
--- a/src/pollenmast/platform/_settings.py
+++ b/src/pollenmast/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: lines of the form a.b=value."""
+"""Parses the platform's settings file: lines of the form a.b=value."""
 
 import math
 
@@ -10,47 +10,51 @@
 READINESS_PATH = "/readiness"
 
 METRICS_PORT = 9464
-"""The usual port of exporters of this format; the deploy file names it too."""
+"""Port of the metrics endpoint.
 
+The usual port of exporters of this format; the deploy file contains it too.
+"""
 
-def read_settings(text: str) -> Result[EntrySettings, str]:
-    """Returns the settings, or what is wrong with them."""
-    fields = dict(_pairs(text))
+
+def parse_settings(text: str) -> Result[EntrySettings, str]:
+    """Returns the settings, or an error message if they are invalid."""
+    fields = dict(_parse_pairs(text))
     try:
         return Ok(
             EntrySettings(
-                vm=_field(fields, "nodeId"),
-                zone=_field(fields, "zone"),
-                packets=_address(fields, "listenAddrs.datagramAddr"),
-                ready=_address(fields, "listenAddrs.ready"),
+                vm=_required_field(fields, "nodeId"),
+                zone=_required_field(fields, "zone"),
+                packets=_required_address(fields, "listenAddrs.datagramAddr"),
+                ready=_required_address(fields, "listenAddrs.ready"),
                 control=_optional_address(fields, "listenAddrs.control"),
                 metrics=(
-                    _address(fields, "listenAddrs.ready")[0],
+                    _required_address(fields, "listenAddrs.ready")[0],
                     METRICS_PORT,
                 ),
-                gossip=_gossip(fields),
-                directory=_address(fields, "platform.address"),
-                seeds=_seeds(fields),
-                # A configuration's, a leaving endpoint's and a drained zone's,
-                # in milliseconds.
+                gossip=_gossip_address(fields),
+                directory=_required_address(fields, "platform.address"),
+                seeds=_seed_addresses(fields),
+                # Time limits in milliseconds for a new configuration, a
+                # draining endpoint and a drained availability zone to take
+                # effect.
                 apply_s=min(
                     float(fields.get("bounds.configApplyMs", "3000")),
                     float(fields.get("bounds.drainMs", "3000")),
                     float(fields.get("bounds.evacuateMs", "3000")),
                 )
                 / 1000.0,
-                # The SIGTERM to SIGKILL time, in whole seconds or a fraction.
+                # Seconds from SIGTERM to SIGKILL; may have a fraction.
                 grace_s=float(fields.get("bounds.graceS", "6")),
                 ready_path=READINESS_PATH,
                 link_mbps=_link_mbps(fields),
-                allowance=_allowance(fields),
+                allowance=_cold_allowance(fields),
             )
         )
     except ValueError as error:
         return Err(str(error))
 
 
-def _pairs(text: str) -> list[tuple[str, str]]:
+def _parse_pairs(text: str) -> list[tuple[str, str]]:
     pairs = []
     for line in text.splitlines():
         name, equals, value = line.partition("=")
@@ -59,39 +63,49 @@
     return pairs
 
 
-def _field(fields: dict[str, str], name: str) -> str:
+def _required_field(fields: dict[str, str], name: str) -> str:
     value = fields.get(name, "")
     if not value:
         raise ValueError(f"{name} is missing")
     return value
 
 
-def _address(fields: dict[str, str], name: str) -> tuple[str, int]:
-    return _split(_field(fields, name), name)
+def _required_address(fields: dict[str, str], name: str) -> tuple[str, int]:
+    return _parse_address(_required_field(fields, name), name)
 
 
 def _optional_address(
     fields: dict[str, str], name: str
 ) -> tuple[str, int] | None:
     value = fields.get(name, "")
-    return _split(value, name) if value else None
+    return _parse_address(value, name) if value else None
+
 
+def _gossip_address(fields: dict[str, str]) -> tuple[str, int]:
+    """Returns the gossip address.
 
-def _gossip(fields: dict[str, str]) -> tuple[str, int]:
-    """Returns the first of the ports that are free between VMs."""
-    first = _field(fields, "internalPorts").split(",")[0]
+    It uses the first of the ports that are set aside for traffic between VMs.
+    """
+    first = _required_field(fields, "internalPorts").split(",")[0]
     if not first.isdigit():
         raise ValueError("internalPorts is no port")
-    return _address(fields, "listenAddrs.datagramAddr")[0], int(first)
+    return _required_address(fields, "listenAddrs.datagramAddr")[0], int(first)
 
 
-def _seeds(fields: dict[str, str]) -> tuple[tuple[str, int], ...]:
+def _seed_addresses(fields: dict[str, str]) -> tuple[tuple[str, int], ...]:
     listed = fields.get("seedNodes", "").split(",")
-    return tuple(_split(each, "seedNodes") for each in listed if each)
+    return tuple(_parse_address(each, "seedNodes") for each in listed if each)
+
+
+def _cold_allowance(fields: dict[str, str]) -> ColdAllowance | None:
+    """Returns how far the rate of cold endpoints may be exceeded.
 
+    Returns:
+        The allowance, or None if there is no limit.
 
-def _allowance(fields: dict[str, str]) -> ColdAllowance | None:
-    """Returns how far cold endpoints may be overrun, None if without limit."""
+    Raises:
+        ValueError: A factor is no number, negative or not finite.
+    """
     slack = fields.get("bounds.warmupSlack", "")
     if not slack:
         return None
@@ -104,7 +118,7 @@
 
 
 def _link_mbps(fields: dict[str, str]) -> int:
-    """Returns the width of the VM's link in whole Mbit/s, 0 if not told."""
+    """Returns the bandwidth of the VM's link in whole Mbit/s, 0 if not set."""
     text = fields.get("limits.linkMbps", "0")
     whole, _, rest = text.partition(".")
     if not (whole + rest).isdecimal() or not whole:
@@ -112,7 +126,7 @@
     return int(whole)
 
 
-def _split(text: str, name: str) -> tuple[str, int]:
+def _parse_address(text: str, name: str) -> tuple[str, int]:
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit():
         raise ValueError(f"{name}: {text!r} is no address")
--- a/src/pollenmast/platform/_start.py
+++ b/src/pollenmast/platform/_start.py
@@ -1,4 +1,4 @@
-"""Joins the platform's side to the program of a VM."""
+"""Starts the program of a VM with the adapter for the platform."""
 
 import socket
 import sys
@@ -9,59 +9,62 @@
 from pollenmast import entry
 from pollenmast.counters import Counters
 from pollenmast.entry import EntrySettings
+from pollenmast.platform._early_client import EarlyStoreClient
 from pollenmast.platform._first_read import StoreFirstRead
 from pollenmast.platform._packet import PlatformPackets
-from pollenmast.platform._question import StoreQuestion
-from pollenmast.platform._settings import read_settings
+from pollenmast.platform._settings import parse_settings
 
 
 def start(
     text: str,
     sock: socket.socket | None,
-    asked: tuple[socket.socket, int] | None,
-    read: Callable[[], str],
+    store_request: tuple[socket.socket, int] | None,
+    read_text: Callable[[], str],
 ) -> int:
     """Runs the program of a VM.
 
     Args:
-        text: The settings file's text.
-        sock: The socket of clients' packets.
-        asked: A connection to the store and how many bytes of the first
-            question were sent, or None.
-        read: Reads the settings file again; it may raise OSError.
+        text: The content of the settings file.
+        sock: The socket that receives clients' packets, or None if the
+            settings contain no address for it.
+        store_request: A connection to the store and the number of bytes of the
+            first request that were sent, or None if there is none.
+        read_text: Reads the settings file again; may raise OSError.
 
     Returns:
         The exit code.
     """
-    checked = read_settings(text)
-    if isinstance(checked, Err) or sock is None:
-        print(f"settings: {checked.err()}", file=sys.stderr)
+    parsed = parse_settings(text)
+    if isinstance(parsed, Err) or sock is None:
+        print(f"settings: {parsed.err()}", file=sys.stderr)
         return entry.EXIT_SETTINGS
-    settings = checked.ok_value
+    settings = parsed.ok_value
     counters = Counters()
     packets = PlatformPackets(settings.packets[1])
     first_read = None
-    if asked is not None:
-        first_read = StoreFirstRead(StoreQuestion(*asked), counters)
+    if store_request is not None:
+        first_read = StoreFirstRead(EarlyStoreClient(*store_request), counters)
     parts = entry.early(settings, packets, counters, sock)
     boot = entry.Boot(parts, first_read)
     boot.load()
-    return entry.run(parts, _ports(settings, packets, counters, read), boot)
+    return entry.run(
+        parts, _make_ports(settings, packets, counters, read_text), boot
+    )
 
 
-def _ports(
+def _make_ports(
     settings: EntrySettings,
     packets: PlatformPackets,
     counters: Counters,
-    read: Callable[[], str],
+    read_text: Callable[[], str],
 ) -> entry.Ports:
-    """Returns what only the whole program needs."""
+    """Makes the parts that are needed only after the program is loaded."""
     from pollenmast.platform._probe import EndpointProbe
     from pollenmast.platform._store import StoreDirectory
 
     def load() -> Result[EntrySettings, str]:
         try:
-            return read_settings(read())
+            return parse_settings(read_text())
         except OSError as error:
             return Err(str(error))
 
--- a/src/pollenmast/platform/_store.py
+++ b/src/pollenmast/platform/_store.py
@@ -1,4 +1,4 @@
-"""Reads and watches the platform's metadata store."""
+"""A client that lists and watches the platform's metadata store."""
 
 import json
 from typing import Any
@@ -8,11 +8,11 @@
 
 from pollenmast import http1
 from pollenmast.counters import CONTROL_BYTES, PLATFORM_CALLS, Counters
+from pollenmast.platform._early_client import MAX_BODY_BYTES
 from pollenmast.platform._entries import ENDPOINT_PREFIX, OPERATOR_PREFIX
 from pollenmast.platform._epoch import read_epoch
 from pollenmast.platform._items import read_items
 from pollenmast.platform._listing import Listing
-from pollenmast.platform._question import MOST_BODY_BYTES
 from pollenmast.steering import (
     NOTHING_KNOWN,
     Directory,
@@ -21,43 +21,50 @@
     Update,
 )
 
-READ_PATIENCE = http1.Patience(first_s=1.0, idle_s=1.0, total_s=8.0)
-"""The store answers in 4 ms; a second without a byte means that it is away or
-that the connection has been lost on the way. A megabyte takes a link of
-3 Mbit/s almost three seconds, and more beside clients' packets."""
+READ_TIMEOUTS = http1.Patience(first_s=1.0, idle_s=1.0, total_s=8.0)
+"""Timeouts of reads, in seconds.
+
+The store responds in 4 ms; a second without a byte means that the store is down
+or the connection is lost. A megabyte takes almost 3 s on a link of 3 Mbit/s,
+and longer when the link also carries clients' packets.
+"""
 
 WATCH_MARGIN_S = 0.5
-"""How much longer than the asked wait a watch is given to answer."""
+"""Seconds past its requested wait that a watch may take to begin responding."""
+
+WATCH_IDLE_TIMEOUT_S = 0.5
+"""Seconds that the rest of a watch's response may pause."""
+
+WATCH_BODY_TIMEOUT_S = 2.0
+"""Seconds that the rest of a watch's response may take in total."""
 
-WATCH_IDLE_S = 0.5
-"""How long the rest of a watch's answer may stand still."""
+MAX_WATCH_BYTES = 256 << 10
+"""Longest body of a watch's response that is read.
 
-WATCH_TOTAL_S = 2.0
-"""How long the rest of it may take."""
+The response contains every version of the configuration written since the last
+one. If it is longer than this, reading only the latest version is faster.
+"""
 
-MOST_WATCH_BYTES = 256 << 10
-"""The longest answer of a watch that is read. It holds every version of the
-configuration that was written meanwhile; beyond this the latest one alone,
-read by itself, comes sooner."""
+_OPERATOR_LIST_PATH = f"/kv-range?prefix={OPERATOR_PREFIX}"
 
-_OPERATORS_PATH = f"/kv-range?prefix={OPERATOR_PREFIX}"
+_ALL_KEYS_PREFIX = ""
+"""Common prefix of the configuration and the endpoints.
 
-_EVERYTHING = ""
-"""Prefix of both the configuration and the endpoints; a watch of each would
-cost twice the calls."""
+A separate watch for each would double the number of calls.
+"""
 
-_TOO_LONG = (http1.HttpFault.OVERSIZED, http1.HttpFault.INCOMPLETE)
-_BUSY = (429, 503)
-_GONE = 410
+_TOO_LONG_FAULTS = (http1.HttpFault.OVERSIZED, http1.HttpFault.INCOMPLETE)
+_BUSY_STATUSES = (429, 503)
+_GONE_STATUS = 410
 
 
 @attrs.frozen
-class _Answer:
-    """A successful answer.
+class _StoreResponse:
+    """A successful response.
 
     Attributes:
-        body: Its content.
-        epoch: Which copy of the store has answered.
+        body: The parsed JSON object.
+        epoch: The store's epoch.
     """
 
     body: dict[str, Any]
@@ -65,12 +72,12 @@
 
 
 @attrs.frozen
-class _Events:
-    """A watch's answer.
+class _WatchedEvents:
+    """The result of a watch.
 
     Attributes:
         items: The events.
-        position: How far they are complete.
+        position: The position up to which the events are complete.
     """
 
     items: list[Any]
@@ -78,36 +85,36 @@
 
 
 class StoreDirectory(Directory):
-    """The store, which lists the endpoints and the configuration.
+    """Reads endpoints and configuration from the store.
 
-    Watches and reads have connections of their own, so that a read never
-    waits behind a watch.
+    Watches and reads use separate connections, so that a read never waits for
+    a watch to finish.
     """
 
     def __init__(self, address: str, port: int, counters: Counters):
-        self._reader = http1.Connection(address, port, MOST_BODY_BYTES)
-        self._watcher = http1.Connection(address, port, MOST_BODY_BYTES)
+        self._read_connection = http1.Connection(address, port, MAX_BODY_BYTES)
+        self._watch_connection = http1.Connection(address, port, MAX_BODY_BYTES)
         self._counters = counters
 
     async def read(
         self, known: Position = NOTHING_KNOWN
     ) -> Result[Update, DirectoryFault]:
-        """Returns everything that is published now."""
-        listed = await self._list(Listing(), known)
-        return listed.map(Listing.update)
+        """Returns everything that is currently published."""
+        listed = await self._read_pages(Listing(), known)
+        return listed.map(Listing.to_update)
 
     async def catch_up(self, after: Position) -> Result[Update, DirectoryFault]:
-        """Returns changes after a position, with the latest configuration."""
-        listed = await self._list(Listing(_OPERATORS_PATH), after)
+        """Returns the changes after a position and the latest configuration."""
+        listed = await self._read_pages(Listing(_OPERATOR_LIST_PATH), after)
         if isinstance(listed, Err):
             return listed
         operators = listed.ok_value
         if operators.position.epoch != after.epoch:
-            return self._refuse(DirectoryFault.RESTORED)
-        # Asked after the list, so that together they are complete up to its
-        # revision.
+            return self._reject(DirectoryFault.RESTORED)
+        # Requested after the list, so that list and events together are
+        # complete up to the list's revision.
         target = _watch_target(ENDPOINT_PREFIX, after, 0.0)
-        events = await self._events(target, after, READ_PATIENCE)
+        events = await self._fetch_events(target, after, READ_TIMEOUTS)
         if isinstance(events, Err):
             return events
         update = read_items(
@@ -122,13 +129,23 @@
     async def watch(
         self, after: Position, wait_s: float
     ) -> Result[Update, DirectoryFault]:
-        """Returns what changed after a position, or nothing in time."""
+        """Waits for changes after a position.
+
+        Args:
+            after: The position up to which changes are known.
+            wait_s: Seconds that the store waits for a change.
+
+        Returns:
+            The changes, none if nothing changed within `wait_s`, or a fault.
+        """
         first_s = wait_s + WATCH_MARGIN_S
-        patience = http1.Patience(
-            first_s, WATCH_IDLE_S, first_s + WATCH_TOTAL_S
+        timeouts = http1.Patience(
+            first_s, WATCH_IDLE_TIMEOUT_S, first_s + WATCH_BODY_TIMEOUT_S
+        )
+        target = _watch_target(_ALL_KEYS_PREFIX, after, wait_s)
+        events = await self._fetch_events(
+            target, after, timeouts, MAX_WATCH_BYTES
         )
-        target = _watch_target(_EVERYTHING, after, wait_s)
-        events = await self._events(target, after, patience, MOST_WATCH_BYTES)
         if isinstance(events, Err):
             return events
         position = events.ok_value.position
@@ -141,88 +158,103 @@
             )
         )
 
-    async def _list(
+    async def _read_pages(
         self, listing: Listing, known: Position
     ) -> Result[Listing, DirectoryFault]:
-        """Reads all pages of a list."""
-        while (target := listing.target) is not None:
-            answer = await self._get(
-                self._reader, target, known.epoch, READ_PATIENCE
+        """Reads all remaining pages of a list."""
+        while (target := listing.next_path) is not None:
+            response = await self._get_json(
+                self._read_connection, target, known.epoch, READ_TIMEOUTS
             )
-            if isinstance(answer, Err):
-                return answer
-            page = answer.ok_value
+            if isinstance(response, Err):
+                return response
+            page = response.ok_value
             added = listing.add(page.body, page.epoch)
             if isinstance(added, Err):
-                return self._refuse(added.err_value)
+                return self._reject(added.err_value)
         if listing.position < known:
-            return self._refuse(DirectoryFault.STALE)
+            return self._reject(DirectoryFault.STALE)
         return Ok(listing)
 
-    async def _events(
+    async def _fetch_events(
         self,
         target: str,
         after: Position,
-        patience: http1.Patience,
-        most: int | None = None,
-    ) -> Result[_Events, DirectoryFault]:
-        """Returns a watch's events.
-
-        A restored store may by now have a revision of the number that is
-        watched from. What it has written up to there would be missing, so
-        events of another epoch are of no use.
+        timeouts: http1.Patience,
+        max_bytes: int | None = None,
+    ) -> Result[_WatchedEvents, DirectoryFault]:
+        """Requests a watch and returns its events.
+
+        Events of another epoch are rejected. A restored store may already have
+        reached the revision that the watch starts from, and the changes that
+        it made up to that revision would be missing.
         """
-        answer = await self._get(
-            self._watcher, target, after.epoch, patience, most
+        response = await self._get_json(
+            self._watch_connection, target, after.epoch, timeouts, max_bytes
         )
-        if isinstance(answer, Err):
-            return answer
-        body = answer.ok_value.body
+        if isinstance(response, Err):
+            return response
+        body = response.ok_value.body
         events, revision = body.get("events"), body.get("asOf")
         if not isinstance(events, list) or not isinstance(revision, int):
-            return self._refuse(DirectoryFault.MALFORMED)
-        position = Position(answer.ok_value.epoch, revision)
+            return self._reject(DirectoryFault.MALFORMED)
+        position = Position(response.ok_value.epoch, revision)
         if position < after:
-            return self._refuse(DirectoryFault.STALE)
+            return self._reject(DirectoryFault.STALE)
         if position.epoch != after.epoch:
-            return self._refuse(DirectoryFault.RESTORED)
-        return Ok(_Events(events, position))
+            return self._reject(DirectoryFault.RESTORED)
+        return Ok(_WatchedEvents(events, position))
 
-    def _refuse(self, fault: DirectoryFault) -> Err[DirectoryFault]:
+    def _reject(self, fault: DirectoryFault) -> Err[DirectoryFault]:
+        """Counts a fault and returns it as an error."""
         self._counters.add(PLATFORM_CALLS, fault)
         return Err(fault)
 
-    async def _get(
+    async def _get_json(
         self,
         connection: http1.Connection,
         target: str,
         known_epoch: int,
-        patience: http1.Patience,
-        most: int | None = None,
-    ) -> Result[_Answer, DirectoryFault]:
+        timeouts: http1.Patience,
+        max_bytes: int | None = None,
+    ) -> Result[_StoreResponse, DirectoryFault]:
+        """Requests a JSON object.
+
+        Args:
+            connection: The connection to use.
+            target: The path and query to request.
+            known_epoch: The epoch of a response that has no epoch header.
+            timeouts: How long to wait for the response.
+            max_bytes: The longest body to read; None for the connection's own
+                limit.
+        """
         before = connection.sent_bytes
-        response = await connection.get(target, patience, most)
+        response = await connection.get(target, timeouts, max_bytes)
         self._counters.add(
             CONTROL_BYTES, "platform", connection.sent_bytes - before
         )
         if isinstance(response, Err):
-            if response.err_value in _TOO_LONG:
-                return self._refuse(DirectoryFault.TOO_LONG)
+            if response.err_value in _TOO_LONG_FAULTS:
+                return self._reject(DirectoryFault.TOO_LONG)
             self._counters.add(PLATFORM_CALLS, "failed")
             return Err(DirectoryFault.UNREACHABLE)
         if response.ok_value.status != 200:
             self._counters.add(PLATFORM_CALLS, "failed")
-            return Err(_fault(response.ok_value.status))
+            return Err(_fault_of_status(response.ok_value.status))
         try:
             body = json.loads(response.ok_value.body)
         except (ValueError, RecursionError):
-            return self._refuse(DirectoryFault.MALFORMED)
+            return self._reject(DirectoryFault.MALFORMED)
         epoch = read_epoch(response.ok_value.headers)
         if not isinstance(body, dict) or isinstance(epoch, Err):
-            return self._refuse(DirectoryFault.MALFORMED)
+            return self._reject(DirectoryFault.MALFORMED)
         self._counters.add(PLATFORM_CALLS, "answered")
-        named = epoch.ok_value
-        return Ok(_Answer(body, known_epoch if named is None else named))
+        answered_epoch = epoch.ok_value
+        return Ok(
+            _StoreResponse(
+                body, known_epoch if answered_epoch is None else answered_epoch
+            )
+        )
 
 
 def _watch_target(prefix: str, after: Position, wait_s: float) -> str:
@@ -231,9 +263,9 @@
     return f"/kv-watch?{query}"
 
 
-def _fault(status: int) -> DirectoryFault:
-    if status == _GONE:
+def _fault_of_status(status: int) -> DirectoryFault:
+    if status == _GONE_STATUS:
         return DirectoryFault.HISTORY_GONE
-    if status in _BUSY:
+    if status in _BUSY_STATUSES:
         return DirectoryFault.BUSY
     return DirectoryFault.STATUS
--- a/tests/platform_entries_test.py
+++ b/tests/platform_entries_test.py
@@ -9,7 +9,7 @@
 from testtools import TestCase
 
 from pollenmast.platform._entries import parse_configuration, parse_endpoint
-from pollenmast.platform._settings import read_settings
+from pollenmast.platform._settings import parse_settings
 from pollenmast.steering import ColdAllowance, Warmup
 
 NAME = "i-7f3a91c2"
@@ -76,10 +76,10 @@
 
 
 class EndpointTest(TestCase):
-    """Which entries name an endpoint to use."""
+    """Parsing of endpoints' entries."""
 
-    def test_entry(self):
-        """Every field is decoded into what it means."""
+    def test_valid_entry(self):
+        """The fields of a valid entry are decoded."""
         endpoint = parse_endpoint(NAME, _entry()).ok_value
         self.assertEqual(0x7F3A91C2, endpoint.number)
         self.assertEqual(0x7F3A91C2, endpoint.token)
@@ -88,7 +88,7 @@
         self.assertFalse(endpoint.draining)
 
     def test_long_name(self):
-        """A name of more than 32 bits yields a token that is never zero."""
+        """A name of more than 32 bits gets a token other than zero."""
         endpoint = parse_endpoint("i-9222196a73", _entry()).ok_value
         self.assertEqual(0x9222196A73, endpoint.number)
         self.assertTrue(0 < endpoint.token < 1 << 32)
@@ -97,7 +97,7 @@
         [
             ("not_json", b"\xff\xfe"),
             ("a_list", b"[]"),
-            ("deep", b"[" * 100_000),
+            ("deeply_nested", b"[" * 100_000),
             ("no_address", _entry(address=None)),
             ("no_port", _entry(address="10.0.0.1")),
             ("host_name", _entry(address="example:80")),
@@ -106,35 +106,35 @@
             ("slots_as_text", _entry(slots="2")),
             ("slots_true", _entry(slots=True)),
             ("no_service", _entry(service="")),
-            ("negative_warmth", _entry(warmupLeftMs=-1)),
+            ("negative_warmup", _entry(warmupLeftMs=-1)),
         ]
     )
-    def test_unusable(self, _, value):
-        """Another writer's entry names no endpoint, and raises nothing."""
+    def test_invalid_entry(self, _, value):
+        """An invalid entry is an error and raises no exception."""
         self.assertIsInstance(parse_endpoint(NAME, value), Err)
 
     @parameterized.expand([("no_digits", "i-xyz"), ("empty", "")])
-    def test_unusable_name(self, _, name):
-        """A name without a number cannot be addressed."""
+    def test_name_without_number(self, _, name):
+        """An endpoint whose name contains no number cannot be addressed."""
         self.assertIsInstance(parse_endpoint(name, _entry()), Err)
 
     @given(st.dictionaries(st.sampled_from(list(ENTRY)), _JSON), st.text())
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_any_fields(self, fields, name):
-        """No entry raises anything."""
+        """No entry makes the parser raise an exception."""
         parse_endpoint(name, _entry(**fields))
 
 
 class ConfigurationTest(TestCase):
-    """What the operator's configuration means."""
+    """Parsing of the operator's configuration."""
 
     def test_routes(self):
-        """Routes are found by address and port; no share means no flows."""
+        """Routes are keyed by address and port; a weight of 0 gets no flows."""
         table = parse_configuration(json.dumps(CONFIGURATION).encode())
         routes = table.ok_value.routes
-        feed = routes["198.18.0.1", 8443]
-        self.assertEqual(["a"], feed.services(digest=95))
-        self.assertTrue(feed.idempotent)
+        route = routes["198.18.0.1", 8443]
+        self.assertEqual(["a"], route.services(digest=95))
+        self.assertTrue(route.idempotent)
         self.assertFalse(routes["198.18.0.1", 8080].idempotent)
         self.assertEqual(15.0, table.ok_value.idle_timeout_s)
 
@@ -144,15 +144,15 @@
             ("no_routes", {"routeTable": None}),
             ("no_services", {"services": []}),
             ("no_limits", {"limits": {}}),
-            ("odd_route", {"routeTable": [{"name": "r"}]}),
+            ("incomplete_route", {"routeTable": [{"name": "r"}]}),
         ]
     )
-    def test_invalid(self, _, fields):
-        """An invalid configuration is refused whole."""
+    def test_invalid_configuration(self, _, fields):
+        """A configuration with any invalid field is rejected as a whole."""
         value = json.dumps({**CONFIGURATION, **fields}).encode()
         self.assertIsInstance(parse_configuration(value), Err)
 
-    def _warmed(self, **fields):
+    def _parse_with_warmup(self, **fields):
         services = [{"name": "a", "healthPath": "/health", **fields}]
         services.append({"name": "b", "healthPath": "/health"})
         entry = {**CONFIGURATION, "services": services}
@@ -167,8 +167,8 @@
         ]
     )
     def test_warmup(self, _, fields, warmup):
-        """A rate of zero is a limit; a service without one has none."""
-        table = self._warmed(**fields).ok_value
+        """A rate of 0 is a limit; a service without a rate has no limit."""
+        table = self._parse_with_warmup(**fields).ok_value
         self.assertEqual(warmup, table.warmups.get("a"))
         self.assertNotIn("b", table.warmups)
 
@@ -184,23 +184,23 @@
             ("huge_integer", 10**400),
         ]
     )
-    def test_bad_warmup(self, _, rate):
-        """A rate that no endpoint can have refuses the configuration."""
-        self.assertIsInstance(self._warmed(warmupPerS=rate), Err)
+    def test_invalid_warmup_rate(self, _, rate):
+        """A configuration with an impossible warm-up rate is rejected."""
+        self.assertIsInstance(self._parse_with_warmup(warmupPerS=rate), Err)
 
     @given(st.dictionaries(st.sampled_from(list(CONFIGURATION)), _JSON))
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_any_fields(self, fields):
-        """No configuration raises anything."""
+        """No configuration makes the parser raise an exception."""
         parse_configuration(json.dumps({**CONFIGURATION, **fields}).encode())
 
 
 class SettingsTest(TestCase):
-    """The platform's settings file."""
+    """Parsing of the platform's settings file."""
 
-    def test_file(self):
-        """Fields are decoded into the program's settings; new ones pass."""
-        read = read_settings(SETTINGS)
+    def test_valid_file(self):
+        """Known fields are decoded and unknown ones are ignored."""
+        read = parse_settings(SETTINGS)
         self.assertIsInstance(read, Ok)
         self.assertEqual(("10.1.0.10", 8172), read.ok_value.packets)
         self.assertEqual(("10.1.0.10", 7720), read.ok_value.gossip)
@@ -209,20 +209,20 @@
         self.assertIsNone(read.ok_value.allowance)
 
     def test_bounds(self):
-        """The shortest bound counts; cold endpoints have an allowance."""
+        """The shortest bound applies; the cold endpoints' allowance is set."""
         bounds = (
             "bounds.configApplyMs=5000\nbounds.drainMs=4000\n"
             "bounds.evacuateMs=2500\n"
             "bounds.warmupOverrun=1.5\nbounds.warmupSlack=5\n"
         )
-        read = read_settings(SETTINGS + bounds).ok_value
+        read = parse_settings(SETTINGS + bounds).ok_value
         self.assertEqual(2.5, read.apply_s)
         self.assertEqual(ColdAllowance(1.5, 5.0), read.allowance)
 
     @parameterized.expand([("-1",), ("nan",), ("inf",), ("many",)])
-    def test_bad_allowance(self, value):
-        """An allowance that is no factor is refused."""
-        read = read_settings(SETTINGS + f"bounds.warmupSlack={value}\n")
+    def test_invalid_allowance(self, value):
+        """An allowance that is negative or not a finite number is rejected."""
+        read = parse_settings(SETTINGS + f"bounds.warmupSlack={value}\n")
         self.assertIsInstance(read, Err)
 
     @parameterized.expand(
@@ -237,12 +237,12 @@
             )
         ]
     )
-    def test_missing(self, name):
-        """A missing field is named."""
+    def test_missing_field(self, name):
+        """The error for a missing field contains its name."""
         lines = [
             line
             for line in SETTINGS.splitlines()
             if not line.startswith(f"{name}=")
         ]
-        read = read_settings("\n".join(lines))
+        read = parse_settings("\n".join(lines))
         self.assertIn(name.split(".")[0], read.err_value)
--- a/tests/platform_epoch_test.py
+++ b/tests/platform_epoch_test.py
@@ -8,7 +8,7 @@
 
 
 class EpochTest(TestCase):
-    """The header that names a store's copy."""
+    """Parsing of the header with the store's epoch."""
 
     @parameterized.expand(
         [
@@ -18,8 +18,8 @@
             ("large", {"store-era": "9" * 18}, int("9" * 18)),
         ]
     )
-    def test_read(self, _, headers, expected):
-        """A whole number is read, an absent header is no fault."""
+    def test_valid(self, _, headers, expected):
+        """A whole number is accepted, and an absent header is not an error."""
         self.assertEqual(Ok(expected), read_epoch(headers))
 
     @parameterized.expand(
@@ -33,6 +33,6 @@
             ("too_large", "9" * 19),
         ]
     )
-    def test_refused(self, _, text):
-        """A header that says something else makes the answer unusable."""
+    def test_invalid(self, _, text):
+        """Any other value makes the response unusable."""
         self.assertIsInstance(read_epoch({"store-era": text}), Err)
--- a/tests/platform_packet_test.py
+++ b/tests/platform_packet_test.py
@@ -19,56 +19,56 @@
 )
 FLOW = FlowKey("100.64.0.7", 40001, "198.18.0.1", 443)
 PACKETS = PlatformPackets(8172)
-_FLAGS_AT = 30
-_ACKNOWLEDGED_AT = slice(24, 28)
+_FLAGS_OFFSET = 30
+_ACKNOWLEDGED_SLICE = slice(24, 28)
 
 
-def _with(flags: int, acknowledged: int = 0, data: bytes = b"") -> bytes:
+def _packet(flags: int, acknowledged: int = 0, data: bytes = b"") -> bytes:
     packet = bytearray(SYN + data)
-    packet[_FLAGS_AT] = flags
-    packet[_ACKNOWLEDGED_AT] = acknowledged.to_bytes(4, "big")
+    packet[_FLAGS_OFFSET] = flags
+    packet[_ACKNOWLEDGED_SLICE] = acknowledged.to_bytes(4, "big")
     packet[28:30] = len(data).to_bytes(2, "big")
     return bytes(packet)
 
 
 class DecodeTest(TestCase):
-    """What a client's packet says."""
+    """Decoding of clients' packets."""
 
     def test_syn(self):
-        """A SYN names the flow; its token is not the client's to choose."""
+        """A SYN identifies the flow; a token set by the client is ignored."""
         segment = PACKETS.decode(SYN).ok_value
         self.assertEqual(FLOW, segment.flow)
         self.assertTrue(segment.syn)
         self.assertEqual(0, segment.token)
 
-    def test_copies(self):
-        """A SYN's acknowledgement field counts the copies before it."""
-        segment = PACKETS.decode(_with(16, acknowledged=2)).ok_value
+    def test_syn_copies(self):
+        """A SYN's acknowledgement field holds the number of earlier copies."""
+        segment = PACKETS.decode(_packet(16, acknowledged=2)).ok_value
         self.assertEqual((2, 0), (segment.syn_copies, segment.acknowledged))
 
     def test_data(self):
-        """Data names what the client has received, and how much it sends."""
-        segment = PACKETS.decode(_with(8, 77, b"GET /")).ok_value
+        """A data packet has an acknowledgement number and a data length."""
+        segment = PACKETS.decode(_packet(8, 77, b"GET /")).ok_value
         self.assertEqual((77, 5), (segment.acknowledged, segment.length))
 
     @parameterized.expand(
         [
             ("empty", b""),
             ("short", SYN[:-1]),
-            ("length_lies", SYN + b"x"),
-            ("too_long", _with(8, 0, b"x" * 1201)),
-            ("forged_answer", _with(24)),
-            ("bounced", _with(8 | 32)),
+            ("wrong_length", SYN + b"x"),
+            ("too_long", _packet(8, 0, b"x" * 1201)),
+            ("forged_answer", _packet(24)),
+            ("bounced", _packet(8 | 32)),
         ]
     )
     def test_malformed(self, _, datagram):
-        """What no client sends is dropped."""
+        """Packets that no client can have sent are dropped."""
         self.assertEqual(Err(DropReason.MALFORMED), PACKETS.decode(datagram))
 
     @given(st.binary(max_size=1300))
     @settings(max_examples=300, deadline=None, derandomize=True)
     def test_any_bytes(self, datagram):
-        """No datagram raises anything."""
+        """No datagram makes the decoder raise an exception."""
         PACKETS.decode(datagram)
 
     @parameterized.expand(
@@ -80,19 +80,19 @@
         ]
     )
     def test_request_id(self, _, data, expected):
-        """A request's id is read for the log, where it is all there."""
-        segment = PACKETS.decode(_with(8, 0, data)).ok_value
+        """A request's id is read for the log if the whole header is present."""
+        segment = PACKETS.decode(_packet(8, 0, data)).ok_value
         self.assertEqual(expected, PACKETS.request_id(segment))
 
 
 class EncodeTest(TestCase):
-    """What the VM sends."""
+    """Encoding of the packets that the VM sends."""
 
     def test_for_endpoint(self):
-        """The endpoint's number goes before the packet, its token into it.
+        """The packet is prefixed with the endpoint's number and has its token.
 
-        Nothing else may differ: the ends would take a changed packet for
-        forged.
+        All other bytes must stay the same, or client and endpoint would reject
+        the packet as forged.
         """
         endpoint = group.endpoint(0x7F3A91C2)
         segment = PACKETS.decode(SYN).ok_value
@@ -103,7 +103,7 @@
         self.assertEqual(SYN[:4] + SYN[8:], packet[:4] + packet[8:])
 
     def test_for_reset(self):
-        """A reset comes from the service's address, to the clients' port."""
+        """A reset has the service's address as source and the clients' port."""
         reset = Reset(FLOW, 0, ResetReason.NO_ROUTE)
         data, address = PACKETS.for_reset(reset)
         self.assertEqual(RESET, data)
--- a/tests/platform_store_test.py
+++ b/tests/platform_store_test.py
@@ -1,4 +1,4 @@
-"""Tests of platform._store against answers in memory, and of entry._follow."""
+"""Tests of platform._store and entry._follow with an in-memory store."""
 
 import json
 
@@ -26,50 +26,50 @@
 
 
 class ReadTest(StoreCase):
-    """What is read, whole and page by page."""
+    """Reads of the whole store, in one page or several."""
 
     def _read(self):
         return self.run_main(self.directory.read)
 
-    def test_everything(self):
-        """Configuration and endpoints come with one call."""
+    def test_single_page(self):
+        """Configuration and endpoints are read with a single call."""
         update = self._read().ok_value
         self.assertTrue(update.whole)
         self.assertEqual(self.store.revision, update.revision)
         self.assertEqual(2, len(update.changes))
         self.assertEqual(1, self.store.calls)
 
-    def test_pages(self):
-        """A long list comes in pages, up to the first one's revision."""
+    def test_multiple_pages(self):
+        """A long list is read page by page."""
         for number in range(PAGE_ITEMS + 5):
             self.store.put(f"servers/i-{number:08x}", ENTRY)
         update = self._read().ok_value
         self.assertEqual(PAGE_ITEMS + 7, len(update.changes))
 
     def test_pages_of_two_epochs(self):
-        """The store is restored while a long list is read.
+        """A list is rejected if the store is restored between its pages.
 
-        The pages together are nothing that the store has ever held.
+        Together, such pages are a state that the store has never been in.
         """
         for number in range(PAGE_ITEMS + 5):
             self.store.put(f"servers/i-{number:08x}", ENTRY)
-        copy, answer = self.store.copy(), self.store.handle
+        copy, handle_request = self.store.copy(), self.store.handle
 
         async def handle(request):
-            told = await answer(request)
+            response = await handle_request(request)
             self.store.restore(copy)
-            return told
+            return response
 
         self.patch(self.store, "handle", handle)
         self.assertEqual(Err(DirectoryFault.RESTORED), self._read())
 
     def test_too_many_pages(self):
-        """A list longer than any is refused whole.
+        """A list with too many pages is rejected as a whole.
 
-        Cut off and taken for everything, it would remove the endpoints that
-        stand behind its end, and their flows would be reset.
+        If it were cut off and treated as complete, the endpoints after the cut
+        would be removed and their flows reset.
         """
-        self.patch(_listing, "MOST_PAGES", 2)
+        self.patch(_listing, "MAX_PAGES", 2)
         for number in range(3 * PAGE_ITEMS):
             self.store.put(f"servers/i-{number:08x}", ENTRY)
         self.assertEqual(Err(DirectoryFault.MALFORMED), self._read())
@@ -81,8 +81,8 @@
             ("state", {**ENTRY, "state": "odd"}),
         ]
     )
-    def test_junk_entry(self, _, value):
-        """Another writer's entry is told of; the others hold."""
+    def test_invalid_entry(self, _, value):
+        """An invalid entry is reported and the other entries are used."""
         self.store.put("servers/i-00000bad", value)
         update = self._read().ok_value
         announced = [
@@ -91,8 +91,8 @@
         self.assertEqual([NAME], [c.endpoint.name for c in announced])
         self.assertEqual(1, len(update.refused))
 
-    def test_other_keys(self):
-        """Keys that are not ours say nothing."""
+    def test_unrelated_keys(self):
+        """Unrelated keys are ignored."""
         self.store.put("else/where", b"x")
         self.store.put("op/configuration", b"x")
         update = self._read().ok_value
@@ -107,23 +107,23 @@
         ]
     )
     def test_fault(self, _, fault, expected):
-        """A store that does not answer is a fault, in bounded time."""
+        """A store that does not respond is a fault, within a bounded time."""
         self.store.fault = fault
         self.assertEqual(Err(expected), self._read())
 
     @parameterized.expand(
         [
-            ("no_json", b"<html>"),
+            ("not_json", b"<html>"),
             ("a_list", b"[]"),
             ("no_items", b'{"asOf": 1}'),
-            ("odd_items", b'{"items": {}, "asOf": 1}'),
+            ("items_not_a_list", b'{"items": {}, "asOf": 1}'),
             ("no_revision", b'{"items": []}'),
             ("no_next", b'{"items": [], "asOf": 1, "morePages": true}'),
             ("deep", b"[" * 100_000),
         ]
     )
-    def test_malformed_answer(self, _, body):
-        """An answer that is none is refused whole, and counted."""
+    def test_malformed_response(self, _, body):
+        """A malformed response is rejected as a whole and counted."""
 
         async def handle(request):
             return Response(200, body)
@@ -134,28 +134,28 @@
 
 
 class WatchTest(StoreCase):
-    """What is told of changes."""
+    """Watches of changes."""
 
     def _watch(self, after: int):
         position = Position(self.store.epoch, after)
         return self.run_main(lambda: self.directory.watch(position, WATCH_S))
 
     def test_removed(self):
-        """A removal names the endpoint."""
+        """A deleted entry removes its endpoint."""
         before = self.store.revision
         self.store.delete(KEY)
         update = self._watch(before).ok_value
         self.assertEqual((EndpointRemoved(NAME, before + 1),), update.changes)
 
-    def test_overwritten(self):
-        """An entry that became unreadable no longer names its endpoint."""
+    def test_entry_becomes_invalid(self):
+        """An entry that becomes invalid removes its endpoint."""
         before = self.store.revision
         self.store.put(KEY, b"junk")
         update = self._watch(before).ok_value
         self.assertEqual((EndpointRemoved(NAME, before + 1),), update.changes)
 
     def test_history_gone(self):
-        """A dropped history is told apart: everything has to be read."""
+        """Dropped history is a fault of its own: a full read has to follow."""
         before = self.store.revision
         self.store.delete(KEY)
         self.store.compact()
@@ -169,32 +169,35 @@
         ]
     )
     def test_out_of_order(self, _, epoch, revision, expected):
-        """Events of another copy are taken for what follows the known ones."""
-        self._answer({"events": [], "asOf": 12}, {"store-era": "2"})
+        """Events that do not follow the known position are rejected.
+
+        They come from another epoch or from an older revision of the store.
+        """
+        self._respond_with({"events": [], "asOf": 12}, {"store-era": "2"})
         position = Position(epoch, revision)
         watch = self.directory.watch
-        told = self.run_main(lambda: watch(position, WATCH_S))
-        self.assertEqual(Err(expected), told)
+        result = self.run_main(lambda: watch(position, WATCH_S))
+        self.assertEqual(Err(expected), result)
         self.assertEqual(1, self.counters.value(PLATFORM_CALLS, expected))
 
     @parameterized.expand([("absent", {}), ("same", {"store-era": "3"})])
     def test_epoch(self, _, headers):
-        """An answer that names no epoch is taken for the known one's."""
-        self._answer({"events": [], "asOf": 12}, headers)
+        """A response without an epoch counts as one of the known epoch."""
+        self._respond_with({"events": [], "asOf": 12}, headers)
         watch = self.directory.watch
-        told = self.run_main(lambda: watch(Position(3, 11), WATCH_S))
-        self.assertEqual(Position(3, 12), told.ok_value.position)
+        result = self.run_main(lambda: watch(Position(3, 11), WATCH_S))
+        self.assertEqual(Position(3, 12), result.ok_value.position)
 
     @parameterized.expand(
         [("words", "new"), ("negative", "-1"), ("long", "1" * 400)]
     )
-    def test_odd_epoch(self, _, era):
-        """An answer whose epoch cannot be read is refused, and counted."""
-        self._answer({"events": [], "asOf": 12}, {"store-era": era})
+    def test_invalid_epoch(self, _, era):
+        """A response with an invalid epoch is rejected and counted."""
+        self._respond_with({"events": [], "asOf": 12}, {"store-era": era})
         self.assertEqual(Err(DirectoryFault.MALFORMED), self._watch(11))
         self.assertEqual(1, self.counters.value(PLATFORM_CALLS, "malformed"))
 
-    def _answer(self, body, headers) -> None:
+    def _respond_with(self, body, headers) -> None:
         async def handle(request):
             return http.Response(200, json.dumps(body).encode(), headers)
 
@@ -202,10 +205,10 @@
 
 
 class FollowerTest(StoreCase):
-    """A VM's beliefs follow the store through its troubles."""
+    """A VM follows the store through changes and failures."""
 
-    def test_change(self):
-        """A new configuration is in force at once."""
+    def test_configuration_change(self):
+        """A new configuration is in force immediately."""
 
         async def script(core, follower):
             self.store.put("op/config", {**CONFIGURATION, "version": 9})
@@ -215,9 +218,9 @@
         self.follow(script)
 
     def test_silent_connection(self):
-        """The watch's connection falls silent for good; new ones work.
+        """A watch whose connection stops responding is sent on a new one.
 
-        Operators would see one VM follow an old configuration.
+        Otherwise one VM would stay on an old configuration.
         """
 
         async def script(core, follower):
@@ -231,7 +234,7 @@
         self.follow(script)
 
     def test_history_dropped(self):
-        """A change is made and the history dropped while the store is away."""
+        """Changes during an outage are applied although history was dropped."""
 
         async def script(core, follower):
             self.store.fault = Fault.DOWN
@@ -246,17 +249,17 @@
 
         self.follow(script)
 
-    def test_overtaken(self):
-        """A peer tells of a restore while an old answer is under way.
+    def test_restore_during_request(self):
+        """A response is ignored if a peer has reported a restore meanwhile.
 
-        Taken in, or for a sign that nothing is newer, the late answer would
-        put the VM back behind the restore.
+        If the late response were applied, or counted as confirmation that
+        nothing is newer, the VM would return to the state before the restore.
         """
 
         async def script(core, follower):
             self.store.put("op/config", {**CONFIGURATION, "version": 9})
-            told = group.listing(epoch=9, revision=3)
-            core.apply(told, anyio.current_time())
+            update = group.listing(epoch=9, revision=3)
+            core.apply(update, anyio.current_time())
             await anyio.sleep(1.0)
             self.assertEqual(Position(9, 3), core.position)
             self.assertEqual(7, core.table.version)
@@ -266,9 +269,9 @@
         self.follow(script)
 
     def test_history_always_gone(self):
-        """Each watch is refused although everything has just been read.
+        """Watches that fail although reads succeed are retried with a delay.
 
-        Asked again at once, a store in trouble gets sixty calls a second.
+        Without the delay, a faulty store would get 60 calls per second.
         """
 
         async def gone(request):
@@ -284,7 +287,7 @@
         self.follow(script)
 
     def test_outage(self):
-        """While the store is down, nothing known is forgotten."""
+        """During an outage, known entries are kept and retries are few."""
 
         async def script(core, follower):
             self.store.fault = Fault.DOWN
@@ -297,12 +300,12 @@
 
         self.follow(script)
 
-    def test_no_reader(self):
-        """This VM leaves the watching to others, and hears nothing of them.
+    def test_silent_peers(self):
+        """A VM that leaves watching to silent peers reads the store itself.
 
-        It asks for itself in time for a change to be in force when it must.
+        It does so early enough for a change to be in force within its limit.
         """
-        news = []
+        updates = []
 
         async def script(core, follower):
             calls = self.store.calls
@@ -311,16 +314,16 @@
             self.store.put("op/config", {**CONFIGURATION, "version": 9})
             await anyio.sleep(APPLY_S)
             self.assertEqual(9, core.table.version)
-            self.assertTrue(news)
+            self.assertTrue(updates)
 
-        self.follow(script, join=lambda: news.append(1))
+        self.follow(script, join=lambda: updates.append(1))
 
     @parameterized.expand([("known", True, 0), ("unknown", False, 1)])
-    def test_start(self, _, known, calls):
-        """A VM that read everything in its first stage does not ask again.
+    def test_first_read(self, _, known, calls):
+        """A VM that read the whole store while loading does not read again.
 
-        When a hundred VMs start at once, each would cost a second call. A VM
-        that knows nothing asks at once.
+        Otherwise each of a hundred VMs that start at once would cost a second
+        call. A VM that has read nothing reads at once.
         """
 
         async def script(core, follower):
@@ -333,11 +336,11 @@
 
         self.follow(script, join=lambda: None, known=known)
 
-    def test_release(self):
-        """A service is released: a dozen entries change each second.
+    def test_frequent_changes(self):
+        """A release that changes a dozen entries per second needs few calls.
 
-        Readers that called for each would use up the store's rate, and turn
-        away VMs that start meanwhile.
+        One call per change would exhaust the store's rate limit, and VMs that
+        start meanwhile would be refused.
         """
 
         async def script(core, follower):
@@ -352,8 +355,8 @@
 
         self.follow(script)
 
-    def test_told_by_peers(self):
-        """Peers say that nothing is newer: the store is not asked."""
+    def test_confirmed_by_peers(self):
+        """The store is not called while peers confirm that nothing is newer."""
 
         async def script(core, follower):
             calls = self.store.calls
--- a/tests/platform_storm_test.py
+++ b/tests/platform_storm_test.py
@@ -1,4 +1,4 @@
-"""Tests of platform._store and entry._follow: news faster than a link."""
+"""Tests of platform._store and entry._follow: changes faster than a link."""
 
 import json
 
@@ -8,12 +8,12 @@
 from tests.platform_entries_test import CONFIGURATION, ENTRY
 from tests.store_group import StoreCase
 
-IN_FORCE_S = 5.0
-"""Within which each version has to be in force."""
+APPLY_DEADLINE_S = 5.0
+"""Seconds within which each version has to be in force."""
 
 
 class StormTest(StoreCase):
-    """Configurations come faster than a narrow link carries them."""
+    """Configurations are published faster than a link can transfer them."""
 
     def _routes(self, count: int) -> list[dict[str, object]]:
         route = CONFIGURATION["routeTable"][1]
@@ -31,34 +31,34 @@
         ]
     )
     def test_in_force(self, _, routes, gap_s, mbps):
-        """Each version is in force in time, however many are written.
+        """Each version, or a later one, is in force within the deadline.
 
-        Operators would see a fleet that follows no change until the storm is
-        over, and the store has forgotten it.
+        Otherwise VMs would apply no change until the storm is over, when the
+        store has dropped the history of its changes.
         """
         entry = {**CONFIGURATION, "routeTable": self._routes(routes)}
         changes = min(64, int(4.0 / gap_s))
         self.link.bytes_per_s = mbps * 1e6 / 8
-        late = []
+        late_versions = []
 
         async def script(core, follower):
-            async def judge(version: int) -> None:
-                await anyio.sleep(IN_FORCE_S)
+            async def check_version(version: int) -> None:
+                await anyio.sleep(APPLY_DEADLINE_S)
                 if core.table.version < version:
-                    late.append(version)
+                    late_versions.append(version)
 
             async with anyio.create_task_group() as tasks:
                 for version in range(100, 100 + changes):
                     self.store.put("op/config", {**entry, "version": version})
-                    tasks.start_soon(judge, version)
+                    tasks.start_soon(check_version, version)
                     await anyio.sleep(gap_s)
             self.assertIsNone(follower.lost_at)
 
         self.follow(script)
-        self.assertEqual([], late)
+        self.assertEqual([], late_versions)
 
-    def test_bytes(self):
-        """What a reader transfers does not grow with the number of versions."""
+    def test_transferred_bytes(self):
+        """The bytes that a VM reads do not grow with the number of versions."""
 
         async def script(core, follower):
             entry = {**CONFIGURATION, "routeTable": self._routes(400)}
@@ -73,8 +73,8 @@
 
         self.follow(script)
 
-    def test_zones_meanwhile(self):
-        """Drains that began or ended during a storm are in force as well."""
+    def test_drains_during_storm(self):
+        """Drains that begin or end during a storm take effect as well."""
 
         async def script(core, follower):
             self.store.put("op/evacuate/a", {})
@@ -87,13 +87,13 @@
                 self.store.put("op/config", {**entry, "version": version})
             await anyio.sleep(2.0)
             self.assertEqual({"b"}, set(core.catalog.drains.zones))
-            told = core.journal.since(core.revision - 31)
-            self.assertIn("a", [c.zone for c in told if hasattr(c, "zone")])
+            changes = core.journal.since(core.revision - 31)
+            self.assertIn("a", [c.zone for c in changes if hasattr(c, "zone")])
 
         self.follow(script)
 
-    def test_long_news_of_endpoints(self):
-        """Thousands of entries change at once: everything is read anew."""
+    def test_many_endpoint_changes(self):
+        """After thousands of changes at once, the whole list is read again."""
 
         async def script(core, follower):
             for number in range(1500):
--- a/tests/store_group.py
+++ b/tests/store_group.py
@@ -1,4 +1,4 @@
-"""A store in memory and a VM that follows it, for tests of both."""
+"""Test fixtures: an in-memory store, a link to it and a VM that follows it."""
 
 import math
 import random
@@ -26,28 +26,28 @@
 
 
 class Link:
-    """A VM's link to the store, which all its connections share.
+    """A VM's link to the store, shared by all of its connections.
 
     Attributes:
-        bytes_per_s: Its width, infinite for a link that takes no time.
-        carried: Bytes that have passed.
+        bytes_per_s: The bandwidth; infinite if transfers take no time.
+        carried: The number of bytes transferred.
     """
 
     def __init__(self):
         self.bytes_per_s = math.inf
         self.carried = 0
-        self._free_at = 0.0
+        self._idle_from = 0.0
 
     async def carry(self, length: int) -> None:
-        """Waits until so many bytes have passed."""
+        """Waits until a number of bytes has been transferred."""
         self.carried += length
-        begin = max(anyio.current_time(), self._free_at)
-        self._free_at = begin + length / self.bytes_per_s
-        await anyio.sleep(self._free_at - anyio.current_time())
+        begin = max(anyio.current_time(), self._idle_from)
+        self._idle_from = begin + length / self.bytes_per_s
+        await anyio.sleep(self._idle_from - anyio.current_time())
 
 
 class Connection:
-    """Asks a stand-in without a network."""
+    """Sends requests to an in-memory store instead of over HTTP."""
 
     def __init__(self, store: Store, link: Link):
         self._store = store
@@ -55,37 +55,37 @@
         self.sent_bytes = 0
 
     async def get(self, target: str, patience: Patience, most=None):
-        """Answers as an HTTP connection does."""
+        """Returns a response as `http1.Connection.get` does."""
         path, _, query = target.partition("?")
         pairs = dict(urllib.parse.parse_qsl(query, keep_blank_values=True))
         with anyio.move_on_after(patience.first_s):
             request = Request("GET", path, pairs, b"")
-            answer = await self._store.handle(request)
-            if answer.status is None:
+            response = await self._store.handle(request)
+            if response.status is None:
                 return Err(HttpFault.UNREACHABLE)
-            if most is not None and len(answer.body) > most:
+            if most is not None and len(response.body) > most:
                 return Err(HttpFault.OVERSIZED)
-            return await self._rest(answer, patience.total_s)
+            return await self._transfer(response, patience.total_s)
         return Err(HttpFault.TIMEOUT)
 
-    async def _rest(self, answer, total_s: float):
+    async def _transfer(self, response, total_s: float):
         with anyio.CancelScope(shield=True), anyio.move_on_after(total_s):
-            await self._link.carry(len(answer.body))
+            await self._link.carry(len(response.body))
             headers = {
-                name.lower(): value for name, value in answer.headers.items()
+                name.lower(): value for name, value in response.headers.items()
             }
-            return Ok(Response(answer.status, answer.body, headers))
+            return Ok(Response(response.status, response.body, headers))
         return Err(HttpFault.INCOMPLETE)
 
     async def aclose(self) -> None:
-        """Closes nothing."""
+        """Does nothing, as there is no real connection."""
 
 
 class StoreCase(TestCase):
-    """A directory over a stand-in for the store, and a shared link to it."""
+    """A test case with a `StoreDirectory` for an in-memory store."""
 
     def setUp(self):
-        """Makes a store with one endpoint and a configuration."""
+        """Creates a store with one endpoint and a configuration."""
         super().setUp()
         self.store = Store()
         self.store.put("op/config", CONFIGURATION)
@@ -98,17 +98,19 @@
         self.directory = StoreDirectory("10.0.0.1", 1, self.counters)
 
     def run_main(self, main) -> object:
-        """Runs with a clock that jumps over every wait."""
+        """Runs an async function with a mock clock that skips all waits."""
         clock = trio.testing.MockClock(autojump_threshold=0)
         return trio.run(main, clock=clock)
 
     def follow(self, script, join=None, known=False):
-        """Lets a VM follow the store while a script plays.
+        """Runs a script while a VM follows the store.
 
         Args:
-            script: Awaited with the VM's beliefs and its follower.
-            join: Called at news, if the VM leaves watching to others.
-            known: Whether everything has just been read.
+            script: An async function, called with the VM's steering core and
+                its follower.
+            join: Called when an update arrives, if the VM leaves watching the
+                store to other VMs; None if it watches the store itself.
+            known: Whether the VM has just read the whole store.
         """
         core = group.steering(epoch=self.store.epoch)
         follower = Follower(
