--- a/tests/platform_entries_test.py
+++ b/tests/platform_entries_test.py
@@ -110,7 +110,7 @@
         ]
     )
     def test_invalid_entry(self, _, value):
-        """An invalid entry is an error and raises no exception."""
+        """Another writer's invalid entry is an error but no exception."""
         self.assertIsInstance(parse_endpoint(NAME, value), Err)
 
     @parameterized.expand([("no_digits", "i-xyz"), ("empty", "")])
--- a/tests/platform_store_test.py
+++ b/tests/platform_store_test.py
@@ -40,7 +40,7 @@
         self.assertEqual(1, self.store.calls)
 
     def test_multiple_pages(self):
-        """A long list is read page by page."""
+        """A long list is read in pages, up to the first page's revision."""
         for number in range(PAGE_ITEMS + 5):
             self.store.put(f"servers/i-{number:08x}", ENTRY)
         update = self._read().ok_value
@@ -82,7 +82,7 @@
         ]
     )
     def test_invalid_entry(self, _, value):
-        """An invalid entry is reported and the other entries are used."""
+        """Another writer's invalid entry is reported; the others are used."""
         self.store.put("servers/i-00000bad", value)
         update = self._read().ok_value
         announced = [
