--- a/src/pollenmast/manifest/__init__.py
+++ b/src/pollenmast/manifest/__init__.py
@@ -1,7 +1,7 @@
-"""The manifest: its model, its checks, its schema and its differences."""
+"""The manifest: data model, validation, JSON schema and diff."""
 
 from pollenmast.manifest._diff import Difference, Effect, differences
-from pollenmast.manifest._faults import MOST_FAULTS, ManifestFault
+from pollenmast.manifest._faults import MAX_FAULTS, ManifestFault
 from pollenmast.manifest._key import ManifestKey
 from pollenmast.manifest._model import (
     Endpoint,
@@ -24,7 +24,7 @@
 __all__ = [
     "MANIFEST",
     "MOST_BYTES",
-    "MOST_FAULTS",
+    "MAX_FAULTS",
     "Difference",
     "Effect",
     "Endpoint",
--- a/src/pollenmast/manifest/_diff.py
+++ b/src/pollenmast/manifest/_diff.py
@@ -1,4 +1,4 @@
-"""What a new manifest will do, in an operator's words."""
+"""Differences between two manifests, described for operators."""
 
 import enum
 
@@ -13,18 +13,28 @@
 
 
 class Effect(str, enum.Enum):
-    """What happens to a service or an endpoint."""
+    """Kind of effect on a service, an endpoint or the whole manifest."""
 
     COME = "come"
+    """Added, or receives new flows again after a drain."""
+
     DRAIN = "drain"
+    """Receives no new flows; open flows continue until they end."""
+
     LEAVE = "leave"
+    """Removed."""
+
     MOVE = "move"
+    """New flows go to another address, zone or set of endpoints."""
+
     CHANGE = "change"
+    """Changed in another property, such as a port, a limit or the capacity."""
+
     IGNORED = "ignored"
-    """The fleet will not take the new manifest at all."""
+    """The fleet ignores the new manifest, as its version is older."""
 
     CONFLICT = "conflict"
-    """Two contents under one version; the fleet keeps one of them."""
+    """Same version with different content; the fleet keeps one of the two."""
 
 
 @attrs.frozen
@@ -32,9 +42,9 @@
     """One effect of a new manifest.
 
     Attributes:
-        effect: What happens.
-        subject: A service, SERVICE/ENDPOINT, or `manifest`.
-        words: What it means.
+        effect: Kind of effect.
+        subject: What is affected: SERVICE, SERVICE/ENDPOINT or `manifest`.
+        words: Explanation for operators.
     """
 
     effect: Effect
@@ -43,22 +53,22 @@
 
 
 def differences(old: Manifest, new: Manifest) -> tuple[Difference, ...]:
-    """Tells what the fleet does when `new` follows `old`."""
-    found = _versions(old, new)
+    """Returns the effects on the fleet of replacing `old` by `new`."""
+    result = _version_differences(old, new)
     before = {service.name: service for service in old.services}
     after = {service.name: service for service in new.services}
     for name, service in before.items():
         if name not in after:
-            found.append(_service_leaves(service))
+            result.append(_removed_service(service))
     for name, service in after.items():
         if name in before:
-            found.extend(_service(before[name], service))
+            result.extend(_service_differences(before[name], service))
         else:
-            found.append(_service_comes(service))
-    return tuple(found)
+            result.append(_added_service(service))
+    return tuple(result)
 
 
-def _versions(old: Manifest, new: Manifest) -> list[Difference]:
+def _version_differences(old: Manifest, new: Manifest) -> list[Difference]:
     if new.digest == old.digest or new.version > old.version:
         return []
     if new.version < old.version:
@@ -72,7 +82,7 @@
     return [Difference(Effect.CONFLICT, "manifest", words)]
 
 
-def _service_leaves(service: Service) -> Difference:
+def _removed_service(service: Service) -> Difference:
     words = (
         f"port {service.port} takes no more flows; drain its"
         f" {len(service.endpoints)} endpoints first"
@@ -80,14 +90,14 @@
     return Difference(Effect.LEAVE, service.name, words)
 
 
-def _service_comes(service: Service) -> Difference:
+def _added_service(service: Service) -> Difference:
     count = len(service.endpoints)
     words = f"port {service.port} takes flows for {count} endpoints"
     return Difference(Effect.COME, service.name, words)
 
 
-def _service(old: Service, new: Service) -> list[Difference]:
-    found = [
+def _service_differences(old: Service, new: Service) -> list[Difference]:
+    result = [
         Difference(Effect.CHANGE, new.name, words)
         for words in _service_changes(old, new)
     ]
@@ -96,15 +106,17 @@
     for name in before:
         if name not in after:
             words = "no new flows; open ones should have ended by its drain"
-            found.append(Difference(Effect.LEAVE, f"{new.name}/{name}", words))
+            result.append(Difference(Effect.LEAVE, f"{new.name}/{name}", words))
     for name, endpoint in after.items():
         subject = f"{new.name}/{name}"
         if name not in before:
             words = f"in {endpoint.zone}, {_capacity(endpoint)}, cold at first"
-            found.append(Difference(Effect.COME, subject, words))
+            result.append(Difference(Effect.COME, subject, words))
         else:
-            found.extend(_endpoint(subject, before[name], endpoint))
-    return found + _shares(old, new)
+            result.extend(
+                _endpoint_differences(subject, before[name], endpoint)
+            )
+    return result + _distribution_differences(old, new)
 
 
 def _service_changes(old: Service, new: Service) -> list[str]:
@@ -133,38 +145,40 @@
     return changes
 
 
-def _endpoint(subject: str, old: Endpoint, new: Endpoint) -> list[Difference]:
-    found = []
+def _endpoint_differences(
+    subject: str, old: Endpoint, new: Endpoint
+) -> list[Difference]:
+    result = []
     if (old.address, old.port) != (new.address, new.port):
         words = (
             f"new flows to {new.address}:{new.port},"
             f" were {old.address}:{old.port}"
         )
-        found.append(Difference(Effect.MOVE, subject, words))
+        result.append(Difference(Effect.MOVE, subject, words))
     if old.zone != new.zone:
         words = f"to {new.zone} from {old.zone}"
-        found.append(Difference(Effect.MOVE, subject, words))
+        result.append(Difference(Effect.MOVE, subject, words))
     if old.state != new.state:
-        found.append(_state(subject, new.state))
+        result.append(_state_difference(subject, new.state))
     if _capacity(old) != _capacity(new):
         words = f"{_capacity(new)}, was {_capacity(old)}"
-        found.append(Difference(Effect.CHANGE, subject, words))
+        result.append(Difference(Effect.CHANGE, subject, words))
     if old.load_port != new.load_port:
         words = f"load report on port {new.load_port}, was {old.load_port}"
-        found.append(Difference(Effect.CHANGE, subject, words))
-    return found
+        result.append(Difference(Effect.CHANGE, subject, words))
+    return result
 
 
-def _state(subject: str, state: EndpointState) -> Difference:
+def _state_difference(subject: str, state: EndpointState) -> Difference:
     if state is EndpointState.DRAINING:
         words = "no new flows within seconds; open ones go on until they end"
         return Difference(Effect.DRAIN, subject, words)
     return Difference(Effect.COME, subject, "takes new flows again")
 
 
-def _shares(old: Service, new: Service) -> list[Difference]:
-    """Tells how new flows move between the endpoints that take them."""
-    before, after = _serving(old), _serving(new)
+def _distribution_differences(old: Service, new: Service) -> list[Difference]:
+    """Returns how the distribution of new flows over endpoints changes."""
+    before, after = _serving_names(old), _serving_names(new)
     if set(before) == set(after):
         return []
     if not after:
@@ -177,7 +191,7 @@
     return [Difference(Effect.MOVE, new.name, words)]
 
 
-def _serving(service: Service) -> list[str]:
+def _serving_names(service: Service) -> list[str]:
     return [
         endpoint.name
         for endpoint in service.endpoints
--- a/src/pollenmast/manifest/_faults.py
+++ b/src/pollenmast/manifest/_faults.py
@@ -1,28 +1,30 @@
-"""What is wrong with a refused manifest, and where."""
+"""Validation faults of a rejected manifest."""
 
 import json
 
 import attrs
 
-MOST_FAULTS = 100
-"""Faults listed at the most.
+MAX_FAULTS = 100
+"""Maximum number of faults reported for one manifest.
 
-A megabyte of hostile text can hold hundreds of thousands of faults; without
-a bound the list would outgrow the memory of the VM that only read it.
+A hostile manifest of one megabyte can contain hundreds of thousands of
+faults. Without a limit, the list could exhaust the memory of a VM that merely
+parses it.
 """
 
-_MOST_SHOWN = 60
-"""Characters of a found value that are shown; a path stays on one line."""
+_MAX_VALUE_CHARS = 60
+"""Characters after which a reported value is cut, so a fault fits one line."""
 
 
 @attrs.frozen
 class ManifestFault:
-    """One reason why a manifest is refused.
+    """One reason why a manifest is rejected.
 
     Attributes:
-        path: Where, such as `services[0].port`; empty for the whole text.
-        found: What stands there, shortened.
-        allowed: What may stand there.
+        path: Path of the invalid value, such as `services[0].port`; empty
+            for the manifest as a whole.
+        found: Description of the invalid value, shortened.
+        allowed: Description of the values that are allowed.
     """
 
     path: str
@@ -35,36 +37,36 @@
 
 
 class FaultList:
-    """Gathers faults up to `MOST_FAULTS`."""
+    """Collects at most `MAX_FAULTS` faults."""
 
     def __init__(self) -> None:
         self._faults: list[ManifestFault] = []
 
     @property
     def faults(self) -> tuple[ManifestFault, ...]:
-        """The faults so far."""
+        """The faults collected so far."""
         return tuple(self._faults)
 
     @property
     def full(self) -> bool:
-        """Whether further faults go unlisted."""
-        return len(self._faults) >= MOST_FAULTS
+        """Whether the limit is reached, so that further faults are dropped."""
+        return len(self._faults) >= MAX_FAULTS
 
     def add(self, path: str, found: str, allowed: str) -> None:
-        """Adds one fault, unless the list is full."""
+        """Adds a fault, or drops it if the list is full."""
         if not self.full:
             self._faults.append(ManifestFault(path, found, allowed))
 
 
-def shown(value: object) -> str:
-    """Returns a JSON value as one short line of printable ASCII."""
+def format_value(value: object) -> str:
+    """Formats a JSON value as one short line of printable ASCII."""
     if isinstance(value, dict):
         return f"an object of {len(value)} keys"
     if isinstance(value, list):
         return f"a list of {len(value)} items"
-    if isinstance(value, int) and value.bit_length() > _MOST_SHOWN:
+    if isinstance(value, int) and value.bit_length() > _MAX_VALUE_CHARS:
         return f"a whole number of {value.bit_length()} bits"
     text = json.dumps(value)
-    if len(text) <= _MOST_SHOWN:
+    if len(text) <= _MAX_VALUE_CHARS:
         return text
-    return text[:_MOST_SHOWN] + "..."
+    return text[:_MAX_VALUE_CHARS] + "..."
--- a/src/pollenmast/manifest/_key.py
+++ b/src/pollenmast/manifest/_key.py
@@ -1,14 +1,18 @@
-"""Which of two manifests is the newer one."""
+"""The order that decides which of two manifests is newer."""
 
 import attrs
 
 
 @attrs.frozen(order=True)
 class ManifestKey:
-    """The place of a manifest in the order over all manifests.
+    """Sort key of a manifest; the greater key is the newer manifest.
 
-    Two contents under one version are ordered by their digests: which of the
-    two wins is arbitrary, but it is the same one on every VM.
+    Manifests with the same version but different content are ordered by
+    digest. Which one wins is arbitrary, but every VM picks the same one.
+
+    Attributes:
+        version: The manifest's version.
+        digest: Hex digest of the manifest's content.
     """
 
     version: int = 0
--- a/src/pollenmast/manifest/_model.py
+++ b/src/pollenmast/manifest/_model.py
@@ -1,4 +1,4 @@
-"""What an operator's manifest says, as checked values."""
+"""Data model of a validated manifest."""
 
 import enum
 
@@ -8,36 +8,36 @@
 
 
 class ServiceKind(str, enum.Enum):
-    """How a service's flows behave, which decides what is counted."""
+    """Traffic pattern of a service, which determines its unit of capacity."""
 
     SESSION = "session"
-    """Long sessions; an endpoint is full by its connections."""
+    """Long-lived sessions; capacity is limited by `Endpoint.connections`."""
 
     REQUEST = "request"
-    """One request a flow; an endpoint is full by its slots."""
+    """One request per flow; capacity is limited by `Endpoint.slots`."""
 
 
 class EndpointState(str, enum.Enum):
-    """What the operators intend for an endpoint."""
+    """State that the operators set for an endpoint in the manifest."""
 
     SERVING = "serving"
     DRAINING = "draining"
-    """Takes no new flows; open flows go on until they end."""
+    """Receives no new flows; open flows continue until they end."""
 
 
 @attrs.frozen
 class Endpoint:
-    """One upstream process that serves a service.
+    """One upstream process of a service.
 
     Attributes:
         name: Unique within the service.
-        address: The upstream VM's IP number.
-        port: UDP port that takes QUIC.
-        load_port: TCP port of the health and load report.
-        zone: The availability zone.
-        slots: Requests that it runs at the same time.
-        connections: Connections that it holds at the most.
-        state: What the operators intend.
+        address: IPv4 address of the upstream VM.
+        port: UDP port on which the endpoint accepts QUIC.
+        load_port: TCP port that serves the health and load report.
+        zone: Availability zone of the upstream VM.
+        slots: Maximum number of requests it processes concurrently.
+        connections: Maximum number of connections it holds.
+        state: State that the operators set.
     """
 
     name: str
@@ -52,14 +52,16 @@
 
 @attrs.frozen
 class Limits:
-    """What one service may ask of one VM.
+    """Resource limits of one service on one VM.
 
     Attributes:
-        hold_ms: Longest hold of a flow's first packets, in milliseconds.
-        held_flows: Flows held at the most.
-        held_flows_per_caller: Flows of one caller held at the most.
-        queue_per_slot: Requests allowed to wait at an endpoint for each of
-            its slots (request services only).
+        hold_ms: Maximum time for which the first packets of a flow are
+            held, in milliseconds.
+        held_flows: Maximum number of flows held at once.
+        held_flows_per_caller: Maximum number of flows held at once for one
+            caller.
+        queue_per_slot: Maximum number of requests waiting at an endpoint,
+            per slot of the endpoint. Used by request services only.
     """
 
     hold_ms: int = 400
@@ -70,18 +72,19 @@
 
 @attrs.frozen
 class Service:
-    """A service: an address that callers use, and the endpoints behind it.
+    """A service: a port for its callers, and the endpoints behind it.
 
     Attributes:
         name: Unique within the manifest.
-        number: Unique number, 1 to 65,535; stands for the service on the wire.
-        port: UDP port that callers use; unique within the manifest.
-        kind: Long sessions, or one request a flow.
-        idempotent: Whether a request may run twice without harm.
+        number: Identifies the service on the wire, 1 to 65,535; unique within
+            the manifest.
+        port: UDP port for callers; unique within the manifest.
+        kind: Whether flows are long-lived sessions or single requests.
+        idempotent: Whether a request can safely be executed twice.
         endpoints: The upstreams, at least one.
-        limits: What the service may ask of a VM.
-        port_since: The manifest's version that gave it a port which another
-            service had before, 0 if none had.
+        limits: Resource limits of the service on each VM.
+        port_since: Manifest version in which the service took over its port
+            from another service; 0 if no other service had the port before.
     """
 
     name: str
@@ -96,13 +99,13 @@
 
 @attrs.frozen
 class Manifest:
-    """One accepted state of all services.
+    """The validated configuration of all services.
 
     Attributes:
-        version: Grows with every release.
-        services: Every service, in the manifest's order.
-        digest: Hex digest of the content, so that two contents under one
-            version can be told apart.
+        version: Increases with every release.
+        services: All services, in the order of the manifest.
+        digest: Hex digest of the content. It distinguishes manifests that
+            have the same version but different content.
     """
 
     version: int
@@ -111,11 +114,11 @@
 
     @property
     def key(self) -> ManifestKey:
-        """Its place among all manifests."""
+        """Key that orders this manifest among others."""
         return ManifestKey(self.version, self.digest)
 
     def service(self, number: int) -> Service | None:
-        """Returns the service with this number, if there is one."""
+        """Returns the service with the given number, or None."""
         for service in self.services:
             if service.number == number:
                 return service
--- a/src/pollenmast/manifest/_rules.py
+++ b/src/pollenmast/manifest/_rules.py
@@ -1,7 +1,7 @@
-"""Rules for JSON values; each one both checks a value and describes it.
+"""Validation rules for scalar JSON values.
 
-The published schema and the checks come from the same rules, so that they
-cannot drift apart.
+Each rule both validates a value and generates the value's JSON schema, so the
+published schema cannot diverge from the validation.
 """
 
 import abc
@@ -9,19 +9,19 @@
 import ipaddress
 import re
 
-from pollenmast.manifest._faults import FaultList, shown
+from pollenmast.manifest._faults import FaultList, format_value
 
 MISSING = object()
-"""Stands for the default of a field that must be given."""
+"""Sentinel: the default of a required field, and the value of an absent one."""
 
 
 class Rule(abc.ABC):
-    """What one JSON value may be."""
+    """Base class: validates one JSON value and describes it."""
 
     @property
     @abc.abstractmethod
     def allowed(self) -> str:
-        """What may stand here, in an operator's words."""
+        """Description of the allowed values, for operators."""
 
     @abc.abstractmethod
     def schema(self) -> dict[str, object]:
@@ -29,71 +29,82 @@
 
     @abc.abstractmethod
     def check(self, value: object, path: str, faults: FaultList) -> object:
-        """Returns the value as the model holds it; adds what is wrong."""
+        """Validates a value and converts it to the type used by the model.
 
-    def _refuse(self, value: object, path: str, faults: FaultList) -> None:
-        faults.add(path, shown(value), self.allowed)
+        Args:
+            value: The decoded JSON value.
+            path: Path of the value within the manifest, for fault messages.
+            faults: Receives a fault for each violation.
 
+        Returns:
+            The converted value; only meaningful if no fault was added.
+        """
 
-class Whole(Rule):
-    """A whole number between two bounds."""
+    def _reject(self, value: object, path: str, faults: FaultList) -> None:
+        faults.add(path, format_value(value), self.allowed)
 
-    def __init__(self, least: int, most: int, what: str = "a whole number"):
-        self._least = least
-        self._most = most
-        self._what = what
+
+class Integer(Rule):
+    """An integer between two inclusive bounds."""
+
+    def __init__(
+        self, minimum: int, maximum: int, description: str = "a whole number"
+    ):
+        self._minimum = minimum
+        self._maximum = maximum
+        self._description = description
 
     @property
     def allowed(self) -> str:
-        """The bounds."""
-        return f"{self._what}, {self._least} to {self._most}"
+        """Description of the range."""
+        return f"{self._description}, {self._minimum} to {self._maximum}"
 
     def schema(self) -> dict[str, object]:
         """Returns the rule as a JSON schema."""
         return {
             "type": "integer",
-            "minimum": self._least,
-            "maximum": self._most,
+            "minimum": self._minimum,
+            "maximum": self._maximum,
         }
 
     def check(self, value: object, path: str, faults: FaultList) -> object:
-        """Returns the number."""
-        # A bool is an int in Python, but `true` is no number in JSON.
-        number = isinstance(value, int) and not isinstance(value, bool)
-        if not number or not self._least <= value <= self._most:
-            self._refuse(value, path, faults)
+        """Returns the number, unchanged."""
+        # bool is a subclass of int in Python, but `true` is not a JSON number.
+        is_integer = isinstance(value, int) and not isinstance(value, bool)
+        if not is_integer or not self._minimum <= value <= self._maximum:
+            self._reject(value, path, faults)
         return value
 
 
-class Text(Rule):
-    """A string that matches a pattern."""
+class String(Rule):
+    """A string that matches a regular expression."""
 
-    def __init__(self, pattern: str, what: str):
+    def __init__(self, pattern: str, description: str):
         self._pattern = re.compile(pattern, re.ASCII)
-        self._what = what
+        self._description = description
 
     @property
     def allowed(self) -> str:
-        """What the pattern takes, in words."""
-        return self._what
+        """Description of the pattern."""
+        return self._description
 
     def schema(self) -> dict[str, object]:
         """Returns the rule as a JSON schema."""
         return {"type": "string", "pattern": f"^{self._pattern.pattern}$"}
 
     def check(self, value: object, path: str, faults: FaultList) -> object:
-        """Returns the string."""
+        """Returns the string, unchanged."""
         if not isinstance(value, str) or not self._pattern.fullmatch(value):
-            self._refuse(value, path, faults)
+            self._reject(value, path, faults)
         return value
 
 
 class Address(Rule):
-    """An IPv4 number of one machine."""
+    """The IPv4 address of a single host."""
 
     @property
     def allowed(self) -> str:
-        """Which IP numbers."""
+        """Description of the allowed addresses."""
         return "the IPv4 number of one machine, such as 127.0.2.1"
 
     def schema(self) -> dict[str, object]:
@@ -101,18 +112,18 @@
         return {"type": "string", "format": "ipv4"}
 
     def check(self, value: object, path: str, faults: FaultList) -> object:
-        """Returns the IP number."""
-        if not isinstance(value, str) or not is_machine_address(value):
-            self._refuse(value, path, faults)
+        """Returns the address, unchanged."""
+        if not isinstance(value, str) or not is_host_address(value):
+            self._reject(value, path, faults)
         return value
 
 
-class Flag(Rule):
-    """`true` or `false`."""
+class Boolean(Rule):
+    """A boolean: `true` or `false`."""
 
     @property
     def allowed(self) -> str:
-        """Both values."""
+        """Description of both values."""
         return "true or false"
 
     def schema(self) -> dict[str, object]:
@@ -120,21 +131,21 @@
         return {"type": "boolean"}
 
     def check(self, value: object, path: str, faults: FaultList) -> object:
-        """Returns the flag."""
+        """Returns the boolean, unchanged."""
         if not isinstance(value, bool):
-            self._refuse(value, path, faults)
+            self._reject(value, path, faults)
         return value
 
 
 class Choice(Rule):
-    """One of an enum's values."""
+    """The value of one member of an enum."""
 
     def __init__(self, choices: type[enum.Enum]):
         self._choices = {choice.value: choice for choice in choices}
 
     @property
     def allowed(self) -> str:
-        """The values."""
+        """Description of the enum's values."""
         return " or ".join(f'"{name}"' for name in self._choices)
 
     def schema(self) -> dict[str, object]:
@@ -142,15 +153,18 @@
         return {"enum": list(self._choices)}
 
     def check(self, value: object, path: str, faults: FaultList) -> object:
-        """Returns the enum's member."""
+        """Returns the enum member with this value, or None."""
         if not isinstance(value, str) or value not in self._choices:
-            self._refuse(value, path, faults)
+            self._reject(value, path, faults)
             return None
         return self._choices[value]
 
 
-def is_machine_address(text: str) -> bool:
-    """Tells whether the text is the IPv4 number of one machine."""
+def is_host_address(text: str) -> bool:
+    """Returns whether the text is the IPv4 address of a single host.
+
+    Multicast, unspecified and limited broadcast addresses are not.
+    """
     try:
         address = ipaddress.IPv4Address(text)
     except ValueError:
--- a/src/pollenmast/manifest/_text.py
+++ b/src/pollenmast/manifest/_text.py
@@ -1,4 +1,4 @@
-"""A manifest's JSON text: its rules, its schema, parsing and rendering."""
+"""Parsing, validation, rendering and JSON schema of a manifest."""
 
 import hashlib
 import json
@@ -15,22 +15,22 @@
     Service,
     ServiceKind,
 )
-from pollenmast.manifest._rules import Address, Choice, Flag, Text, Whole
+from pollenmast.manifest._rules import Address, Boolean, Choice, Integer, String
 from pollenmast.manifest._shapes import Field, Items, Object
 
 MOST_BYTES = 1_000_000
-"""Bytes of a manifest; the platform's service holds no greater value."""
+"""Maximum size of a manifest; the platform's service stores no larger value."""
 
-MOST_VERSION = 2**53 - 1
-"""Greatest version: the greatest whole number that every JSON reader keeps."""
+MAX_VERSION = 2**53 - 1
+"""Greatest version: the greatest integer that every JSON parser preserves."""
 
 _DIGEST_BYTES = 16
 
-_NAME = Text(
+_NAME = String(
     "[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?",
     "1 to 63 of a-z, 0-9, dot and hyphen, first and last a letter or digit",
 )
-_PORT = Whole(1, 65_535, "a port")
+_PORT = Integer(1, 65_535, "a port")
 
 _ENDPOINT = Object(
     "endpoint",
@@ -43,13 +43,13 @@
         Field("zone", _NAME, "The availability zone."),
         Field(
             "slots",
-            Whole(1, 10_000),
+            Integer(1, 10_000),
             "Requests that it runs at the same time.",
             2,
         ),
         Field(
             "connections",
-            Whole(1, 1_000_000),
+            Integer(1, 1_000_000),
             "Connections that it holds at the most.",
             2000,
         ),
@@ -67,25 +67,25 @@
     (
         Field(
             "hold_ms",
-            Whole(0, 10_000),
+            Integer(0, 10_000),
             "Longest hold of a flow's first packets, in milliseconds.",
             400,
         ),
         Field(
             "held_flows",
-            Whole(1, 100_000),
+            Integer(1, 100_000),
             "Flows that one VM holds at the most.",
             512,
         ),
         Field(
             "held_flows_per_caller",
-            Whole(1, 100_000),
+            Integer(1, 100_000),
             "Flows of one caller that one VM holds at the most.",
             32,
         ),
         Field(
             "queue_per_slot",
-            Whole(0, 1_000),
+            Integer(0, 1_000),
             "Requests that may wait at an endpoint for each of its slots.",
             2,
         ),
@@ -98,7 +98,7 @@
         Field("name", _NAME, "Unique within the manifest."),
         Field(
             "number",
-            Whole(1, 65_535),
+            Integer(1, 65_535),
             "Unique; stands for the service on the wire.",
         ),
         Field("port", _PORT, "UDP port that callers use; unique."),
@@ -109,7 +109,7 @@
         ),
         Field(
             "idempotent",
-            Flag(),
+            Boolean(),
             "Whether a request may run twice without harm.",
         ),
         Field(
@@ -118,7 +118,7 @@
         Field("limits", _LIMITS, "What the service may ask of one VM.", None),
         Field(
             "port_since",
-            Whole(0, MOST_VERSION),
+            Integer(0, MAX_VERSION),
             "The version that gave it a port which another service had before;"
             " left out again once that service's sessions have ended.",
             0,
@@ -131,7 +131,7 @@
     (
         Field(
             "version",
-            Whole(1, MOST_VERSION),
+            Integer(1, MAX_VERSION),
             "Grows with every release.",
         ),
         Field(
@@ -144,7 +144,7 @@
 
 
 def schema() -> dict[str, object]:
-    """Returns the published JSON schema of a manifest."""
+    """Returns the published JSON schema of the manifest."""
     return {
         "$schema": "https://json-schema.org/draft/2020-12/schema",
         "title": "pollenmast manifest",
@@ -153,32 +153,41 @@
 
 
 def parse(data: bytes) -> Result[Manifest, tuple[ManifestFault, ...]]:
-    """Checks a manifest's text; refuses it whole, with every fault in it."""
+    """Parses and validates a manifest.
+
+    Args:
+        data: The manifest as JSON in UTF-8.
+
+    Returns:
+        The manifest, or the faults in it, at most `MAX_FAULTS`. A manifest
+        with any fault is rejected as a whole.
+    """
     faults = FaultList()
     if len(data) > MOST_BYTES:
         faults.add("", f"{len(data)} bytes", f"{MOST_BYTES} bytes at the most")
         return Err(faults.faults)
-    value = _load(data, faults)
+    value = _decode_json(data, faults)
     if faults.faults:
         return Err(faults.faults)
     manifest = MANIFEST.check(value, "", faults)
-    _refuse_shared_sockets(value, faults)
+    _reject_duplicate_sockets(value, faults)
     if faults.faults:
         return Err(faults.faults)
     return Ok(attrs.evolve(manifest, digest=digest(manifest)))
 
 
 def render(manifest: Manifest) -> bytes:
-    """Returns the canonical JSON text, with every default left out.
+    """Returns the canonical JSON text, which omits every default value.
 
-    So it is never longer than a text it was parsed from: a manifest that
-    just fits would else be refused when one VM hands it to another.
+    The canonical text is never longer than the text it was parsed from.
+    Otherwise a manifest just below `MOST_BYTES` would be rejected when one VM
+    sends it to another.
     """
-    value = attrs.asdict(manifest, filter=_is_told)
+    value = attrs.asdict(manifest, filter=_is_rendered)
     return json.dumps(value, sort_keys=True, separators=(",", ":")).encode()
 
 
-def _is_told(attribute: attrs.Attribute, value: object) -> bool:
+def _is_rendered(attribute: attrs.Attribute, value: object) -> bool:
     default = attribute.default
     if isinstance(default, attrs.Factory):
         default = default.factory()
@@ -186,45 +195,48 @@
 
 
 def digest(manifest: Manifest) -> str:
-    """Returns the digest of the canonical text."""
+    """Returns the hex digest of the manifest's canonical text."""
     text = render(manifest)
     return hashlib.blake2b(text, digest_size=_DIGEST_BYTES).hexdigest()
 
 
-def _load(data: bytes, faults: FaultList) -> object:
+def _decode_json(data: bytes, faults: FaultList) -> object:
     try:
         return json.loads(
             data.decode("utf-8"),
-            object_pairs_hook=lambda pairs: _once(pairs, faults),
-            parse_constant=_refuse_constant,
+            object_pairs_hook=lambda pairs: _reject_duplicate_keys(
+                pairs, faults
+            ),
+            parse_constant=_reject_constant,
         )
     except RecursionError:
-        # A few kilobytes of brackets exhaust the stack of the JSON reader.
+        # A few kilobytes of nested brackets exhaust the JSON parser's stack.
         faults.add("", "too deep a nesting", "a manifest")
     except (ValueError, UnicodeDecodeError) as error:
         faults.add("", f"no JSON ({error})", "JSON in UTF-8")
     return None
 
 
-def _once(
+def _reject_duplicate_keys(
     pairs: list[tuple[str, object]], faults: FaultList
 ) -> dict[str, object]:
-    """Refuses a key that stands twice, of which readers keep either one."""
+    """Rejects duplicate keys, which JSON parsers resolve differently."""
     value = dict(pairs)
     if len(value) != len(pairs):
         faults.add("", "a key that stands twice in one object", "each key once")
     return value
 
 
-def _refuse_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f"{name} is no JSON number")
 
 
-def _refuse_shared_sockets(value: object, faults: FaultList) -> None:
-    """Refuses two endpoints with one address and port.
+def _reject_duplicate_sockets(value: object, faults: FaultList) -> None:
+    """Rejects endpoints that share an address and port.
 
-    In two services they would lead one service's callers to the other's
-    upstream; within one, its load would be counted as two endpoints'.
+    Across two services, callers of one service would reach the upstream of
+    the other. Within one service, the load of a single upstream would be
+    counted as that of two endpoints.
     """
     seen: dict[tuple[object, object], str] = {}
     for path, endpoint in _endpoints(value):
@@ -241,13 +253,13 @@
 
 
 def _endpoints(value: object) -> list[tuple[str, dict[str, object]]]:
-    found = []
-    for number, service in enumerate(_items(value, "services")):
-        for index, endpoint in enumerate(_items(service, "endpoints")):
+    endpoints = []
+    for service_index, service in enumerate(_items(value, "services")):
+        for endpoint_index, endpoint in enumerate(_items(service, "endpoints")):
             if isinstance(endpoint, dict):
-                path = f"services[{number}].endpoints[{index}]"
-                found.append((path, endpoint))
-    return found
+                path = f"services[{service_index}].endpoints[{endpoint_index}]"
+                endpoints.append((path, endpoint))
+    return endpoints
 
 
 def _items(value: object, key: str) -> list[object]:
--- a/src/pollenmast/settings/__init__.py
+++ b/src/pollenmast/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: an INI file checked into values."""
+"""Settings of a VM: data model, and loading from an INI file."""
 
 from pollenmast.settings._faults import SettingsFault
 from pollenmast.settings._keys import KEY_FILE_VARIABLE, KEYS, Key
--- a/src/pollenmast/settings/_faults.py
+++ b/src/pollenmast/settings/_faults.py
@@ -1,18 +1,18 @@
-"""What is wrong with a settings file, and where."""
+"""Validation faults of a rejected settings file."""
 
 import attrs
 
 
 @attrs.frozen
 class SettingsFault:
-    """One reason why a settings file is refused.
+    """One reason why a settings file is rejected.
 
     Attributes:
-        file: The settings file.
-        section: The section; empty for the whole file.
-        key: The key; empty for the whole section.
-        found: What stands there; never a key's content.
-        allowed: What may stand there.
+        file: Path of the settings file.
+        section: The section; empty if the fault concerns the whole file.
+        key: The key; empty if the fault concerns the whole section.
+        found: Description of the invalid value; never contains key material.
+        allowed: Description of the values that are allowed.
     """
 
     file: str
--- a/src/pollenmast/settings/_ini.py
+++ b/src/pollenmast/settings/_ini.py
@@ -1,28 +1,32 @@
-"""Reads INI text with configparser, gathering every fault of form."""
+"""Parses INI text with configparser and collects all syntax faults."""
 
 import configparser
 
 import attrs
 
-MOST_BYTES = 65_536
-"""Bytes of a settings file; a full one has under two kilobytes."""
+MAX_BYTES = 65_536
+"""Maximum size of a settings file; one with every key is under 2 kB."""
 
-_MOST_REPAIRS = 50
-"""Faults of form that are listed; each costs one more reading."""
+_MAX_PARSE_ATTEMPTS = 50
+"""Maximum number of parse attempts; each syntax fault costs one more."""
 
-_NOWHERE = "\0"
-"""Section name that no file holds; stands for what was already reported."""
+_PLACEHOLDER_SECTION = "\0"
+"""Prefix of the section names that replace duplicate section headers.
+
+No settings file can contain it, as files with NUL are rejected earlier. It is
+also configparser's default section, so that `[DEFAULT]` has no special meaning.
+"""
 
 
 @attrs.frozen
-class FormFault:
-    """A line that is no INI.
+class SyntaxFault:
+    """A line that is not valid INI.
 
     Attributes:
-        section: The section, where it is known.
-        key: The key, where it is known.
-        found: What is wrong, with its line number.
-        allowed: What may stand there.
+        section: The section, or empty if unknown.
+        key: The key, or empty if unknown.
+        found: Description of the fault, with its line number.
+        allowed: Description of what is allowed instead.
     """
 
     section: str
@@ -32,64 +36,70 @@
 
 
 @attrs.frozen
-class Ini:
-    """The sections of a file, and what was wrong with its form."""
+class ParsedIni:
+    """Result of parsing INI text.
+
+    Attributes:
+        sections: The values by section and key.
+        faults: The syntax faults.
+    """
 
     sections: dict[str, dict[str, str]]
-    faults: tuple[FormFault, ...]
+    faults: tuple[SyntaxFault, ...]
 
 
-def read(text: str) -> Ini:
-    """Reads the text.
+def parse(text: str) -> ParsedIni:
+    """Parses the text.
 
-    configparser raises at the first fault of form. To report all of them in
-    one go, the faulty line is taken out and the rest is read again.
+    configparser raises an exception at the first fault of most kinds. To
+    report all faults at once, the faulty lines are removed and the rest is
+    parsed again.
     """
     lines = text.splitlines()
-    faults: list[FormFault] = []
-    for _ in range(_MOST_REPAIRS):
-        parser = _parser()
+    faults: list[SyntaxFault] = []
+    for _ in range(_MAX_PARSE_ATTEMPTS):
+        parser = _new_parser()
         try:
             parser.read_string("\n".join(lines))
         except configparser.Error as error:
-            _repair(error, lines, faults)
+            _remove_faulty_lines(error, lines, faults)
             continue
         sections = {
             name: dict(parser.items(name, raw=True))
             for name in parser.sections()
-            if not name.startswith(_NOWHERE)
+            if not name.startswith(_PLACEHOLDER_SECTION)
         }
-        return Ini(sections, tuple(faults))
-    return Ini({}, tuple(faults))
+        return ParsedIni(sections, tuple(faults))
+    return ParsedIni({}, tuple(faults))
 
 
-def _parser() -> configparser.RawConfigParser:
+def _new_parser() -> configparser.RawConfigParser:
     parser = configparser.RawConfigParser(
         delimiters=("=",),
         comment_prefixes=("#", ";"),
         empty_lines_in_values=False,
-        default_section=_NOWHERE,
+        default_section=_PLACEHOLDER_SECTION,
     )
     parser.optionxform = str
     return parser
 
 
-def _repair(
-    error: configparser.Error, lines: list[str], faults: list[FormFault]
+def _remove_faulty_lines(
+    error: configparser.Error, lines: list[str], faults: list[SyntaxFault]
 ) -> None:
     if isinstance(error, configparser.DuplicateSectionError):
         faults.append(
-            FormFault(
+            SyntaxFault(
                 error.section,
                 "",
                 f"the section again in line {error.lineno}",
                 "each section once",
             )
         )
-        lines[error.lineno - 1] = f"[{_NOWHERE}{error.lineno}]"
+        lines[error.lineno - 1] = f"[{_PLACEHOLDER_SECTION}{error.lineno}]"
     elif isinstance(error, configparser.DuplicateOptionError):
         faults.append(
-            FormFault(
+            SyntaxFault(
                 error.section,
                 error.option,
                 f"the key again in line {error.lineno}",
@@ -99,14 +109,16 @@
         lines[error.lineno - 1] = ""
     elif isinstance(error, configparser.MissingSectionHeaderError):
         faults.append(
-            FormFault("", "", f"line {error.lineno} in no section", "[SECTION]")
+            SyntaxFault(
+                "", "", f"line {error.lineno} in no section", "[SECTION]"
+            )
         )
         lines[error.lineno - 1] = ""
     elif isinstance(error, configparser.ParsingError):
         for number, _ in error.errors:
             faults.append(
-                FormFault("", "", f"no INI in line {number}", "KEY = VALUE")
+                SyntaxFault("", "", f"no INI in line {number}", "KEY = VALUE")
             )
             lines[number - 1] = ""
     else:
-        raise AssertionError(f"unknown fault of form: {error!r}")
+        raise AssertionError(f"unknown kind of fault in INI syntax: {error!r}")
--- a/src/pollenmast/settings/_key_files.py
+++ b/src/pollenmast/settings/_key_files.py
@@ -1,4 +1,4 @@
-"""Reads key files; what was found is told without any of its content."""
+"""Reads key files; error texts never include the content of a file."""
 
 import re
 
@@ -6,21 +6,22 @@
 
 ALLOWED = "the path of a file of 64 hex digits"
 
-_MOST_BYTES = 1024
-"""Bytes read of a key file; 64 hex digits and some space fit many times."""
+_MAX_BYTES = 1024
+"""Maximum number of bytes read; ample for 64 hex digits and whitespace."""
 
-_LIKE_A_KEY = re.compile(r"[0-9a-fA-F\s]{32,}")
+_KEY_LIKE = re.compile(r"[0-9a-fA-F\s]{32,}")
+"""Matches text that is probably a key instead of the path of a key file."""
 
 
 def read(path: str) -> Result[bytes, str]:
-    """Returns the key in a file, or what was found in its place."""
-    if _LIKE_A_KEY.fullmatch(path):
-        # A key pasted in place of its path would be shown in the fault, and
-        # from there reach logs and screens; nobody would know it has leaked.
+    """Returns the key in a file, or a description of what was found instead."""
+    if _KEY_LIKE.fullmatch(path):
+        # A key given in place of its path must not be quoted in the fault:
+        # it would leak into logs and terminals without anyone noticing.
         return Err("what looks like a key itself")
     try:
         with open(path, "rb") as file:
-            data = file.read(_MOST_BYTES).strip()
+            data = file.read(_MAX_BYTES).strip()
     except (OSError, ValueError) as error:
         reason = getattr(error, "strerror", None) or "no path"
         return Err(f"'{path}' ({reason})")
--- a/src/pollenmast/settings/_keys.py
+++ b/src/pollenmast/settings/_keys.py
@@ -1,24 +1,30 @@
-"""Every key of the settings file; docs/SETTINGS.md is made from it."""
+"""All keys of the settings file; docs/SETTINGS.md is generated from them."""
 
 import attrs
 
 from pollenmast.settings._kinds import (
     PORT,
     Address,
+    Integer,
     Kind,
     Name,
     Path,
     Seconds,
-    Sockets,
-    Whole,
+    SocketAddresses,
 )
 from pollenmast.settings._model import AgentSettings, RelaySettings
 
 KEY_FILE_VARIABLE = "POLLENMAST_FLEET_KEY_FILE"
-"""Environment variable that names the fleet's key file instead."""
+"""Environment variable with the path of the fleet's key file.
 
-_MOST_SEEDS = 64
-"""Seeds; a handful in each availability zone is enough to find the fleet."""
+It takes precedence over `key_file` in section `fleet`.
+"""
+
+_MAX_SEEDS = 64
+"""Maximum number of seeds.
+
+A handful in each availability zone is enough to find the fleet.
+"""
 
 
 @attrs.frozen
@@ -26,12 +32,12 @@
     """One key of the settings file.
 
     Attributes:
-        section: The section.
+        section: The section that contains the key.
         name: The key.
-        kind: What its value may be.
-        meaning: What it means, for an operator.
-        default: The value of a key left out; None where it has none.
-        required: Whether it must be given.
+        kind: Parses and validates the value.
+        meaning: Description for operators.
+        default: Value if the key is absent, or None if there is no default.
+        required: Whether the key must be present.
     """
 
     section: str
@@ -42,16 +48,16 @@
     required: bool = False
 
 
-_RELAY = RelaySettings()
-_AGENT = AgentSettings()
+_RELAY_DEFAULTS = RelaySettings()
+_AGENT_DEFAULTS = AgentSettings()
 
 
-def _relay(name: str, kind: Kind, meaning: str) -> Key:
-    return Key("relay", name, kind, meaning, getattr(_RELAY, name))
+def _relay_key(name: str, kind: Kind, meaning: str) -> Key:
+    return Key("relay", name, kind, meaning, getattr(_RELAY_DEFAULTS, name))
 
 
-def _agent(name: str, kind: Kind, meaning: str) -> Key:
-    return Key("agent", name, kind, meaning, getattr(_AGENT, name))
+def _agent_key(name: str, kind: Kind, meaning: str) -> Key:
+    return Key("agent", name, kind, meaning, getattr(_AGENT_DEFAULTS, name))
 
 
 KEYS: tuple[Key, ...] = (
@@ -90,7 +96,7 @@
     Key(
         "fleet",
         "seeds",
-        Sockets(_MOST_SEEDS),
+        SocketAddresses(_MAX_SEEDS),
         "Gossip addresses of some VMs, for when the platform gives no list.",
         (),
     ),
@@ -103,43 +109,49 @@
         True,
     ),
     Key("platform", "port", PORT, "Its TCP port.", None, True),
-    _relay("peer_port", PORT, "UDP port for envelopes from other relays."),
-    _relay(
+    _relay_key("peer_port", PORT, "UDP port for envelopes from other relays."),
+    _relay_key(
         "link_port", PORT, "TCP port on which the relay listens for its agent."
     ),
-    _relay("most_flows", Whole(1, 2_000_000), "Flows carried at the most."),
-    _relay(
+    _relay_key(
+        "most_flows", Integer(1, 2_000_000), "Flows carried at the most."
+    ),
+    _relay_key(
         "idle_s",
         Seconds(1, 86_400),
         "A flow without a packet for so long has ended.",
     ),
-    _relay(
+    _relay_key(
         "replicate_after_s",
         Seconds(0, 3_600),
         "Age at which a flow is replicated to another VM.",
     ),
-    _relay(
+    _relay_key(
         "replication_bytes_per_s",
-        Whole(0, 10_000_000),
+        Integer(0, 10_000_000),
         "Budget for replication, in bytes a second.",
     ),
-    _relay("grace_s", Seconds(0, 3_600), "Longest graceful shutdown."),
-    _relay(
+    _relay_key("grace_s", Seconds(0, 3_600), "Longest graceful shutdown."),
+    _relay_key(
         "drain_quiet_s",
         Seconds(0, 3_600),
         "How long a graceful shutdown waits for a flow's caller to use its new "
         "path. Keep it above the callers' keep-alive interval and the longest "
         "silence of a request.",
     ),
-    _agent("gossip_port", PORT, "UDP port for heartbeats."),
-    _agent("fetch_port", PORT, "TCP port on which peers fetch the manifest."),
-    _agent(
+    _agent_key("gossip_port", PORT, "UDP port for heartbeats."),
+    _agent_key(
+        "fetch_port", PORT, "TCP port on which peers fetch the manifest."
+    ),
+    _agent_key(
         "operators_port",
         PORT,
         "TCP port of status, metrics, health and readiness.",
     ),
-    _agent("heartbeat_s", Seconds(0.05, 60), "Time between two heartbeats."),
-    _agent(
+    _agent_key(
+        "heartbeat_s", Seconds(0.05, 60), "Time between two heartbeats."
+    ),
+    _agent_key(
         "probe_s",
         Seconds(0.05, 60),
         "Time between two probes of one endpoint.",
--- a/src/pollenmast/settings/_kinds.py
+++ b/src/pollenmast/settings/_kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of settings values: how each is read from text and described."""
+"""Types of settings values: parsing, validation and description."""
 
 import abc
 import ipaddress
@@ -10,66 +10,72 @@
 
 
 class Kind(abc.ABC):
-    """What one key's value may be."""
+    """Base class: parses the value of a key from text and describes it."""
 
     @property
     @abc.abstractmethod
     def allowed(self) -> str:
-        """What may stand here, in an operator's words."""
+        """Description of the allowed values, for operators."""
 
     @abc.abstractmethod
     def read(self, text: str) -> Result[object, None]:
-        """Returns the value, or Err where it is not allowed."""
+        """Returns the parsed value, or Err if the text is not allowed."""
 
 
-class Whole(Kind):
-    """A whole number between two bounds."""
+class Integer(Kind):
+    """An integer between two inclusive bounds."""
 
-    def __init__(self, least: int, most: int, what: str = "a whole number"):
-        self._least = least
-        self._most = most
-        self._what = what
+    def __init__(
+        self, minimum: int, maximum: int, description: str = "a whole number"
+    ):
+        self._minimum = minimum
+        self._maximum = maximum
+        self._description = description
 
     @property
     def allowed(self) -> str:
-        """The bounds."""
-        return f"{self._what}, {self._least} to {self._most}"
+        """Description of the range."""
+        return f"{self._description}, {self._minimum} to {self._maximum}"
 
     def read(self, text: str) -> Result[object, None]:
         """Returns the number."""
-        # int() takes signs, underscores and other scripts' digits as well.
+        # int() also accepts signs, underscores and non-ASCII digits.
         if not re.fullmatch(r"[0-9]{1,15}", text, re.ASCII):
             return Err(None)
         value = int(text)
-        return Ok(value) if self._least <= value <= self._most else Err(None)
+        return (
+            Ok(value) if self._minimum <= value <= self._maximum else Err(None)
+        )
 
 
 class Seconds(Kind):
-    """A time in seconds between two bounds."""
+    """A duration in seconds between two inclusive bounds."""
 
-    def __init__(self, least: float, most: float):
-        self._least = least
-        self._most = most
+    def __init__(self, minimum: float, maximum: float):
+        self._minimum = minimum
+        self._maximum = maximum
 
     @property
     def allowed(self) -> str:
-        """The bounds."""
-        return f"seconds, {self._least:g} to {self._most:g}"
+        """Description of the range."""
+        return f"seconds, {self._minimum:g} to {self._maximum:g}"
 
     def read(self, text: str) -> Result[object, None]:
-        """Returns the seconds."""
+        """Returns the duration in seconds."""
         if not re.fullmatch(r"[0-9]{1,9}(\.[0-9]{1,9})?", text, re.ASCII):
             return Err(None)
         value = float(text)
-        return Ok(value) if self._least <= value <= self._most else Err(None)
+        return (
+            Ok(value) if self._minimum <= value <= self._maximum else Err(None)
+        )
 
 
 class Name(Kind):
-    """A name as the manifest and the platform write it."""
+    """A name in the form used by the manifest and the platform."""
 
     @property
     def allowed(self) -> str:
-        """The letters."""
+        """Description of the allowed characters."""
         return (
             "1 to 63 of a-z, 0-9, dot and hyphen, "
             "first and last a letter or digit"
@@ -82,15 +88,15 @@
 
 
 class Address(Kind):
-    """An IPv4 number of one machine."""
+    """The IPv4 address of a single host."""
 
     @property
     def allowed(self) -> str:
-        """Which IP numbers."""
+        """Description of the allowed addresses."""
         return "the IPv4 number of one machine, such as 127.0.1.1"
 
     def read(self, text: str) -> Result[object, None]:
-        """Returns the IP number."""
+        """Returns the address, unchanged."""
         try:
             address = ipaddress.IPv4Address(text)
         except ValueError:
@@ -101,44 +107,44 @@
         return Ok(text)
 
 
-class Sockets(Kind):
-    """IP numbers with ports, separated by commas."""
+class SocketAddresses(Kind):
+    """Comma-separated list of IP:PORT."""
 
-    def __init__(self, most: int):
-        self._most = most
+    def __init__(self, max_count: int):
+        self._max_count = max_count
 
     @property
     def allowed(self) -> str:
-        """The form."""
-        return f"up to {self._most} of IP:PORT, separated by commas"
+        """Description of the format."""
+        return f"up to {self._max_count} of IP:PORT, separated by commas"
 
     def read(self, text: str) -> Result[object, None]:
-        """Returns the pairs of IP number and port."""
+        """Returns a tuple of (IP address, port) pairs."""
         parts = [part.strip() for part in text.split(",") if part.strip()]
         sockets = [socket_address(part) for part in parts]
-        if len(parts) > self._most or None in sockets:
+        if len(parts) > self._max_count or None in sockets:
             return Err(None)
         return Ok(tuple(sockets))
 
 
 class Path(Kind):
-    """The path of a file."""
+    """The path of a key file."""
 
     @property
     def allowed(self) -> str:
-        """That it is a path."""
+        """Description of the file."""
         return _key_files.ALLOWED
 
     def read(self, text: str) -> Result[object, None]:
-        """Returns the path."""
+        """Returns the path, unchanged."""
         return Ok(text) if text and "\0" not in text else Err(None)
 
 
-PORT = Whole(1, 65_535, "a port")
+PORT = Integer(1, 65_535, "a port")
 
 
 def socket_address(text: str) -> tuple[str, int] | None:
-    """Returns the IP number and port of IP:PORT, or None."""
+    """Parses IP:PORT into (IP address, port); returns None if it is invalid."""
     address, colon, port = text.rpartition(":")
     checked = Address().read(address)
     number = PORT.read(port)
--- a/src/pollenmast/settings/_model.py
+++ b/src/pollenmast/settings/_model.py
@@ -1,11 +1,17 @@
-"""The checked settings of one VM, shared by its relay and its agent."""
+"""Data model of a VM's settings, shared by its relay and its agent."""
 
 import attrs
 
 
 @attrs.frozen
 class VmSettings:
-    """Who this VM is: its name, availability zone and IP number."""
+    """Identity of this VM.
+
+    Attributes:
+        name: Name of the VM, unique in the fleet.
+        zone: Availability zone of the VM.
+        address: IPv4 address at which the VM is reached.
+    """
 
     name: str
     zone: str
@@ -14,13 +20,14 @@
 
 @attrs.frozen
 class FleetSettings:
-    """What the VMs of one fleet share.
+    """Settings shared by all VMs of a fleet.
 
     Attributes:
-        key: The fleet's key, 32 bytes, with which envelopes are sealed.
-        previous_key: Still accepted during a change of key, or None.
-        seeds: Gossip addresses (IP number, port) to greet when the platform
-            gives no list.
+        key: The fleet's 32-byte key, which seals envelopes.
+        previous_key: Key that is still accepted during a key rotation, or
+            None.
+        seeds: Gossip addresses (IP address, port) to contact when the
+            platform provides no list of VMs.
     """
 
     key: bytes = attrs.field(repr=False)
@@ -30,20 +37,23 @@
 
 @attrs.frozen
 class RelaySettings:
-    """The relay's ports, bounds and times.
+    """Ports, limits and intervals of the relay.
 
     Attributes:
         peer_port: UDP port for envelopes from other relays.
         link_port: TCP port on which the relay listens for its agent.
-        most_flows: Flows carried at the most.
-        idle_s: A flow without a packet for so long has ended, in seconds.
-        replicate_after_s: Age at which a flow is replicated, in seconds.
-        replication_bytes_per_s: Budget for replication, in bytes a second;
-            with the agent's 2,600 it stays within 4 KB/s.
-        grace_s: Longest graceful shutdown, in seconds.
-        drain_quiet_s: How long a graceful shutdown waits for a flow's caller
-            to use its new path, in seconds. It must be above the callers'
-            keep-alive interval and the longest silence of a request.
+        most_flows: Maximum number of flows carried at once.
+        idle_s: Idle timeout of a flow, in seconds.
+        replicate_after_s: Age at which a flow is replicated to another VM,
+            in seconds.
+        replication_bytes_per_s: Bandwidth budget for replication, in bytes
+            per second. Together with the agent's 2,600 bytes per second it
+            stays within 4 KB/s.
+        grace_s: Maximum duration of a graceful shutdown, in seconds.
+        drain_quiet_s: Time for which a graceful shutdown waits for a flow's
+            caller to use its new path, in seconds. Must be longer than the
+            callers' keep-alive interval and than the longest silence within
+            a request.
     """
 
     peer_port: int = 7001
@@ -58,14 +68,15 @@
 
 @attrs.frozen
 class AgentSettings:
-    """The agent's ports and times.
+    """Ports and intervals of the agent.
 
     Attributes:
         gossip_port: UDP port for heartbeats.
         fetch_port: TCP port on which peers fetch the manifest.
-        operators_port: TCP port of status, metrics, health and readiness.
-        heartbeat_s: Time between two heartbeats, in seconds.
-        probe_s: Time between two probes of one endpoint, in seconds.
+        operators_port: TCP port that serves status, metrics, health and
+            readiness.
+        heartbeat_s: Interval between heartbeats, in seconds.
+        probe_s: Interval between probes of one endpoint, in seconds.
     """
 
     gossip_port: int = 7003
@@ -77,7 +88,12 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """Where the platform's service answers, by IP number and TCP port."""
+    """Address of the platform's service.
+
+    Attributes:
+        address: IPv4 address.
+        port: TCP port.
+    """
 
     address: str
     port: int
--- a/tests/manifest_diff_test.py
+++ b/tests/manifest_diff_test.py
@@ -1,4 +1,4 @@
-"""Tests of manifest._diff."""
+"""Tests for pollenmast.manifest._diff."""
 
 import json
 
@@ -33,17 +33,17 @@
     }
 
 
-_BOTH = [_endpoint(1), _endpoint(2)]
+_TWO_ENDPOINTS = [_endpoint(1), _endpoint(2)]
 
 
 class DifferencesTest(TestCase):
-    """An operator reads what a release will do before it is shipped."""
+    """The diff shows operators a release's effects before the rollout."""
 
     @parameterized.expand(
         [
             (
                 "endpoint_comes",
-                [*_BOTH, _endpoint(3)],
+                [*_TWO_ENDPOINTS, _endpoint(3)],
                 {},
                 [(Effect.COME, "registry/registry-3")],
                 True,
@@ -85,54 +85,65 @@
             ),
             (
                 "port",
-                _BOTH,
+                _TWO_ENDPOINTS,
                 {"port": 4009},
                 [(Effect.CHANGE, "registry")],
                 False,
             ),
             (
                 "limit",
-                _BOTH,
+                _TWO_ENDPOINTS,
                 {"limits": {"hold_ms": 100}},
                 [(Effect.CHANGE, "registry")],
                 False,
             ),
             (
                 "renamed",
-                _BOTH,
+                _TWO_ENDPOINTS,
                 {"name": "records"},
                 [(Effect.LEAVE, "registry"), (Effect.COME, "records")],
                 False,
             ),
         ]
     )
-    def test_effect(self, _, endpoints, changes, expected, shares_move):
-        """Each change of a release is named by its effect and subject."""
-        if shares_move:
+    def test_effect_and_subject(
+        self, _, endpoints, changes, expected, distribution_changes
+    ):
+        """Each change is reported with its effect and subject."""
+        if distribution_changes:
             expected = [*expected, (Effect.MOVE, "registry")]
-        old, new = _manifest(1, _BOTH), _manifest(2, endpoints, **changes)
+        old, new = (
+            _manifest(1, _TWO_ENDPOINTS),
+            _manifest(2, endpoints, **changes),
+        )
         found = [(item.effect, item.subject) for item in differences(old, new)]
         self.assertEqual(expected, found)
 
     def test_same_content(self):
-        """A manifest against itself makes no difference."""
-        one = _manifest(1, _BOTH)
+        """A manifest has no differences from itself."""
+        one = _manifest(1, _TWO_ENDPOINTS)
         self.assertEqual((), differences(one, one))
 
     @parameterized.expand(
         [("older", 1, Effect.IGNORED), ("same_version", 2, Effect.CONFLICT)]
     )
-    def test_not_greater(self, _, version, expected):
-        """A pipeline ships a release without raising the version.
+    def test_version_not_raised(self, _, version, expected):
+        """A release whose version is not greater is reported first.
 
-        The fleet keeps the version in force, or one of two contents that
-        nobody chose, and the release would seem to have no effect.
+        For an older version the fleet keeps the manifest in force. For the
+        same version it keeps one of the two contents, which nobody chose.
+        Without the report, the release would seem to have no effect.
         """
-        old, new = _manifest(2, _BOTH), _manifest(version, _BOTH[:1])
+        old, new = (
+            _manifest(2, _TWO_ENDPOINTS),
+            _manifest(version, _TWO_ENDPOINTS[:1]),
+        )
         self.assertEqual(expected, differences(old, new)[0].effect)
 
-    def test_nobody_serves(self):
-        """A release that drains every endpoint tells of refused callers."""
+    def test_no_serving_endpoint(self):
+        """Draining every endpoint warns that new flows will be refused."""
         draining = [_endpoint(n, state="draining") for n in (1, 2)]
-        found = differences(_manifest(1, _BOTH), _manifest(2, draining))
+        found = differences(
+            _manifest(1, _TWO_ENDPOINTS), _manifest(2, draining)
+        )
         self.assertIn("every new one is refused", found[-1].words)
--- a/tests/manifest_text_test.py
+++ b/tests/manifest_text_test.py
@@ -1,4 +1,4 @@
-"""Tests of manifest._text."""
+"""Tests for pollenmast.manifest._text."""
 
 import json
 
@@ -10,8 +10,8 @@
 
 from pollenmast import manifest
 from pollenmast.manifest import (
+    MAX_FAULTS,
     MOST_BYTES,
-    MOST_FAULTS,
     Endpoint,
     Limits,
     Service,
@@ -19,7 +19,7 @@
 
 
 def example(**changes: object) -> dict[str, object]:
-    """Returns a manifest's JSON value; changes go into its first endpoint."""
+    """Returns a valid manifest; `changes` override keys of its endpoint."""
     endpoint = {
         "name": "registry-1",
         "address": "127.0.2.1",
@@ -39,27 +39,27 @@
 
 
 def encode(value: object) -> bytes:
-    """Returns the JSON text of a value."""
+    """Returns the value as JSON text."""
     return json.dumps(value).encode()
 
 
 def faults(value: object) -> list[str]:
-    """Returns what is wrong with a manifest's JSON value."""
+    """Returns the faults that parsing the value as a manifest gives."""
     return [str(fault) for fault in manifest.parse(encode(value)).err() or ()]
 
 
-def _without(key: str) -> dict[str, object]:
+def _without_endpoint_key(key: str) -> dict[str, object]:
     value = example()
     del value["services"][0]["endpoints"][0][key]
     return value
 
 
-def _twice(**changes: object) -> dict[str, object]:
+def _with_second_service(**changes: object) -> dict[str, object]:
     value = example()
     service = value["services"][0]
-    again = {**service, "name": "barcodes", "number": 2, "port": 4002}
-    other = {**service["endpoints"][0], "port": 5002}
-    value["services"].append({**again, "endpoints": [other], **changes})
+    second = {**service, "name": "barcodes", "number": 2, "port": 4002}
+    endpoint = {**service["endpoints"][0], "port": 5002}
+    value["services"].append({**second, "endpoints": [endpoint], **changes})
     return value
 
 
@@ -81,22 +81,23 @@
 
 
 class ParseTest(TestCase):
-    """A manifest is taken whole or refused whole."""
+    """A manifest is either accepted or rejected as a whole."""
 
     def test_defaults(self):
-        """Keys left out get their defaults, and both forms are one content."""
+        """Omitted keys and explicit defaults give the same manifest."""
         parsed = manifest.parse(encode(example())).unwrap()
-        told = example(slots=2, connections=2000, state="serving")
-        told["services"][0]["limits"] = {"hold_ms": 400}
-        self.assertEqual(parsed, manifest.parse(encode(told)).unwrap())
+        explicit = example(slots=2, connections=2000, state="serving")
+        explicit["services"][0]["limits"] = {"hold_ms": 400}
+        self.assertEqual(parsed, manifest.parse(encode(explicit)).unwrap())
         self.assertEqual(2, parsed.services[0].endpoints[0].slots)
         self.assertEqual(400, parsed.services[0].limits.hold_ms)
 
-    def test_render(self):
-        """A VM hands a manifest that just fits to another VM.
+    def test_rendered_text_is_not_longer(self):
+        """The canonical text is no longer than the text it was parsed from.
 
-        Were the canonical text longer, the other would refuse what the fleet
-        has accepted, and stay behind.
+        If it were longer, a manifest just below the size limit would be
+        rejected by the VM that receives it from another, and that VM would
+        stay on the old version.
         """
         value = example(slots=3)
         value["services"][0]["limits"] = {"hold_ms": 100}
@@ -107,7 +108,7 @@
         self.assertTrue(len(rendered) <= len(text))
 
     def test_digest(self):
-        """The digest tells two contents under one version apart."""
+        """The digest distinguishes two contents with the same version."""
         one = manifest.parse(encode(example())).unwrap()
         other = manifest.parse(encode(example(port=5002))).unwrap()
         self.assertEqual(one.digest, manifest.digest(one))
@@ -126,32 +127,46 @@
             ("any_address", example(address="0.0.0.0"), "[0].address"),
             ("unknown_state", example(state="gone"), "[0].state"),
             ("unknown_key", example(colour=1), 'unknown key "colour"'),
-            ("missing_key", _without("zone"), "[0].zone: found nothing"),
-            ("name_twice", _twice(name="registry"), "services[1].name"),
-            ("number_twice", _twice(number=1), "services[1].number"),
-            ("port_twice", _twice(port=4001), "services[1].port"),
+            (
+                "missing_key",
+                _without_endpoint_key("zone"),
+                "[0].zone: found nothing",
+            ),
+            (
+                "name_twice",
+                _with_second_service(name="registry"),
+                "services[1].name",
+            ),
+            (
+                "number_twice",
+                _with_second_service(number=1),
+                "services[1].number",
+            ),
+            ("port_twice", _with_second_service(port=4001), "services[1].port"),
             ("no_services", {"version": 1, "services": []}, "services"),
             ("version_zero", {**example(), "version": 0}, "version"),
             ("a_list", [], "manifest: found a list of 0 items"),
         ]
     )
-    def test_refused(self, _, value, expected):
-        """A pipeline writes one wrong value into a manifest.
+    def test_rejected(self, _, value, expected):
+        """A single invalid value rejects the whole manifest with one fault.
 
-        Were the rest taken, a service would lose an endpoint or its callers
-        without anybody having asked for it.
+        If a pipeline wrote such a value and the rest were accepted, a service
+        would unintentionally lose an endpoint or its callers.
         """
         found = faults(value)
         self.assertEqual(1, len(found), found)
         self.assertIn(expected, found[0])
 
-    def test_shared_socket(self):
-        """Two services name one upstream process by mistake.
+    def test_duplicate_socket(self):
+        """Two services cannot share the address and port of an upstream.
 
-        Callers of the one would be led to the other, and a packet meant for
-        the registry would reach barcodes.
+        Callers of one service would reach the other: here, a packet for
+        registry would be sent to barcodes.
         """
-        value = _twice(endpoints=example()["services"][0]["endpoints"])
+        value = _with_second_service(
+            endpoints=example()["services"][0]["endpoints"]
+        )
         self.assertEqual(
             [
                 "services[1].endpoints[0].port: found the address and port of"
@@ -161,16 +176,16 @@
             faults(value),
         )
 
-    def test_all_faults_in_one_go(self):
-        """Every fault is told at once, each with its path."""
+    def test_reports_all_faults(self):
+        """All faults are reported at once, each with its path."""
         value = example(port=0, address="x", colour=1)
         value["version"] = "3"
         self.assertEqual(4, len(faults(value)))
 
     def test_fault_list_is_bounded(self):
-        """A hostile text with very many faults costs little memory."""
+        """The fault list is limited, to bound memory use on hostile input."""
         value = {str(number): 0 for number in range(10_000)}
-        self.assertEqual(MOST_FAULTS, len(faults(value)))
+        self.assertEqual(MAX_FAULTS, len(faults(value)))
 
     @parameterized.expand(
         [
@@ -188,29 +203,33 @@
         ]
     )
     def test_hostile_text(self, _, data):
-        """Somebody publishes a text that is made to break its readers.
+        """Hostile input is rejected without raising an exception.
 
-        An exception here would end the agents of the whole fleet at once.
+        An exception here would terminate the agents of the whole fleet at
+        once.
         """
         self.assertTrue(manifest.parse(data).is_err())
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(_JSON)
     def test_fuzzed_value(self, value):
-        """No JSON value makes the checks raise."""
+        """Validation never raises, whatever the JSON value."""
         parsed = manifest.parse(encode(value))
         self.assertEqual(parsed.is_err(), bool(parsed.err()))
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(st.binary(max_size=300))
     def test_fuzzed_bytes(self, data):
-        """No bytes make the parser raise."""
+        """Parsing never raises, whatever the bytes."""
         self.assertTrue(manifest.parse(data).is_err())
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(st.data())
     def test_fuzzed_edit(self, data):
-        """A valid manifest with one value replaced is taken or refused."""
+        """A valid manifest with one value replaced is accepted or rejected.
+
+        An accepted one is unchanged by rendering and parsing it again.
+        """
         value = example()
         targets = [
             value,
@@ -227,10 +246,10 @@
 
 
 class SchemaTest(TestCase):
-    """The published schema says what the checks do."""
+    """The published schema matches the validation."""
 
-    def test_every_rule_is_described(self):
-        """Each key of the model stands in the schema, and nothing else."""
+    def test_schema_lists_every_key(self):
+        """The schema lists exactly the attributes of the model."""
         schema = manifest.schema()
         service = schema["properties"]["services"]["items"]
         endpoint = service["properties"]["endpoints"]["items"]
@@ -245,8 +264,8 @@
             self.assertEqual(names, list(described["properties"]))
             self.assertFalse(described["additionalProperties"])
 
-    def test_schema_defaults_are_the_models(self):
-        """A default in the schema is the one that the model takes."""
+    def test_schema_defaults_match_model(self):
+        """Defaults in the schema equal those of the model."""
         schema = manifest.schema()["properties"]["services"]["items"]
         parsed = manifest.parse(encode(example())).unwrap().services[0]
         rendered = {
--- a/tests/settings_load_test.py
+++ b/tests/settings_load_test.py
@@ -1,4 +1,4 @@
-"""Tests of settings._load."""
+"""Tests for pollenmast.settings._load."""
 
 import pathlib
 import tempfile
@@ -11,7 +11,7 @@
 from pollenmast.settings import KEY_FILE_VARIABLE, KEYS, Settings, load
 
 KEY = "07" * 32
-"""A fleet's key as its file holds it."""
+"""Content of a fleet key file: 64 hex digits."""
 
 TEXT = """\
 [vm]
@@ -24,14 +24,14 @@
 [fleet]
 key_file = {key_file}
 """
-"""The least that a settings file holds."""
+"""A minimal settings file, with only the required keys."""
 
 
 class LoadCase(TestCase):
-    """Loads texts from a folder of its own."""
+    """Base class: loads settings from a temporary directory."""
 
     def setUp(self):
-        """Makes the folder."""
+        """Creates the directory and a key file in it."""
         super().setUp()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -40,14 +40,14 @@
         self.key_file.write_text(KEY + "\n")
 
     def load(self, text: str, environ: dict[str, str] | None = None):
-        """Loads a text in which {key_file} stands for the key's path."""
+        """Loads a text in which `{key_file}` stands for the key file's path."""
         file = self.folder / "vm.ini"
         text = text.replace("{key_file}", str(self.key_file))
         file.write_bytes(text.encode("utf-8", "surrogatepass"))
         return load(file, environ or {})
 
     def faults(self, text: str) -> list[str]:
-        """Returns what is wrong, without the file's name."""
+        """Returns the faults in a settings text, without the file name."""
         prefix = f"{self.folder / 'vm.ini'}: "
         return [
             str(fault).removeprefix(prefix)
@@ -56,18 +56,18 @@
 
 
 class LoadTest(LoadCase):
-    """Settings are taken whole or refused with every fault."""
+    """A settings file is either accepted or rejected with all its faults."""
 
-    def test_least(self):
-        """The least file gives every default."""
+    def test_minimal_file(self):
+        """A minimal file gets every default."""
         loaded = self.load(TEXT).unwrap()
         self.assertIsInstance(loaded, Settings)
         self.assertEqual("pos-frederick", loaded.vm.zone)
         self.assertEqual(bytes.fromhex(KEY), loaded.fleet.key)
         self.assertEqual(7001, loaded.relay.peer_port)
 
-    def test_every_key(self):
-        """Every key of the catalogue is read from the file."""
+    def test_reads_every_key(self):
+        """The value of every known key is read from the file."""
         text = TEXT + (
             "previous_key_file = {key_file}\n"
             "seeds = 127.0.1.2:7003, 127.0.1.3:7003\n"
@@ -83,12 +83,15 @@
         )
         self.assertEqual(bytes.fromhex(KEY), loaded.fleet.previous_key)
         self.assertEqual(
-            (1, 2, 3, 4.0, 5.0, 6, 7.0, 7.5), _fields(loaded.relay, "relay")
+            (1, 2, 3, 4.0, 5.0, 6, 7.0, 7.5),
+            _section_values(loaded.relay, "relay"),
+        )
+        self.assertEqual(
+            (8, 9, 10, 11.0, 12.5), _section_values(loaded.agent, "agent")
         )
-        self.assertEqual((8, 9, 10, 11.0, 12.5), _fields(loaded.agent, "agent"))
 
     def test_key_file_from_the_environment(self):
-        """The environment names the key file, and goes before the file."""
+        """The environment variable takes precedence over `key_file`."""
         text = TEXT.replace("{key_file}", "/no/such/file")
         loaded = self.load(text, {KEY_FILE_VARIABLE: str(self.key_file)})
         self.assertEqual(bytes.fromhex(KEY), loaded.unwrap().fleet.key)
@@ -116,18 +119,17 @@
             ("interpolation", "[relay]\ngrace_s = %(x)s\n", "found '%(x)s'"),
         ]
     )
-    def test_fault(self, _, more, expected):
-        """Somebody mistypes one line of a settings file.
+    def test_single_fault(self, _, more, expected):
+        """A single mistyped line rejects the file with one fault.
 
-        Were it passed over, the VM would run with a default that nobody
-        chose.
+        If the line were ignored, the VM would run with an unintended default.
         """
         found = self.faults(TEXT + more)
         self.assertEqual(1, len(found), found)
         self.assertIn(expected, found[0])
 
-    def test_all_faults_in_one_go(self):
-        """Faults of form and of values are told together."""
+    def test_reports_all_faults(self):
+        """Syntax faults and invalid values are reported together."""
         found = self.faults("loose\njunk\n[vm]\nname = A\nname = b\n[x]\n")
         self.assertEqual(10, len(found), found)
 
@@ -138,11 +140,11 @@
             ("no_hex", "{key_file}", "secret-words"),
         ]
     )
-    def test_key_is_never_shown(self, _, path, content):
-        """Somebody puts the key where its path belongs, or a wrong key.
+    def test_fault_hides_key(self, _, path, content):
+        """Faults never quote a key given as a path, or an invalid key file.
 
-        The fault reaches screens and logs; with the key in it, whoever reads
-        them could speak for the fleet.
+        Faults are printed and logged. Anyone who reads a key there could
+        impersonate a VM of the fleet.
         """
         if content:
             self.key_file.write_text(content)
@@ -150,8 +152,8 @@
         self.assertEqual(1, len(found), found)
         self.assertNotIn((content or KEY)[:12], found[0])
 
-    def test_key_is_not_in_the_text_form(self):
-        """Settings that are printed by mistake show no key."""
+    def test_repr_hides_key(self):
+        """The repr of settings, which may reach logs, omits the key."""
         loaded = self.load(TEXT).unwrap()
         self.assertNotIn("\\x07", repr(loaded))
 
@@ -164,7 +166,7 @@
         ]
     )
     def test_unreadable_file(self, _, name, content):
-        """A file that cannot be read is one fault."""
+        """A file that cannot be read or decoded gives exactly one fault."""
         (self.folder / "vm.ini").write_bytes(content)
         self.assertEqual(1, len(load(self.folder / name, {}).unwrap_err()))
 
@@ -184,23 +186,23 @@
 
 
 class FuzzTest(LoadCase):
-    """No text makes the loader raise."""
+    """Loading never raises, whatever the text."""
 
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(_LINES)
     def test_lines(self, lines):
-        """Near-INI lines are taken or refused."""
+        """Lines that resemble INI are rejected without an exception."""
         loaded = self.load("\n".join(lines))
         self.assertTrue(loaded.err())
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(st.sampled_from(KEYS), st.text(max_size=20))
     def test_values(self, key, value):
-        """Any text as any key's value is taken or refused."""
+        """Any text as the value of any key is either accepted or rejected."""
         loaded = self.load(f"{TEXT}[{key.section}]\n{key.name} = {value}\n")
         self.assertEqual(loaded.is_err(), bool(loaded.err()))
 
 
-def _fields(values: object, section: str) -> tuple[object, ...]:
+def _section_values(values: object, section: str) -> tuple[object, ...]:
     names = [key.name for key in KEYS if key.section == section]
     return tuple(getattr(values, name) for name in names)
