--- a/src/pollenmast/configuration/__init__.py
+++ b/src/pollenmast/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Towards the configuration service: manifest and list of VMs, read only."""
+"""Read-only client of the platform: the manifest and the list of VMs."""
 
 from pollenmast.configuration._client import (
     HttpPlatform,
--- a/src/pollenmast/configuration/_client.py
+++ b/src/pollenmast/configuration/_client.py
@@ -1,4 +1,4 @@
-"""Reads and watches the platform's service."""
+"""HTTP client of the platform's configuration service."""
 
 import abc
 import enum
@@ -11,18 +11,19 @@
 from pollenmast import http1
 from pollenmast.counters import CONTROL_BYTES, PLATFORM_CALLS, Counters
 from pollenmast.fleet import Vm
-from pollenmast.peers._gossip import possible_vm
+from pollenmast.peers._gossip import is_valid_vm
 
 READ_TIMEOUT_S = 2.0
-"""The platform answers in milliseconds; two seconds without an answer means
-that it is down or cut off, in seconds."""
+"""Time limit of a read, in seconds. The platform answers in milliseconds; two
+seconds without an answer mean that it is down or unreachable."""
 
-MOST_LISTED = 8192
-"""VMs taken from one list; far above the fleet of two years' time."""
+MAX_LISTED_VMS = 8192
+"""Limit on the VMs used of one list; far above the fleet size expected in two
+years."""
 
 
 class PlatformFault(str, enum.Enum):
-    """Why the platform gave nothing."""
+    """Why a request to the platform failed."""
 
     UNREACHABLE = "unreachable"
     STATUS = "status"
@@ -49,24 +50,32 @@
 
 
 class Platform(abc.ABC):
-    """What the product reads of the platform; nothing can be written."""
+    """Read-only access to the platform."""
 
     @abc.abstractmethod
     async def manifest(
         self, after: int, wait_s: float
     ) -> Result[bytes | None, PlatformFault]:
-        """Returns a manifest's text newer than `after`, or None in time."""
+        """Returns the text of a manifest that is newer than a version.
+
+        Args:
+            after: The version.
+            wait_s: Seconds to wait for a newer manifest; 0 asks once.
+
+        Returns:
+            The text, or None if no newer manifest appeared in time.
+        """
 
     @abc.abstractmethod
     async def vms(self) -> Result[tuple[Vm, ...], PlatformFault]:
-        """Returns the lagging list of VMs."""
+        """Returns the platform's list of VMs, which may be out of date."""
 
 
 class HttpPlatform(Platform):
-    """The platform's service over HTTP.
+    """Access to the platform over HTTP.
 
-    Watches and short reads use connections of their own, so that a list is
-    not read behind a watch of many seconds.
+    Watches and short reads use separate connections, so that reading a list
+    does not wait for a watch of many seconds.
     """
 
     def __init__(self, address: str, port: int, counters: Counters):
@@ -77,7 +86,7 @@
     async def manifest(
         self, after: int, wait_s: float
     ) -> Result[bytes | None, PlatformFault]:
-        """Returns a manifest's text newer than `after`, or None in time."""
+        """See the base class."""
         connection = self._watch if wait_s else self._read
         target = f"/manifest?after={after}&wait={wait_s:g}"
         response = await self._get(
@@ -91,7 +100,7 @@
         return Ok(response.ok_value.body)
 
     async def vms(self) -> Result[tuple[Vm, ...], PlatformFault]:
-        """Returns the lagging list of VMs."""
+        """See the base class."""
         response = await self._get(self._read, "/vms", READ_TIMEOUT_S, (200,))
         if isinstance(response, Err):
             return response
@@ -101,9 +110,9 @@
             self._counters.add(PLATFORM_CALLS, "malformed")
             return Err(PlatformFault.MALFORMED)
         self._counters.add(PLATFORM_CALLS, "answered")
-        vms = [_vm(each) for each in listing.vms[:MOST_LISTED]]
-        # One impossible entry must not keep a VM from all the others.
-        return Ok(tuple(vm for vm in vms if possible_vm(vm)))
+        vms = [_vm(each) for each in listing.vms[:MAX_LISTED_VMS]]
+        # One invalid entry must not hide the other VMs of the list.
+        return Ok(tuple(vm for vm in vms if is_valid_vm(vm)))
 
     async def _get(
         self,
--- a/src/pollenmast/exchange/__init__.py
+++ b/src/pollenmast/exchange/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 exchanges as bytes; knows neither sockets nor an event loop."""
+"""HTTP/1.1 client protocol without I/O: no sockets, no event loop."""
 
 from pollenmast.exchange._exchange import (
     EndedError,
--- a/src/pollenmast/exchange/_exchange.py
+++ b/src/pollenmast/exchange/_exchange.py
@@ -1,28 +1,28 @@
-"""A client's side of one connection: requests out, whole responses in."""
+"""Sans-I/O client side of an HTTP connection, built on h11."""
 
 import attrs
 import h11
 
 ProtocolError = h11.ProtocolError
-"""What came is no response in the protocol."""
+"""The received bytes are not a valid HTTP response."""
 
 
 class TooLargeError(Exception):
-    """The body is larger than allowed."""
+    """The response body exceeds the limit."""
 
 
 class EndedError(Exception):
-    """The connection ended before the response did."""
+    """The connection was closed before the response was complete."""
 
 
 @attrs.frozen
 class Response:
-    """A whole response.
+    """A complete response.
 
     Attributes:
         status: The status code.
-        body: The content.
-        headers: Names in lower case, and values.
+        body: The body.
+        headers: Values by header name, which is in lower case.
     """
 
     status: int
@@ -31,46 +31,53 @@
 
 
 class Exchange:
-    """GET requests and their responses, one after the other."""
+    """Sequential GET requests and their responses on one connection."""
 
     def __init__(self, host: str, most: int):
-        """Sets the `Host` that is asked, and the most bytes of a body."""
+        """Initializes the exchange.
+
+        Args:
+            host: Value of the `Host` header.
+            most: Default limit on the bytes of a response body.
+        """
         self._host = host
-        self._usual_most = most
-        self._most: int | None = None
+        self._default_max_body_bytes = most
+        self._max_body_bytes: int | None = None
         self._protocol = h11.Connection(h11.CLIENT)
         self._status = 0
         self._headers: dict[str, str] = {}
-        self._parts: list[bytes] = []
-        self._size = 0
+        self._body_parts: list[bytes] = []
+        self._body_size = 0
 
     def request(self, target: str, most: int | None = None) -> bytes:
-        """Returns the bytes that ask for a target.
+        """Returns the bytes of a request.
 
         Args:
             target: The path and query.
-            most: The most bytes of this answer's body, None for the usual.
-                Beyond it the answer is refused by the length it announces.
+            most: Limit on the bytes of this response's body, or None for the
+                default. With a limit, a response whose `Content-Length`
+                exceeds it is rejected before its body is read.
         """
-        self._most = most
+        self._max_body_bytes = most
         request = h11.Request(
             method="GET", target=target, headers=[("Host", self._host)]
         )
-        self._parts, self._size = [], 0
+        self._body_parts, self._body_size = [], 0
         data = self._protocol.send(request)
         return data + self._protocol.send(h11.EndOfMessage())
 
     def feed(self, data: bytes) -> None:
-        """Takes what was received; empty at the connection's end."""
+        """Processes received bytes; empty bytes mean a closed connection."""
         self._protocol.receive_data(data)
 
     def response(self) -> Response | None:
-        """Returns the response, or None while some of it is missing.
+        """Returns the response, or None while it is incomplete.
 
         Raises:
-            ProtocolError: What came is no response.
-            TooLargeError: Its body is larger than allowed.
-            EndedError: The connection ended before it.
+            ProtocolError: The received bytes are not a valid HTTP response.
+            TooLargeError: The body exceeds the limit.
+            EndedError: The connection was closed before the response was
+                complete.
         """
         while True:
             event = self._protocol.next_event()
@@ -82,33 +89,37 @@
                     name.decode("latin-1"): value.decode("latin-1")
                     for name, value in event.headers
                 }
-                self._refuse_length()
+                self._check_content_length()
             elif isinstance(event, h11.Data):
-                self._take(event.data)
+                self._append_body(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                body = b"".join(self._parts)
+                body = b"".join(self._body_parts)
                 return Response(self._status, body, self._headers)
             elif isinstance(event, h11.ConnectionClosed):
                 raise EndedError
 
     def next_cycle(self) -> bool:
-        """Prepares the next request; returns whether one is possible."""
+        """Prepares for the next request; returns whether one is possible."""
         done = (h11.DONE, h11.DONE)
         if (self._protocol.our_state, self._protocol.their_state) != done:
             return False
         self._protocol.start_next_cycle()
         return True
 
-    def _refuse_length(self) -> None:
+    def _check_content_length(self) -> None:
         length = self._headers.get("content-length", "")
-        if self._most is None or not length.isdecimal():
+        if self._max_body_bytes is None or not length.isdecimal():
             return
-        if int(length) > self._most:
+        if int(length) > self._max_body_bytes:
             raise TooLargeError
 
-    def _take(self, data: bytes) -> None:
-        self._size += len(data)
-        most = self._usual_most if self._most is None else self._most
-        if self._size > most:
+    def _append_body(self, data: bytes) -> None:
+        self._body_size += len(data)
+        most = (
+            self._default_max_body_bytes
+            if self._max_body_bytes is None
+            else self._max_body_bytes
+        )
+        if self._body_size > most:
             raise TooLargeError
-        self._parts.append(bytes(data))
+        self._body_parts.append(bytes(data))
--- a/src/pollenmast/fleet/__init__.py
+++ b/src/pollenmast/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The fleet's VMs and its endpoints' reports; no network, no decisions."""
+"""Data types of the fleet's VMs and its endpoints."""
 
 from pollenmast.fleet._model import (
     EndpointLoad,
--- a/src/pollenmast/fleet/_model.py
+++ b/src/pollenmast/fleet/_model.py
@@ -1,4 +1,4 @@
-"""What VMs believe of each other and of endpoints, as plain values."""
+"""State of VMs and endpoints as plain values, without I/O or decisions."""
 
 import enum
 
@@ -6,32 +6,33 @@
 
 
 class VmState(str, enum.Enum):
-    """What the fleet believes of a VM."""
+    """State of a VM in the membership protocol."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
-    """Missed its heartbeat; still owns flows until the suspicion ends."""
+    """Missed its heartbeat; still owns flows until the suspicion expires."""
 
     LEAVING = "leaving"
-    """Stops in an orderly way: owns no new flow, still carries its own."""
+    """Shuts down gracefully: owns no new flows, but still carries existing
+    ones."""
 
     DEAD = "dead"
 
 
 @attrs.frozen
 class Vm:
-    """One entry VM of the fleet.
+    """An entry VM of the fleet.
 
     Attributes:
-        name: Unique in the fleet.
+        name: Unique name in the fleet.
         zone: The availability zone.
-        address: The VM's IP number.
-        relay_port: UDP port on which its relay takes envelopes.
-        gossip_port: UDP port on which its agent takes heartbeats.
-        fetch_port: TCP port on which its agent hands out the manifest.
-        incarnation: Grows when the VM restarts or refutes a suspicion.
-        state: What the fleet believes of it.
-        relay_up: Whether its agent hears from its relay.
+        address: The VM's IP address.
+        relay_port: UDP port on which its relay receives envelopes.
+        gossip_port: UDP port on which its agent receives heartbeats.
+        fetch_port: TCP port on which its agent serves the manifest.
+        incarnation: Increases when the VM restarts or refutes a suspicion.
+        state: State of the VM as the fleet sees it.
+        relay_up: Whether its agent receives reports of its relay.
     """
 
     name: str
@@ -47,18 +48,20 @@
 
 @attrs.frozen
 class EndpointReport:
-    """What one endpoint last said of its load, as probed by an agent.
+    """The load that an endpoint reported to an agent's last probe.
 
     Attributes:
         service: The service's number.
         endpoint: The endpoint's name.
-        sequence: Grows with every probe of this endpoint; the newest wins.
-        healthy: Whether the probe was answered and the endpoint takes work.
-        running: Requests that hold a slot.
-        queued: Requests that wait for a slot.
-        connections: Open connections.
-        finished: Requests finished since the endpoint started.
-        uptime_s: Seconds since the endpoint started (a cold one is small).
+        sequence: Increases with every probe of this endpoint; the report with
+            the greatest number replaces the others.
+        healthy: Whether the probe was answered and the endpoint accepts work.
+        running: Number of requests that hold a slot.
+        queued: Number of requests that wait for a slot.
+        connections: Number of open connections.
+        finished: Number of requests finished since the endpoint started.
+        uptime_s: Seconds since the endpoint started; a small value means that
+            the endpoint is cold.
     """
 
     service: int
@@ -74,14 +77,14 @@
 
 @attrs.frozen
 class EndpointLoad:
-    """What a relay itself knows of one endpoint.
+    """Load of an endpoint as a relay sees it.
 
     Attributes:
         service: The service's number.
         endpoint: The endpoint's name.
-        flows: Flows that this relay carries to it.
-        weight: Share of new flows it now gets, 0 to 1.
-        why: Why the weight is what it is, in an operator's words.
+        flows: Number of flows that this relay carries to the endpoint.
+        weight: Share of new flows that the endpoint gets now, 0 to 1.
+        why: Reason for the weight, for operators.
     """
 
     service: int
--- a/src/pollenmast/peers/__init__.py
+++ b/src/pollenmast/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What the system's own processes say to each other, and how it is sealed."""
+"""Authenticated messages between agents and relays, and their codecs."""
--- a/src/pollenmast/peers/_codec.py
+++ b/src/pollenmast/peers/_codec.py
@@ -1,4 +1,4 @@
-"""Control messages to bytes and back: a tag byte, then msgpack by cattrs."""
+"""Codec of the link's control messages: a tag byte, then msgpack by cattrs."""
 
 import attrs
 from cattrs.preconf.msgpack import make_converter
@@ -20,28 +20,28 @@
 
 @attrs.frozen
 class CodecError:
-    """Bytes that are no control message of ours."""
+    """The bytes are not a known control message."""
 
     reason: str
 
 
 def encode(message: object) -> bytes:
-    """Returns the message as bytes.
+    """Returns the encoded message.
 
     Raises:
-        KeyError: The class is no control message; a fault of the caller.
+        KeyError: The message's class is not in `_TYPES`; a programming error.
     """
     tag = _TAGS[type(message)]
     return bytes([tag]) + _CONVERTER.dumps(message)
 
 
 def decode(data: bytes) -> Result[object, CodecError]:
-    """Returns the message that the bytes hold, or why they hold none."""
+    """Returns the decoded message, or why it cannot be decoded."""
     if not data or data[0] >= len(_TYPES):
         return Err(CodecError("unknown tag"))
     try:
         return Ok(_CONVERTER.loads(data[1:], _TYPES[data[0]]))
-    # The library raises an open set of types on hostile bytes; all of them
-    # mean the same here, and an escape would stop the process.
+    # The libraries raise many types of exceptions on hostile input. All of
+    # them mean malformed input, and an uncaught one would stop the process.
     except Exception as error:  # noqa: BLE001
         return Err(CodecError(type(error).__name__))
--- a/src/pollenmast/peers/_fetch.py
+++ b/src/pollenmast/peers/_fetch.py
@@ -1,4 +1,4 @@
-"""Manifests handed from agent to agent, by pynng's request and reply."""
+"""Transfer of manifests between agents over pynng request/reply sockets."""
 
 from collections.abc import Callable
 
@@ -19,19 +19,19 @@
 from pollenmast.peers._envelope import Opened, Opener, Sealer
 from pollenmast.peers._kinds import Kind
 
-MOST_MESSAGE_BYTES = (1 << 20) + 1024
-"""A manifest of a megabyte, and what wraps it."""
+MAX_MESSAGE_BYTES = (1 << 20) + 1024
+"""Limit on a received message: a manifest of 1 MiB, and its framing."""
 
-TIMEOUT_S = 3.0
-"""Longest fetch. A megabyte takes tens of milliseconds between availability
-zones; a peer that takes seconds is dead or cut off."""
+FETCH_TIMEOUT_S = 3.0
+"""Time limit of a fetch, in seconds. A megabyte takes tens of milliseconds
+between availability zones; a peer that takes seconds is dead or partitioned."""
 
 _CONVERTER = make_converter(unstruct_strat=UnstructureStrategy.AS_TUPLE)
 
 
 @attrs.frozen
 class FetchRequest:
-    """Asks for the manifest with this key."""
+    """Requests the manifest with this version and digest."""
 
     version: int
     digest: str
@@ -39,13 +39,13 @@
 
 @attrs.frozen
 class FetchReply:
-    """The manifest in force at the peer, or None."""
+    """The text of the peer's manifest in force, or None if there is none."""
 
     text: bytes | None
 
 
 class Fetcher:
-    """Asks peers for a manifest."""
+    """Fetches manifests from peers."""
 
     def __init__(self, sealer: Sealer, opener: Opener, counters: Counters):
         self._sealer = sealer
@@ -55,15 +55,21 @@
     async def fetch(
         self, address: str, port: int, key: ManifestKey
     ) -> bytes | None:
-        """Returns the manifest's text, or None when the peer gives none."""
+        """Returns the text of a peer's manifest, or None on failure.
+
+        Args:
+            address: IP address of the peer.
+            port: Fetch port of the peer.
+            key: The manifest to request.
+        """
         request = FetchRequest(key.version, key.digest)
         body = _CONVERTER.dumps(request)
         data = self._sealer.seal(Kind.FETCH, body)
         received = None
         try:
-            with pynng.Req0(recv_max_size=MOST_MESSAGE_BYTES) as socket:
+            with pynng.Req0(recv_max_size=MAX_MESSAGE_BYTES) as socket:
                 socket.dial(f"tcp://{address}:{port}", block=False)
-                with anyio.move_on_after(TIMEOUT_S):
+                with anyio.move_on_after(FETCH_TIMEOUT_S):
                     await _nng.send(socket, data)
                     self._counters.add(CONTROL_BYTES, "fetch", len(data))
                     received = await _nng.receive(socket)
@@ -71,13 +77,13 @@
             return None
         if received is None:
             return None
-        opened = _open(self._opener, received, self._counters)
-        reply = _load(opened, FetchReply, self._counters)
+        opened = _open_envelope(self._opener, received, self._counters)
+        reply = _decode_body(opened, FetchReply, self._counters)
         return reply.text if reply else None
 
 
 class FetchServer:
-    """Hands out the manifest in force."""
+    """Serves the manifest in force to peers."""
 
     def __init__(
         self,
@@ -88,20 +94,20 @@
         counters: Counters,
         text: Callable[[], bytes | None],
     ):
-        """Starts to listen.
+        """Starts listening.
 
         Args:
-            address: The VM's IP number.
-            port: The fetch port.
-            sealer: Seals replies.
-            opener: Opens requests.
-            counters: Counts faults and bytes.
+            address: The VM's IP address.
+            port: TCP port to listen on.
+            sealer: Builds the envelopes of replies.
+            opener: Verifies the envelopes of requests.
+            counters: Counts envelope faults and sent bytes.
             text: Returns the text of the manifest in force.
 
         Raises:
-            pynng.NNGException: The port cannot be had.
+            pynng.NNGException: The port cannot be bound.
         """
-        self._socket = pynng.Rep0(recv_max_size=MOST_MESSAGE_BYTES)
+        self._socket = pynng.Rep0(recv_max_size=MAX_MESSAGE_BYTES)
         self._socket.listen(f"tcp://{address}:{port}")
         self._sealer = sealer
         self._opener = opener
@@ -112,20 +118,20 @@
         """Answers requests until cancelled."""
         while True:
             try:
-                await self._answer(await _nng.receive(self._socket))
+                await self._reply_to(await _nng.receive(self._socket))
             except pynng.NNGException:
-                # A requester that went away takes its own reply with it.
+                # The requester has disconnected; only its own reply is lost.
                 continue
 
     def close(self) -> None:
         """Stops listening."""
         self._socket.close()
 
-    async def _answer(self, data: bytes) -> None:
-        opened = _open(self._opener, data, self._counters)
-        request = _load(opened, FetchRequest, self._counters)
-        # A forger gets a reply without content: no reply would leave this
-        # socket waiting for one.
+    async def _reply_to(self, data: bytes) -> None:
+        opened = _open_envelope(self._opener, data, self._counters)
+        request = _decode_body(opened, FetchRequest, self._counters)
+        # An invalid request gets an empty reply, as the socket serves the next
+        # request only after it has replied to this one.
         text = self._text() if request else None
         body = _CONVERTER.dumps(FetchReply(text))
         reply = self._sealer.seal(Kind.FETCH, body)
@@ -133,7 +139,9 @@
         self._counters.add(CONTROL_BYTES, "fetch", len(reply))
 
 
-def _open(opener: Opener, data: bytes, counters: Counters) -> Opened | None:
+def _open_envelope(
+    opener: Opener, data: bytes, counters: Counters
+) -> Opened | None:
     opened = opener.open(data, anyio.current_time())
     if opened.is_err():
         counters.add(ENVELOPE_FAULTS, opened.unwrap_err())
@@ -144,13 +152,13 @@
     return opened.unwrap()
 
 
-def _load(opened: Opened | None, cls: type, counters: Counters):
+def _decode_body(opened: Opened | None, cls: type, counters: Counters):
     if opened is None:
         return None
     try:
         return _CONVERTER.loads(opened.body, cls)
-    # The library raises an open set of types on hostile bytes; all of them
-    # mean the same here, and an escape would stop the process.
+    # The libraries raise many types of exceptions on hostile input. All of
+    # them mean malformed input, and an uncaught one would stop the process.
     except Exception:  # noqa: BLE001
         counters.add(ENVELOPE_FAULTS, EnvelopeFault.MALFORMED)
         return None
--- a/src/pollenmast/peers/_gossip.py
+++ b/src/pollenmast/peers/_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between agents: its messages, their bytes and their bounds."""
+"""Gossip messages between agents: types, codec and validation."""
 
 import enum
 import functools
@@ -15,51 +15,53 @@
 from pollenmast.fleet import EndpointReport, Vm, VmState
 
 MOST_BODY_BYTES = 1200
-"""A gossip body fits one unfragmented datagram on any path: 1,280 bytes is
-the least that IPv6 carries, and it stays below that with its envelope."""
+"""Limit on an encoded message. With its envelope it stays below 1,280 bytes,
+the minimum MTU of IPv6, so that no path fragments it."""
 
-MOST_NAME = 64
-"""Longest name of a VM, availability zone or endpoint on the wire."""
+MAX_NAME_LENGTH = 64
+"""Limit on the length of the name of a VM, availability zone or endpoint."""
 
-MOST_NUMBER = 1 << 62
-"""Counters above this are no counters; an incarnation that large could never
-be outgrown by the VM that it speaks of."""
+NUMBER_LIMIT = 1 << 62
+"""Numbers from here on are rejected. A VM could never raise its incarnation
+above one so large, and so never refute it."""
 
 DIGEST_BYTES = 16
+"""Length of a manifest's digest."""
 
-_FIXED_BYTES = 64
-"""Numbers, digest and framing of a message, at the most."""
+_OVERHEAD_BYTES = 64
+"""Upper bound on the bytes of a message's numbers, digest and framing."""
 
 
 class Act(enum.IntEnum):
-    """What a gossip message asks for."""
+    """The type of a gossip message."""
 
     PING = 0
-    """Answer with ACK."""
+    """Requests an ACK."""
 
     ACK = 1
-    """Answers the PING of the same sequence."""
+    """Acknowledges the PING or PING_REQUEST with the same sequence number."""
 
     PING_REQUEST = 2
-    """Ping the target for the sender, which did not hear from it."""
+    """Requests an indirect probe: ping the target, which has not answered."""
 
     NEWS = 3
-    """Asks for nothing; carries news."""
+    """Carries updates and needs no answer."""
 
     SYNC_REQUEST = 4
-    """Answer with the members whose names come after the target."""
+    """Requests a SYNC page of the members whose names sort after `target`."""
 
     SYNC = 5
-    """A page of members; the target is the last name, empty at the end."""
+    """A page of members. `target` is the last name of the page, or empty if
+    there are no more pages."""
 
 
 @attrs.frozen
 class ProbeNews:
-    """An endpoint's report and which agent probed it.
+    """An endpoint's report, and the agent that probed it.
 
     Attributes:
         prober: Hash of the probing VM's name.
-        report: What the endpoint said.
+        report: The result of the probe.
     """
 
     prober: int
@@ -71,14 +73,14 @@
     """One message between two agents.
 
     Attributes:
-        act: What it asks for.
-        sequence: Ties an answer to what it answers.
-        sender: The sending VM as it sees itself.
-        target: The VM that is spoken of or to; see `Act`.
+        act: The type of the message.
+        sequence: Number that matches a response to its request.
+        sender: The sending VM's own entry.
+        target: Name of the VM that the message concerns; see `Act`.
         version: Version of the manifest in force at the sender.
-        digest: Digest of that manifest, empty without one.
-        members: News of VMs.
-        probes: News of endpoints.
+        digest: Digest of that manifest, empty if there is none.
+        members: Updates of VMs.
+        probes: Updates of endpoints.
     """
 
     act: Act
@@ -91,11 +93,12 @@
     probes: tuple[ProbeNews, ...] = ()
 
 
-# Fields travel by position: names of fields would be two thirds of a message.
+# Fields are encoded by position; their names would take two thirds of a
+# message.
 _CONVERTER = make_converter(unstruct_strat=UnstructureStrategy.AS_TUPLE)
 
 
-def _exactly(*allowed: type) -> Callable[[object], object]:
+def _require_type(*allowed: type) -> Callable[[object], object]:
     def read(value: object) -> object:
         if type(value) not in allowed:
             raise TypeError(type(value).__name__)
@@ -104,21 +107,29 @@
     return read
 
 
-_text, _number, _flag = _exactly(str), _exactly(int), _exactly(bool)
-_seconds = _exactly(float, int)
+_read_text, _read_number, _read_flag = (
+    _require_type(str),
+    _require_type(int),
+    _require_type(bool),
+)
+_read_seconds = _require_type(float, int)
 
 
-def _by_position(
+def _register_positional(
     cls: type, fields: dict[str, Callable[[object], object]]
 ) -> Callable[..., object]:
-    """Registers how a flat class travels; returns its reader.
+    """Registers a positional codec for a flat class; returns its decoder.
+
+    The tuple strategy of cattrs dispatches on every attribute; with it, a
+    message with twenty instances took a third of a millisecond to decode.
 
-    cattrs reads classes by position one attribute at a time, through its
-    dispatch; a message with twenty of them took a third of a millisecond.
+    Args:
+        cls: An attrs class without nested classes.
+        fields: The decoder of each field, in the order of the class.
     """
     names, readers = tuple(fields), tuple(fields.values())
     assert names == tuple(field.name for field in attrs.fields(cls))
-    take = operator.attrgetter(*names)
+    get_fields = operator.attrgetter(*names)
 
     def structure(values: list, _: type = cls) -> object:
         if len(values) != len(readers):
@@ -127,98 +138,106 @@
         return cls(*read)
 
     _CONVERTER.register_structure_hook(cls, structure)
-    _CONVERTER.register_unstructure_hook(cls, take)
+    _CONVERTER.register_unstructure_hook(cls, get_fields)
     return structure
 
 
-_by_position(
+_register_positional(
     Vm,
     {
-        "name": _text,
-        "zone": _text,
-        "address": _text,
-        "relay_port": _number,
-        "gossip_port": _number,
-        "fetch_port": _number,
-        "incarnation": _number,
+        "name": _read_text,
+        "zone": _read_text,
+        "address": _read_text,
+        "relay_port": _read_number,
+        "gossip_port": _read_number,
+        "fetch_port": _read_number,
+        "incarnation": _read_number,
         "state": VmState,
-        "relay_up": _flag,
+        "relay_up": _read_flag,
     },
 )
-_read_report = _by_position(
+_read_report = _register_positional(
     EndpointReport,
     {
-        "service": _number,
-        "endpoint": _text,
-        "sequence": _number,
-        "healthy": _flag,
-        "running": _number,
-        "queued": _number,
-        "connections": _number,
-        "finished": _number,
-        "uptime_s": _seconds,
+        "service": _read_number,
+        "endpoint": _read_text,
+        "sequence": _read_number,
+        "healthy": _read_flag,
+        "running": _read_number,
+        "queued": _read_number,
+        "connections": _read_number,
+        "finished": _read_number,
+        "uptime_s": _read_seconds,
     },
 )
 _CONVERTER.register_structure_hook(
     ProbeNews,
-    lambda values, _: ProbeNews(_number(values[0]), _read_report(values[1])),
+    lambda values, _: ProbeNews(
+        _read_number(values[0]), _read_report(values[1])
+    ),
 )
 
 
 def member_size(vm: Vm) -> int:
-    """Returns at most how many bytes a VM takes in a message."""
+    """Returns an upper bound on the encoded size of a VM, in bytes."""
     return 40 + len(vm.name) + len(vm.zone) + len(vm.address)
 
 
 def probe_size(news: ProbeNews) -> int:
-    """Returns at most how many bytes an endpoint's news takes."""
+    """Returns an upper bound on the encoded size of a probe, in bytes."""
     return 38 + len(news.report.endpoint)
 
 
 def room(sender: Vm, target: str, members: tuple[Vm, ...]) -> int:
-    """Returns the bytes that are left for news beside what must be told."""
+    """Returns the bytes that remain for optional updates in a message.
+
+    Args:
+        sender: The sending VM.
+        target: The message's target.
+        members: Updates that the message must carry.
+    """
     told = sum(map(member_size, members)) + member_size(sender)
-    return max(0, MOST_BODY_BYTES - _FIXED_BYTES - len(target) - told)
+    return max(0, MOST_BODY_BYTES - _OVERHEAD_BYTES - len(target) - told)
 
 
 def encode(message: Gossip) -> bytes:
-    """Returns the message as bytes."""
+    """Returns the encoded message."""
     return _CONVERTER.dumps(message)
 
 
 def decode(data: bytes) -> Result[Gossip, EnvelopeFault]:
-    """Returns the message that the bytes hold, or why they hold none."""
+    """Returns the decoded and validated message, or why it is dropped."""
     if len(data) > MOST_BODY_BYTES:
         return Err(EnvelopeFault.OVERSIZED)
     try:
         message = _CONVERTER.loads(data, Gossip)
-    # The library raises an open set of types on hostile bytes; all of them
-    # mean the same here, and an escape would stop the process.
+    # The libraries raise many types of exceptions on hostile input. All of
+    # them mean malformed input, and an uncaught one would stop the process.
     except Exception:  # noqa: BLE001
         return Err(EnvelopeFault.MALFORMED)
-    if not _possible(message):
+    if not _is_valid(message):
         return Err(EnvelopeFault.MALFORMED)
     return Ok(message)
 
 
-def _possible(message: Gossip) -> bool:
+def _is_valid(message: Gossip) -> bool:
     numbers = (message.sequence, message.version)
     return (
-        all(0 <= number < MOST_NUMBER for number in numbers)
+        all(0 <= number < NUMBER_LIMIT for number in numbers)
         and len(message.digest) in (0, DIGEST_BYTES)
-        and len(message.target) <= MOST_NAME
-        and possible_vm(message.sender)
-        and all(possible_vm(vm) for vm in message.members)
-        and all(_possible_probe(news) for news in message.probes)
+        and len(message.target) <= MAX_NAME_LENGTH
+        and is_valid_vm(message.sender)
+        and all(is_valid_vm(vm) for vm in message.members)
+        and all(_is_valid_probe(news) for news in message.probes)
     )
 
 
 @functools.lru_cache(4096)
-def is_ip_number(text: str) -> bool:
-    """Returns whether a text is an IPv4 number.
+def is_ipv4_address(text: str) -> bool:
+    """Returns whether a text is an IPv4 address.
 
-    The system looks up the name of anything else when it sends, and the
-    whole loop would wait for the answer.
+    The system looks up anything else as a host name when it sends, and the
+    event loop would block meanwhile.
     """
     try:
         ipaddress.IPv4Address(text)
@@ -227,19 +246,19 @@
     return True
 
 
-def possible_vm(vm: Vm) -> bool:
-    """Returns whether a VM could be one: its names, ports and numbers."""
+def is_valid_vm(vm: Vm) -> bool:
+    """Returns whether names, ports, address and incarnation are valid."""
     ports = (vm.relay_port, vm.gossip_port, vm.fetch_port)
     return (
         all(0 < port < 65_536 for port in ports)
-        and 0 < len(vm.name) <= MOST_NAME
-        and 0 < len(vm.zone) <= MOST_NAME
-        and is_ip_number(vm.address)
-        and 0 <= vm.incarnation < MOST_NUMBER
+        and 0 < len(vm.name) <= MAX_NAME_LENGTH
+        and 0 < len(vm.zone) <= MAX_NAME_LENGTH
+        and is_ipv4_address(vm.address)
+        and 0 <= vm.incarnation < NUMBER_LIMIT
     )
 
 
-def _possible_probe(news: ProbeNews) -> bool:
+def _is_valid_probe(news: ProbeNews) -> bool:
     report = news.report
     numbers = (
         report.service,
@@ -251,7 +270,7 @@
         report.uptime_s,
     )
     return (
-        all(0 <= number < MOST_NUMBER for number in numbers)
-        and 0 < len(report.endpoint) <= MOST_NAME
+        all(0 <= number < NUMBER_LIMIT for number in numbers)
+        and 0 < len(report.endpoint) <= MAX_NAME_LENGTH
         and 0 <= news.prober < 1 << 32
     )
--- a/src/pollenmast/peers/_gossip_socket.py
+++ b/src/pollenmast/peers/_gossip_socket.py
@@ -1,8 +1,8 @@
-"""Sealed gossip datagrams over UDP.
+"""Authenticated gossip messages over UDP.
 
-UDP and not pynng: pynng's sockets hold a connection to each peer, so that
-one heartbeat to one random member an interval would need a connection to
-each of the fleet.
+pynng does not fit here: its sockets hold a connection to each peer, so that
+one heartbeat per interval to a random member would need a connection to every
+VM of the fleet.
 """
 
 import socket as sockets
@@ -21,17 +21,18 @@
 
 Address = tuple[str, int]
 
-BATCH = 64
-"""Datagrams taken at once; a flood must not keep the loop from its timers."""
+RECEIVE_BATCH = 64
+"""Datagrams read per wake-up; under a flood the event loop still gets to its
+timers."""
 
-_MOST_DATAGRAM = 65_535
+_MAX_DATAGRAM_BYTES = 65_535
 
 
 def bind(address: str, port: int) -> sockets.socket:
     """Returns a non-blocking UDP socket.
 
     Raises:
-        OSError: The port cannot be had.
+        OSError: The port cannot be bound.
     """
     socket = sockets.socket(sockets.AF_INET, sockets.SOCK_DGRAM)
     socket.setblocking(False)
@@ -44,7 +45,7 @@
 
 
 class GossipSocket:
-    """Sends and receives gossip; what is not genuine is counted."""
+    """Sends and receives gossip messages; counts and drops invalid ones."""
 
     def __init__(
         self,
@@ -59,10 +60,13 @@
         self._counters = counters
 
     def send(self, message: _gossip.Gossip, to: Address) -> int:
-        """Sends one message; returns its bytes on the wire.
+        """Sends one message.
 
-        A datagram that cannot be sent now is a lost datagram, which
-        heartbeats bear.
+        A datagram that cannot be sent now counts as lost, which the heartbeat
+        protocol tolerates.
+
+        Returns:
+            The size of the datagram in bytes, or 0 if it was not sent.
         """
         body = _gossip.encode(message)
         data = self._sealer.seal(Kind.GOSSIP, body)
@@ -74,16 +78,16 @@
         return len(data)
 
     async def receive(self) -> list[tuple[_gossip.Gossip, Address]]:
-        """Returns the genuine messages that came, and where from."""
+        """Waits for datagrams; returns valid messages and their sources."""
         await anyio.wait_readable(self._socket)
         received = []
-        for _ in range(BATCH):
+        for _ in range(RECEIVE_BATCH):
             try:
-                data, source = self._socket.recvfrom(_MOST_DATAGRAM)
+                data, source = self._socket.recvfrom(_MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 break
             except OSError:
-                # The system reports a peer's closed port here.
+                # The system reports a peer's closed port as an error here.
                 continue
             message = self.open(data, anyio.current_time())
             if message is not None:
@@ -91,7 +95,7 @@
         return received
 
     def open(self, data: bytes, now: float) -> _gossip.Gossip | None:
-        """Returns the message that a datagram holds, if it is genuine."""
+        """Returns the message of a datagram, or None if it is invalid."""
         opened = self._opener.open(data, now)
         if opened.is_err():
             self._counters.add(ENVELOPE_FAULTS, opened.unwrap_err())
--- a/src/pollenmast/peers/_kinds.py
+++ b/src/pollenmast/peers/_kinds.py
@@ -1,47 +1,51 @@
-"""What an envelope holds."""
+"""Message types of envelopes."""
 
 import enum
 
 
 class Kind(enum.IntEnum):
-    """The envelope's kind.
+    """The type of an envelope's body.
 
-    All kinds share one number space, so that an envelope recorded on one
-    port is never read as something else on another.
+    All ports share one number space, so that an envelope captured on one port
+    and replayed to another is never taken for a different message.
     """
 
     LINK = 1
-    """Agent and relay of one VM, a message of `_codec`."""
+    """Agent and relay of the same VM: a message of `_codec`."""
 
     GOSSIP = 2
-    """Agent to agent: heartbeats and news."""
+    """Agent to agent: heartbeats and updates."""
 
     FETCH = 3
-    """Agent to agent: a manifest asked for or handed out."""
+    """Agent to agent: a manifest's request or reply."""
 
     FORWARD = 10
-    """Relay to relay: a caller's datagram for its owner or holder."""
+    """Relay to relay: a caller's datagram, forwarded to its flow's owner or
+    holder."""
 
     ASK = 11
-    """Relay to relay: take this datagram if you know its flow."""
+    """Relay to relay: a datagram whose flow the sender does not know; the
+    receiver handles it if it knows the flow."""
 
     UNKNOWN = 12
-    """Relay to relay: a datagram asked about comes back, flow unknown."""
+    """Relay to relay: returns the datagram of an ASK; its flow is unknown."""
 
     RECORDS = 13
-    """Relay to relay: flow records to keep, or to take over."""
+    """Relay to relay: a batch of flow records; see `RecordFlag`."""
 
     RECORDS_TAKEN = 14
-    """Relay to relay: flow records that were taken over."""
+    """Relay to relay: acknowledges a batch of RECORDS."""
 
     FOUND = 15
-    """Relay to relay: a datagram comes back with the endpoint of its flow."""
+    """Relay to relay: returns the datagram of an ASK or FIND, with the endpoint
+    of its flow."""
 
     CONNECTION_IDS = 16
-    """Relay to relay: connection ids and their endpoints, to keep."""
+    """Relay to relay: connection IDs and their endpoints, to store."""
 
     FIND = 17
-    """Relay to relay: to which endpoint does this connection id belong?"""
+    """Relay to relay: a datagram whose connection ID the receiver looks up."""
 
     NOT_FOUND = 18
-    """Relay to relay: a datagram comes back, its connection id unknown."""
+    """Relay to relay: returns the datagram of a FIND; its connection ID is
+    unknown."""
--- a/src/pollenmast/peers/_link.py
+++ b/src/pollenmast/peers/_link.py
@@ -1,4 +1,4 @@
-"""The link between agent and relay of one VM: sealed messages over pynng."""
+"""Link between a VM's agent and relay: authenticated messages over pynng."""
 
 import socket
 
@@ -10,80 +10,83 @@
 from pollenmast.peers._envelope import Opener, Sealer
 from pollenmast.peers._kinds import Kind
 
-MOST_MESSAGE_BYTES = 8 << 20
-"""A view with a manifest of a megabyte, or a report of 11,000 endpoints."""
+MAX_MESSAGE_BYTES = 8 << 20
+"""Limit on a received message. It fits a fleet view with a manifest of a
+megabyte, or a report of 11,000 endpoints."""
 
 SEND_TIMEOUT_S = 0.5
-"""A message that the other side does not take for so long is dropped: it would
-tell old news, and the next one says all again."""
+"""Seconds after which an undelivered message is dropped: it would be out of
+date, and the next message carries the whole state again."""
 
-_MOST_NOTICES = 4096
+_WAKE_READ_BYTES = 4096
+"""Limit on the notifications cleared by one read, one byte each."""
 
-RECONNECT_MS = 200
-"""Between two attempts to reach the other side, in milliseconds."""
+RECONNECT_INTERVAL_MS = 200
+"""Milliseconds between two attempts to connect."""
 
 
 class Link:
-    """One side of the link."""
+    """The agent's or the relay's side of the link."""
 
     def __init__(self, sealer: Sealer, opener: Opener, counters: Counters):
         self._socket = pynng.Pair0(
-            recv_max_size=MOST_MESSAGE_BYTES,
-            reconnect_time_min=RECONNECT_MS,
-            reconnect_time_max=RECONNECT_MS,
+            recv_max_size=MAX_MESSAGE_BYTES,
+            reconnect_time_min=RECONNECT_INTERVAL_MS,
+            reconnect_time_max=RECONNECT_INTERVAL_MS,
         )
         self._sealer = sealer
         self._opener = opener
         self._counters = counters
         self._pipes: set[pynng.Pipe] = set()
-        self._noticed, self._notice = socket.socketpair()
-        for end in (self._noticed, self._notice):
+        self._wake_receiver, self._wake_sender = socket.socketpair()
+        for end in (self._wake_receiver, self._wake_sender):
             end.setblocking(False)
         self._socket.add_post_pipe_connect_cb(self._on_connected)
         self._socket.add_post_pipe_remove_cb(self._on_removed)
 
     @property
     def connected(self) -> bool:
-        """Whether there is a connection to the other side."""
+        """Whether the other side is connected."""
         return bool(self._pipes)
 
     async def changed(self) -> None:
-        """Returns once a connection has come or gone."""
-        await anyio.wait_readable(self._noticed)
-        self._noticed.recv(_MOST_NOTICES)
+        """Waits until the other side has connected or disconnected."""
+        await anyio.wait_readable(self._wake_receiver)
+        self._wake_receiver.recv(_WAKE_READ_BYTES)
 
     def _on_connected(self, pipe: pynng.Pipe) -> None:
         self._pipes.add(pipe)
-        self._wake()
+        self._wake_event_loop()
 
     def _on_removed(self, pipe: pynng.Pipe) -> None:
-        # One that was turned away, as a second agent's is, never counted.
+        # A pipe that was rejected, as a second agent's is, was never added.
         if pipe in self._pipes:
             self._pipes.discard(pipe)
-            self._wake()
+            self._wake_event_loop()
 
-    def _wake(self) -> None:
-        """Tells the loop; called on pynng's own threads."""
+    def _wake_event_loop(self) -> None:
+        """Wakes the event loop; called from pynng's threads."""
         try:
-            self._notice.send(b"\0")
+            self._wake_sender.send(b"\0")
         except OSError:
-            # Full: the loop has a notice to read already. Closed: it ends.
+            # If the buffer is full, the event loop will wake up anyway; if the
+            # socket is closed, the link is shutting down.
             return
 
     def listen(self, address: str, port: int) -> None:
-        """Waits for the other side, as the relay does.
+        """Listens for the other side; used by the relay.
 
         Raises:
-            pynng.NNGException: The port cannot be had.
+            pynng.NNGException: The port cannot be bound.
         """
         self._socket.listen(f"tcp://{address}:{port}")
 
     def dial(self, address: str, port: int) -> None:
-        """Reaches for the other side again and again, as the agent does."""
+        """Connects in the background and retries forever; used by the agent."""
         self._socket.dial(f"tcp://{address}:{port}", block=False)
 
     async def send(self, message: object) -> bool:
-        """Sends a message; returns whether the link took it."""
+        """Sends a message; returns whether pynng accepted it in time."""
         data = self._sealer.seal(Kind.LINK, _codec.encode(message))
         with anyio.move_on_after(SEND_TIMEOUT_S):
             try:
@@ -94,12 +97,12 @@
         return False
 
     async def receive(self) -> object:
-        """Returns the other side's next genuine message."""
+        """Waits for the next valid message; counts and drops invalid ones."""
         while True:
             try:
                 data = await _nng.receive(self._socket)
             except pynng.NNGException:
-                await anyio.sleep(RECONNECT_MS / 1000)
+                await anyio.sleep(RECONNECT_INTERVAL_MS / 1000)
                 continue
             message = self._open(data)
             if message is not None:
@@ -108,8 +111,8 @@
     def close(self) -> None:
         """Closes the link."""
         self._socket.close()
-        self._noticed.close()
-        self._notice.close()
+        self._wake_receiver.close()
+        self._wake_sender.close()
 
     def _open(self, data: bytes) -> object | None:
         opened = self._opener.open(data, anyio.current_time())
--- a/src/pollenmast/peers/_messages.py
+++ b/src/pollenmast/peers/_messages.py
@@ -1,4 +1,4 @@
-"""Typed control messages between a VM's agent and relay, and between VMs."""
+"""Control messages between a VM's agent and relay."""
 
 import attrs
 
@@ -7,21 +7,22 @@
 
 @attrs.frozen
 class FleetView:
-    """Agent to relay: all that a relay needs to know of the fleet.
+    """Agent to relay: the state of the fleet.
 
     Attributes:
-        sequence: Grows with every view of this agent.
-        manifest: The manifest in force as its JSON text, or None when the
-            relay already has this version and digest.
+        sequence: Increases with every view of this agent.
+        manifest: The JSON text of the manifest in force, or None if the relay
+            already has this version and digest.
         version: The manifest's version.
         digest: The manifest's digest.
-        vms: Every VM not dead, the own one included.
+        vms: All VMs that are not dead, including this one.
         reports: The newest report of each endpoint whose report has changed
-            since the last view; now and then of all.
-        fresh: Whether the agent has heard from the fleet since it last had
-            reason to doubt its beliefs (a start, a freeze, a cut).
-        wake_seen: The `wake` of the newest report that the agent got before
-            it made this view, while itself sure of the fleet.
+            since the last view; periodically, the reports of all endpoints.
+        fresh: Whether the agent's state of the fleet is up to date: it has
+            heard from the fleet since its start, and since the last freeze or
+            network partition.
+        wake_seen: The `wake` of the newest `RelayReport` that the agent had
+            received when it built this view, while its own state was fresh.
     """
 
     sequence: int
@@ -36,19 +37,19 @@
 
 @attrs.frozen
 class DrainOrder:
-    """Agent to relay: hand over every flow and stop within the grace time."""
+    """Agent to relay: hand over all flows and stop within `grace_s` seconds."""
 
     grace_s: float
 
 
 @attrs.frozen
 class ExplainQuery:
-    """Agent to relay: why was this decided?
+    """Agent to relay: requests an explanation of decisions.
 
     Attributes:
-        identifier: Echoed in the answer.
+        identifier: Matches the answer to the query.
         subject: A caller as IP:PORT, an endpoint as SERVICE/ENDPOINT, or
-            empty for the newest decisions.
+            empty for the most recent decisions.
     """
 
     identifier: int
@@ -57,7 +58,12 @@
 
 @attrs.frozen
 class ExplainAnswer:
-    """Relay to agent: the lines that answer an `ExplainQuery`."""
+    """Relay to agent: answers an `ExplainQuery`.
+
+    Attributes:
+        identifier: The identifier of the query.
+        lines: The explanation, a line each.
+    """
 
     identifier: int
     lines: tuple[str, ...]
@@ -68,9 +74,9 @@
     """A counter's value since the relay started.
 
     Attributes:
-        name: One of the counters listed in `operators`.
-        reason: The reason within the counter, empty where it has none.
-        value: How often it was counted.
+        name: Name of a counter listed in `operators`.
+        reason: The counter's label, or empty if it has none.
+        value: The count.
     """
 
     name: str
@@ -80,22 +86,22 @@
 
 @attrs.frozen
 class RelayReport:
-    """Relay to agent, twice a second: what the relay does.
+    """Relay to agent, twice a second: the relay's state.
 
     Attributes:
-        version: Manifest version in force in the relay.
+        version: Version of the manifest in force in the relay.
         digest: Digest of that manifest.
-        ready: Whether the relay takes new flows.
-        draining: Whether it hands over its flows.
-        drained: Whether nothing is left to hand over.
-        flows: Flows carried.
-        held: Flows whose first packets are held.
-        replicas: Flow records held for other relays.
-        counters: Every counter, zeros included.
-        endpoints: Every endpoint of the manifest, or None in a report that
-            leaves them out.
-        wake: Grows each time the relay finds that it was frozen. Only a view
-            that has seen it is newer than the freeze.
+        ready: Whether the relay accepts new flows.
+        draining: Whether the relay hands over its flows.
+        drained: Whether all flows are handed over.
+        flows: Number of flows carried.
+        held: Number of flows whose first packets are held.
+        replicas: Number of flow records stored for other relays.
+        counters: All counters, zeros included.
+        endpoints: All endpoints of the manifest, or None if this report
+            omits them.
+        wake: Increases each time the relay detects that it was frozen. Only a
+            `FleetView` whose `wake_seen` equals it is newer than the freeze.
     """
 
     version: int
--- a/src/pollenmast/peers/_nng.py
+++ b/src/pollenmast/peers/_nng.py
@@ -1,9 +1,10 @@
-"""pynng's operations under the runtime's cancellation.
+"""Cancellable send and receive on pynng sockets.
 
-pynng answers a cancelled operation with an exception of its own making, which
-the runtime does not know as the one that it sent. It would pass every cancel
-scope and end the whole program without a word: a relay that waited half a
-second for an absent agent once did. A checkpoint raises the runtime's own.
+When an operation is cancelled, pynng raises a cancellation exception that it
+created itself, which the event loop does not recognize as its own. Such an
+exception passes every cancel scope and ends the program without a message;
+this happened to a relay that waited half a second for an absent agent. A
+checkpoint raises the event loop's own exception instead.
 """
 
 import anyio
@@ -12,10 +13,11 @@
 
 
 async def send(socket: pynng.Socket, data: bytes) -> None:
-    """Sends a message, waiting for room.
+    """Sends a message; waits while the send buffer is full.
 
     Raises:
-        pynng.NNGException: The socket is closed or the peer refused.
+        pynng.NNGException: The socket is closed, or the peer refused the
+            message.
     """
     try:
         await socket.asend(data)
@@ -25,7 +27,7 @@
 
 
 async def receive(socket: pynng.Socket) -> bytes:
-    """Returns the next message.
+    """Waits for the next message and returns it.
 
     Raises:
         pynng.NNGException: The socket is closed.
--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -1,9 +1,10 @@
-"""Flow records and forwarded datagrams as bytes between relays.
+"""Binary formats of flow records and forwarded datagrams between relays.
 
-They name a service by the port that its callers send to, and an endpoint by
-its own number alone. A manifest may give a port to another service, and it
-reaches relays at different times: named by service, a caller's packet passed
-from a relay that has it to one that has not would reach the other service.
+A service is identified by the port that its callers send to, and an endpoint
+by its own identifier alone. A new manifest may assign a port to another
+service, and it reaches relays at different times. If services were identified
+by number, a packet forwarded from a relay that has the new manifest to one
+that does not would reach the wrong service.
 """
 
 import ipaddress
@@ -17,7 +18,8 @@
 from pollenmast.counters import EnvelopeFault
 
 MOST_RECORDS = 64
-"""Records in one message: 64 of 15 bytes stay below a 1,200-byte datagram."""
+"""Limit on the records of a message: 64 records of 15 bytes stay below a
+1,200-byte datagram."""
 
 _RECORD = struct.Struct("!HIBB")
 _PORT = struct.Struct("!H")
@@ -27,20 +29,20 @@
 
 
 def endpoint_id(service: int, name: str) -> int:
-    """Returns the 32-bit number of an endpoint, its service included."""
+    """Returns the 32-bit hash of an endpoint's name and service number."""
     return xxhash.xxh32_intdigest(f"{service}/{name}".encode())
 
 
 @attrs.frozen
 class FlowRecord:
-    """Where a flow goes: all that another relay needs to carry it on.
+    """All that another relay needs to take over a flow.
 
     Attributes:
         service_port: The port that the caller sends to.
-        ip: The caller's IP number.
+        ip: The caller's IP address.
         port: The caller's UDP port.
         endpoint: `endpoint_id` of the endpoint.
-        flags: What the record asks for, see `RecordFlag`.
+        flags: One of the values of `RecordFlag`.
     """
 
     service_port: int
@@ -51,35 +53,36 @@
 
     @property
     def key(self) -> tuple[int, str, int]:
-        """What identifies the flow in the whole fleet."""
+        """Identifies the flow in the whole fleet."""
         return (self.service_port, self.ip, self.port)
 
 
 class RecordFlag:
-    """What a record asks its receiver to do."""
+    """The action that a record requests of its receiver."""
 
     KEEP = 0
-    """Keep it for the sender, who carries the flow."""
+    """Store the record as a replica; the sender carries the flow."""
 
     TAKE = 1
-    """Carry the flow from now on; the sender leaves."""
+    """Take over the flow from the sender."""
 
     FORGET = 2
-    """The flow has ended."""
+    """Delete the replica; the flow has ended."""
 
     RELEASE = 3
-    """The sender carries this flow and owns it; stop carrying it."""
+    """Stop carrying the flow; the sender carries and owns it."""
 
     CARRIED = 4
-    """The upstream now answers by the sender: the old path may go."""
+    """Close the old path of a flow that was taken over; the upstream's answers
+    now pass through the sender."""
 
 
 def pack_records(records: list[FlowRecord]) -> bytes:
-    """Returns the records as the body of a RECORDS envelope."""
-    return b"".join(_pack(record) for record in records)
+    """Returns the records in the format of a RECORDS body."""
+    return b"".join(_pack_record(record) for record in records)
 
 
-def _pack(record: FlowRecord) -> bytes:
+def _pack_record(record: FlowRecord) -> bytes:
     ip = pack_ip(record.ip)
     fixed = _RECORD.pack(
         record.service_port, record.endpoint, record.flags, len(ip)
@@ -88,12 +91,12 @@
 
 
 def unpack_records(body: bytes) -> Result[list[FlowRecord], EnvelopeFault]:
-    """Returns the records of a body, or the fault for which it is dropped."""
+    """Returns the records of a body, or why the body is dropped."""
     records: list[FlowRecord] = []
     offset = 0
     try:
         while offset < len(body) and len(records) <= MOST_RECORDS:
-            record, offset = _unpack(body, offset)
+            record, offset = _unpack_record(body, offset)
             records.append(record)
     except (struct.error, ValueError):
         return Err(EnvelopeFault.MALFORMED)
@@ -102,7 +105,7 @@
     return Ok(records)
 
 
-def _unpack(body: bytes, offset: int) -> tuple[FlowRecord, int]:
+def _unpack_record(body: bytes, offset: int) -> tuple[FlowRecord, int]:
     service, endpoint, flags, length = _RECORD.unpack_from(body, offset)
     offset += _RECORD.size
     ip = unpack_ip(body[offset : offset + length])
@@ -113,32 +116,33 @@
 
 
 def pack_ip(ip: str) -> bytes:
-    """Returns an IP number as 4 or 16 bytes."""
+    """Returns an IP address as 4 or 16 bytes."""
     family = socket.AF_INET6 if ":" in ip else socket.AF_INET
     return socket.inet_pton(family, ip)
 
 
 def unpack_ip(data: bytes) -> str:
-    """Returns the IP number that 4 or 16 bytes hold.
+    """Returns the IP address encoded in 4 or 16 bytes.
 
     Raises:
-        ValueError: The length is neither.
+        ValueError: The length is neither 4 nor 16.
     """
     return str(ipaddress.ip_address(data))
 
 
 @attrs.frozen
 class Forwarded:
-    """A caller's datagram on its way between relays.
+    """A caller's datagram that is forwarded between relays.
 
     Attributes:
         service_port: The port that the caller sends to.
-        ip: The caller's IP number.
+        ip: The caller's IP address.
         port: The caller's UDP port.
-        hops: How often it was passed on.
-        asker: VM number that wants to know of the flow, or 0.
-        next_asked: VM number to ask next if this one does not know, or 0.
-        data: The datagram.
+        hops: How many times the datagram has been forwarded.
+        data: The datagram's payload.
+        asker: Number of the VM that looks up the flow, or 0.
+        next_asked: Number of the VM to ask next if the receiver does not know
+            the flow, or 0.
     """
 
     service_port: int
@@ -151,7 +155,7 @@
 
 
 def pack_forwarded(forwarded: Forwarded) -> bytes:
-    """Returns the body of a FORWARD, ASK or UNKNOWN envelope."""
+    """Returns the body of a FORWARD, ASK, UNKNOWN, FIND or NOT_FOUND."""
     ip = pack_ip(forwarded.ip)
     fixed = _FORWARD.pack(
         forwarded.service_port,
@@ -171,7 +175,7 @@
 
 
 def unpack_forwarded(body: bytes) -> Result[Forwarded, EnvelopeFault]:
-    """Returns the datagram of a body, or the fault for which it is dropped."""
+    """Returns the datagram of a body, or why the body is dropped."""
     try:
         service, hops, asker, next_asked = _FORWARD.unpack_from(body)
         offset = _FORWARD.size
@@ -188,11 +192,12 @@
 
 @attrs.frozen
 class Found:
-    """A datagram that comes back with the endpoint of its flow.
+    """A datagram that is returned with the endpoint of its flow.
 
     Attributes:
         endpoint: `endpoint_id` of the endpoint.
-        caller_moved: Whether its connection id told, and not its address.
+        caller_moved: Whether the flow was found by connection ID rather than
+            by the caller's address.
         forwarded: The datagram.
     """
 
@@ -208,7 +213,7 @@
 
 
 def unpack_found(body: bytes) -> Result[Found, EnvelopeFault]:
-    """Returns what a FOUND body holds, or why it is dropped."""
+    """Returns the content of a FOUND body, or why the body is dropped."""
     if len(body) < _FOUND.size:
         return Err(EnvelopeFault.MALFORMED)
     endpoint, caller_moved = _FOUND.unpack_from(body)
@@ -218,11 +223,11 @@
 
 @attrs.frozen
 class ConnectionId:
-    """Which endpoint chose a connection id.
+    """A connection ID and the endpoint that chose it.
 
     Attributes:
         service_port: The port that the caller sends to.
-        cid: The first eight bytes of the connection id, as a number.
+        cid: The first eight bytes of the connection ID, as an integer.
         endpoint: `endpoint_id` of the endpoint.
     """
 
@@ -242,7 +247,7 @@
 def unpack_connection_ids(
     body: bytes,
 ) -> Result[list[ConnectionId], EnvelopeFault]:
-    """Returns the entries of a body, or the fault for which it is dropped."""
+    """Returns the entries of a body, or why the body is dropped."""
     if len(body) % _CONNECTION_ID.size:
         return Err(EnvelopeFault.MALFORMED)
     return Ok(
--- a/src/pollenmast/peers/_udp.py
+++ b/src/pollenmast/peers/_udp.py
@@ -1,38 +1,39 @@
-"""UDP sockets of a VM's programs, those that both may open among them."""
+"""UDP sockets of the agent and the relay, which may share service ports."""
 
 import socket
 
 BUFFER_BYTES = 4 << 20
-"""Receive buffer asked for: about 0.3 s of 10,000 packets a second, so that a
-short pause of the process drops nothing."""
+"""Requested size of the receive buffer: about 0.3 s of 10,000 packets per
+second, so that no packet is dropped during a short pause of the process."""
 
 
 def udp_socket(address: str, port: int) -> socket.socket:
-    """Returns a non-blocking UDP socket with a large buffer.
+    """Returns a bound non-blocking UDP socket with a large receive buffer.
 
     Raises:
-        OSError: The port cannot be had.
+        OSError: The port cannot be bound.
     """
-    return _bound(address, port, shared=False)
+    return _bind(address, port, shared=False)
 
 
 def service_socket(address: str, port: int) -> socket.socket:
-    """Returns a socket on a service's port that another one may follow.
+    """Returns a UDP socket on a service's port that may be bound again.
 
-    A relay that is frozen keeps its port, and what the fabric sends there
-    would wait in its buffer until callers time out. So the port may be bound
-    again: Linux hands each datagram to the socket that was bound last, and to
-    the one before when that one closes. A second relay by mistake is kept out
-    by the ports that are not shared: the one for envelopes and the link's.
+    A frozen relay keeps its port, and the datagrams that the fabric sends to
+    it would wait in its buffer until callers time out. So another process may
+    bind the same port: Linux delivers each datagram to the socket that was
+    bound last, and to the previous socket once that one is closed. A second
+    relay started by mistake still fails, on the ports that are not shared:
+    those of envelopes and of the link.
 
     Raises:
-        OSError: The port cannot be had: a program that does not share it
+        OSError: The port cannot be bound, as a program that does not share it
             holds it.
     """
-    return _bound(address, port, shared=True)
+    return _bind(address, port, shared=True)
 
 
-def _bound(address: str, port: int, shared: bool) -> socket.socket:
+def _bind(address: str, port: int, shared: bool) -> socket.socket:
     family = socket.AF_INET6 if ":" in address else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_DGRAM)
     sock.setblocking(False)
--- a/tests/peers_gossip_test.py
+++ b/tests/peers_gossip_test.py
@@ -17,7 +17,7 @@
 
 KEY = bytes(range(32))
 REPORT = EndpointReport(1, "registry-1", 7, True, 2, 1, 900, 40, 12.5)
-FULL = Gossip(
+EXAMPLE = Gossip(
     Act.PING,
     5,
     vm(1),
@@ -34,21 +34,23 @@
 
 def _changed_report(**changes) -> Gossip:
     news = ProbeNews(99, attrs.evolve(REPORT, **changes))
-    return attrs.evolve(FULL, probes=(news,))
+    return attrs.evolve(EXAMPLE, probes=(news,))
 
 
 class CodecTest(TestCase):
-    """Only possible messages are read, whatever the bytes."""
+    """Only valid messages are decoded, whatever the input."""
 
     def test_round_trip(self):
-        """A message survives its bytes."""
-        self.assertEqual(FULL, _gossip.decode(_gossip.encode(FULL)).unwrap())
+        """A decoded message equals the encoded one."""
+        self.assertEqual(
+            EXAMPLE, _gossip.decode(_gossip.encode(EXAMPLE)).unwrap()
+        )
 
-    def test_sizes_are_bounds(self):
+    def test_estimated_sizes(self):
         """The sizes that budgets count with are not below the real ones."""
-        bare = len(_gossip.encode(attrs.evolve(FULL, members=(), probes=())))
+        bare = len(_gossip.encode(attrs.evolve(EXAMPLE, members=(), probes=())))
         wide = attrs.evolve(vm(1), incarnation=1 << 61, state=VmState.SUSPECT)
-        one = attrs.evolve(FULL, members=(wide,), probes=())
+        one = attrs.evolve(EXAMPLE, members=(wide,), probes=())
         size = len(_gossip.encode(one)) - bare
         self.assertLessEqual(size, _gossip.member_size(wide))
         news = ProbeNews(
@@ -60,7 +62,7 @@
                 uptime_s=65_535,
             ),
         )
-        two = attrs.evolve(FULL, members=(), probes=(news,))
+        two = attrs.evolve(EXAMPLE, members=(), probes=(news,))
         size = len(_gossip.encode(two)) - bare
         self.assertLessEqual(size, _gossip.probe_size(news))
 
@@ -68,52 +70,62 @@
         [
             (
                 "port",
-                attrs.evolve(FULL, sender=attrs.evolve(vm(1), gossip_port=0)),
+                attrs.evolve(
+                    EXAMPLE, sender=attrs.evolve(vm(1), gossip_port=0)
+                ),
+            ),
+            (
+                "name",
+                attrs.evolve(EXAMPLE, sender=attrs.evolve(vm(1), name="")),
             ),
-            ("name", attrs.evolve(FULL, sender=attrs.evolve(vm(1), name=""))),
             (
                 "address",
-                attrs.evolve(FULL, sender=attrs.evolve(vm(1), address="a.b")),
+                attrs.evolve(
+                    EXAMPLE, sender=attrs.evolve(vm(1), address="a.b")
+                ),
+            ),
+            ("digest", attrs.evolve(EXAMPLE, digest=b"short")),
+            ("version", attrs.evolve(EXAMPLE, version=-1)),
+            (
+                "text_field",
+                attrs.evolve(EXAMPLE, sender=attrs.evolve(vm(1), zone=5)),
             ),
-            ("digest", attrs.evolve(FULL, digest=b"short")),
-            ("version", attrs.evolve(FULL, version=-1)),
-            ("text", attrs.evolve(FULL, sender=attrs.evolve(vm(1), zone=5))),
             (
                 "incarnation",
                 attrs.evolve(
-                    FULL, members=(attrs.evolve(vm(1), incarnation=1 << 62),)
+                    EXAMPLE, members=(attrs.evolve(vm(1), incarnation=1 << 62),)
                 ),
             ),
             ("not_a_number", _changed_report(uptime_s=float("nan"))),
             ("negative", _changed_report(connections=-1)),
-            ("flag", _changed_report(healthy=1)),
+            ("flag_not_boolean", _changed_report(healthy=1)),
         ]
     )
-    def test_impossible(self, _, message):
-        """A VM of a faulty release tells what cannot be.
+    def test_invalid_message(self, _, message):
+        """Guards against invalid values from a VM with a faulty release.
 
-        Taken, it would send heartbeats to port 0, or make an incarnation
-        that its VM can never outgrow.
+        If they were accepted, heartbeats would go to port 0, or a VM would get
+        an incarnation that it can never exceed.
         """
         decoded = _gossip.decode(_gossip.encode(message))
         self.assertEqual(EnvelopeFault.MALFORMED, decoded.unwrap_err())
 
     def test_oversized(self):
-        """More than a datagram's worth is not read at all."""
+        """Input above the size limit is rejected before it is decoded."""
         decoded = _gossip.decode(bytes(_gossip.MOST_BODY_BYTES + 1))
         self.assertEqual(EnvelopeFault.OVERSIZED, decoded.unwrap_err())
 
     @_FUZZ
     @given(st.binary(max_size=400))
-    def test_any_bytes(self, data):
-        """Bytes of no meaning are refused, and nothing is raised."""
+    def test_arbitrary_bytes(self, data):
+        """Arbitrary bytes are rejected without an exception."""
         self.assertTrue(_gossip.decode(data).is_err())
 
     @_FUZZ
     @given(st.integers(0, 1000), st.integers(0, 255))
-    def test_one_byte_changed(self, place, value):
-        """Any changed byte gives a possible message or a counted fault."""
-        data = bytearray(_gossip.encode(FULL))
+    def test_modified_byte(self, place, value):
+        """Any modified byte leads to a valid message or the fault MALFORMED."""
+        data = bytearray(_gossip.encode(EXAMPLE))
         data[place % len(data)] = value
         decoded = _gossip.decode(bytes(data))
         if decoded.is_err():
@@ -123,10 +135,10 @@
 
 
 class SocketTest(TestCase):
-    """What is not genuine is counted and changes nothing."""
+    """Invalid datagrams are counted and dropped."""
 
     def setUp(self):
-        """Makes a socket without a system's socket."""
+        """Creates a GossipSocket without a system socket."""
         super().setUp()
         self.counters = Counters()
         sealer = Sealer("b", KEY)
@@ -139,27 +151,27 @@
     def _faults(self, fault: EnvelopeFault) -> int:
         return self.counters.value(ENVELOPE_FAULTS, fault)
 
-    def test_genuine(self):
-        """A sealed message is taken once."""
-        data = self.sealer.seal(Kind.GOSSIP, _gossip.encode(FULL))
-        self.assertEqual(FULL, self._open(data))
+    def test_valid_datagram(self):
+        """A valid datagram is accepted once."""
+        data = self.sealer.seal(Kind.GOSSIP, _gossip.encode(EXAMPLE))
+        self.assertEqual(EXAMPLE, self._open(data))
         self.assertIsNone(self._open(data))
         self.assertEqual(1, self._faults(EnvelopeFault.REPLAYED))
 
-    def test_other_kind(self):
-        """A link message recorded on the VM is played to the gossip port."""
-        data = self.sealer.seal(Kind.LINK, _gossip.encode(FULL))
+    def test_wrong_kind(self):
+        """A captured link envelope is dropped when sent to the gossip port."""
+        data = self.sealer.seal(Kind.LINK, _gossip.encode(EXAMPLE))
         self.assertIsNone(self._open(data))
         self.assertEqual(1, self._faults(EnvelopeFault.MALFORMED))
 
     @_FUZZ
     @given(st.integers(0, 1000), st.integers(1, 255), st.booleans())
-    def test_forged_or_cut(self, place, flip, cut):
-        """A datagram that was changed or cut on its way is dropped.
+    def test_modified_or_truncated_datagram(self, place, flip, cut):
+        """A datagram that was modified or truncated in transit is dropped.
 
-        Were it taken, anyone on the path could declare VMs dead.
+        If it were accepted, anyone on the path could declare VMs dead.
         """
-        data = bytearray(self.sealer.seal(Kind.GOSSIP, _gossip.encode(FULL)))
+        data = bytearray(self.sealer.seal(Kind.GOSSIP, _gossip.encode(EXAMPLE)))
         place %= len(data)
         data[place] ^= flip
         forged = bytes(data[:place]) if cut else bytes(data)
--- a/tests/peers_link_test.py
+++ b/tests/peers_link_test.py
@@ -13,7 +13,7 @@
 _OTHER_KEY = bytes(32)
 _ADDRESS = "127.0.15.1"
 _PORT = 7502
-_ENOUGH_S = 10
+_TIMEOUT_S = 10
 
 
 def _link(name: str, key: bytes = _KEY) -> Link:
@@ -21,14 +21,14 @@
 
 
 class LinkTest(TestCase):
-    """Agent and relay hear each other, whoever comes first."""
+    """Agent and relay exchange messages, whichever starts first."""
 
     @parameterized.expand([("asyncio",), ("trio",)])
     def test_waits_alone(self, backend):
-        """A relay stands alone: its agent has not started, or has died.
+        """A relay sends while its agent has not started, or has died.
 
-        The message that nobody takes is given up after a while. The program
-        once ended here without a word, and with it every flow.
+        The message is dropped after a timeout. The cancellation of the send
+        once ended the program without a message, and with it every flow.
         """
 
         async def main() -> bool:
@@ -42,15 +42,15 @@
         self.assertFalse(anyio.run(main, backend=backend))
 
     @parameterized.expand([("asyncio",), ("trio",)])
-    def test_agent_first(self, backend):
-        """An agent that dials before its relay listens is heard later."""
+    def test_agent_starts_first(self, backend):
+        """An agent that dials before its relay listens gets connected later."""
 
         async def main() -> object:
             agent, relay = _link("vm-1"), _link("vm-1")
             agent.dial(_ADDRESS, _PORT + 1)
             await agent.send(DrainOrder(1.0))
             relay.listen(_ADDRESS, _PORT + 1)
-            with anyio.fail_after(_ENOUGH_S):
+            with anyio.fail_after(_TIMEOUT_S):
                 while not await agent.send(DrainOrder(2.0)):
                     await anyio.sleep(0)
                 received = await relay.receive()
@@ -61,14 +61,14 @@
         self.assertIsInstance(anyio.run(main, backend=backend), DrainOrder)
 
     @parameterized.expand([("asyncio",), ("trio",)])
-    def test_other_side_ends(self, backend):
-        """A relay's process ends; its agent knows when the link is closed.
+    def test_peer_disconnects(self, backend):
+        """An agent learns from the closed link that its relay has ended.
 
-        By its missing reports alone it would know a second and a half later.
+        From missing reports alone it would learn this 1.5 seconds later.
         """
 
         async def until(link: Link, connected: bool) -> None:
-            with anyio.fail_after(_ENOUGH_S):
+            with anyio.fail_after(_TIMEOUT_S):
                 while link.connected is not connected:
                     await link.changed()
 
@@ -83,17 +83,17 @@
 
         anyio.run(main, backend=backend)
 
-    def test_second_agent(self):
-        """Another agent dials a relay that has one; it is turned away.
+    def test_second_agent_rejected(self):
+        """A second agent that dials the same relay is rejected.
 
-        To the first agent nothing has changed, and so to the relay.
+        The connection of the first agent stays, for both sides.
         """
 
         async def main() -> bool:
             relay, agent, second = _link("r"), _link("a"), _link("b")
             relay.listen(_ADDRESS, _PORT + 4)
             agent.dial(_ADDRESS, _PORT + 4)
-            with anyio.fail_after(_ENOUGH_S):
+            with anyio.fail_after(_TIMEOUT_S):
                 await relay.changed()
             second.dial(_ADDRESS, _PORT + 4)
             with anyio.move_on_after(1.0):
@@ -105,8 +105,8 @@
 
         self.assertTrue(anyio.run(main))
 
-    def test_stranger(self):
-        """Who dials without the fleet's key is not heard, and counted."""
+    def test_unknown_key(self):
+        """Messages under another key are dropped and counted."""
 
         async def main() -> int:
             counters = Counters()
@@ -115,7 +115,7 @@
             stranger = _link("vm-1", _OTHER_KEY)
             stranger.dial(_ADDRESS, _PORT + 2)
             reason = EnvelopeFault.UNKNOWN_KEY
-            with anyio.fail_after(_ENOUGH_S):
+            with anyio.fail_after(_TIMEOUT_S):
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(relay.receive)
                     await stranger.send(DrainOrder(1.0))
