--- a/src/pollenmast/counters/__init__.py
+++ b/src/pollenmast/counters/__init__.py
@@ -1,4 +1,4 @@
-"""Counters with a reason for each refusal, retry and drop."""
+"""Counters, many of them by reason, and latency histograms."""
 
 from pollenmast.counters._catalogue import (
     CATALOGUE,
--- a/src/pollenmast/counters/_catalogue.py
+++ b/src/pollenmast/counters/_catalogue.py
@@ -1,4 +1,4 @@
-"""Every counter of the product and the reasons that each one tells apart."""
+"""The catalogue of counters and of the reasons that each one separates."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class DropReason(str, enum.Enum):
-    """Why a datagram was thrown away without an answer."""
+    """Why a datagram was dropped without an answer."""
 
     EMPTY = "empty"
     TRUNCATED_HEADER = "truncated_header"
@@ -24,102 +24,103 @@
     FLOW_TABLE_FULL = "flow_table_full"
     CALLER_SILENT = "caller_silent"
     MALFORMED = "malformed"
-    """Too short, or its length field does not fit."""
+    """The packet is too short, or its length field does not match it."""
 
     NO_ROUTE_YET = "no_route_yet"
-    """No route is known, by a configuration too old to say that none is."""
+    """No route is known, but the configuration may be too old to have it."""
 
     NO_ENDPOINT_YET = "no_endpoint_yet"
-    """No endpoint is known, by a list too old to say that there is none."""
+    """No endpoint is known, but the list may be too old to have it."""
 
     UNKNOWN_TOKEN = "unknown_token"
     """The packet names an endpoint that this VM does not know."""
 
     DUPLICATE_SYN = "duplicate_syn"
-    """A copy that waited in a buffer with its original, just sent on."""
+    """A copy that was buffered together with its original, just forwarded."""
 
     BACKLOG = "backlog"
-    """A SYN that waited through a pause; its client has gone on."""
+    """A SYN that was buffered during a pause; its client no longer waits."""
 
 
 class ResetReason(str, enum.Enum):
-    """Why a client was told that its flow has ended."""
+    """Why a flow was reset towards its client."""
 
     NO_ROUTE = "no_route"
     NO_ENDPOINT = "no_endpoint"
     ENDPOINT_DOWN = "endpoint_down"
-    """Segments went unanswered and then a health check did."""
+    """Segments went unanswered, and then a health check did too."""
 
     ENDPOINT_GONE = "endpoint_gone"
-    """The endpoint has left the directory and answers no more."""
+    """The endpoint has left the directory and no longer answers."""
 
     ZONE_DRAINED = "zone_drained"
     """Every endpoint of the service is in a zone that is drained."""
 
     WARMING_UP = "warming_up"
-    """Every endpoint that is left warms up and has its share of flows."""
+    """Every remaining endpoint is warming up and at its limit of flows."""
 
 
 class PlacementReason(str, enum.Enum):
-    """Why a new flow went where it went."""
+    """Why a new flow was sent to its endpoint."""
 
     OWN_ZONE = "own_zone"
     OTHER_ZONE = "other_zone"
-    """The own zone has no endpoint with room."""
+    """No endpoint of the VM's own zone has room."""
 
     RETRY = "retry"
-    """A copy of a SYN: another endpoint than the one that did not answer."""
+    """A repeated SYN, sent to another endpoint than the one without answer."""
 
     LAST_RESORT = "last_resort"
-    """Every endpoint is doubted; the least doubtful one is tried."""
+    """Every endpoint is suspected; the least suspected one is tried."""
 
 
 class CheckReason(str, enum.Enum):
-    """Why an endpoint was asked for its health."""
+    """Why an endpoint's health was checked."""
 
     REPEATED = "repeated"
-    """A client sent a SYN or data again."""
+    """A client retransmitted a SYN or data."""
 
     UNOPENED = "unopened"
-    """A client did not go on after its SYN."""
+    """A client's flow made no progress after its SYN."""
 
     SILENT = "silent"
     """A request went unanswered for unusually long."""
 
     LAPSED = "lapsed"
-    """Its entry has vanished from the directory."""
+    """The endpoint's entry has disappeared from the directory."""
 
     MISSING = "missing"
-    """Its entry has not come back."""
+    """The endpoint's entry has not come back to the directory."""
 
     REPORTED = "reported"
-    """Another VM finds it down."""
+    """Another VM found the endpoint down."""
 
     TOLD = "told"
-    """A reader of the zone finds it down, and flows go to it here."""
+    """A reader of this zone found it down, and this VM carries flows to it."""
 
     UNANSWERED = "unanswered"
-    """The check before went unanswered."""
+    """The previous check went unanswered."""
 
     UNSURE = "unsure"
-    """The check before said nothing, by this VM's own fault."""
+    """The previous check was inconclusive, through this VM's own fault."""
 
     DOWN = "down"
-    """It was down a while ago."""
+    """The endpoint was down a while ago."""
 
     REVIVED = "revived"
-    """It was down, and a client has received something from it."""
+    """The endpoint was down, and a client has received data from it."""
 
     REACH = "reach"
-    """The VM's zone is drained, and no client of another zone's endpoints has
-    gone on."""
+    """The VM's zone is drained, and no client whose flow goes to an endpoint of
+    another zone has made progress."""
 
     CONTROL = "control"
-    """Beside another one's check, to tell whose fault a timeout is."""
+    """A control beside the check of another endpoint: it shows whether a
+    time-out is that endpoint's fault or this VM's."""
 
 
 class EnvelopeFault(str, enum.Enum):
-    """Why an envelope or control message was thrown away."""
+    """Why an envelope or control message was dropped."""
 
     TRUNCATED = "truncated"
     OVERSIZED = "oversized"
@@ -134,26 +135,26 @@
     """Why a new flow was refused with an answer."""
 
     BUSY = "busy"
-    """No endpoint had room within the hold."""
+    """No endpoint had room while the flow was held."""
 
     CALLER_LIMIT = "caller_limit"
-    """The caller, or its network, already has its share of held flows."""
+    """The caller or its network is at its limit of held flows."""
 
     HOLD_FULL = "hold_full"
     NO_ENDPOINT = "no_endpoint"
-    """No endpoint of the service takes new flows."""
+    """No endpoint of the service accepts new flows."""
 
     RETRY_SPENT = "retry_spent"
-    """The endpoint did not answer and the retry budget is spent."""
+    """The endpoint did not answer, and the retry budget is used up."""
 
     DRAINING = "draining"
     FLOW_TABLE_FULL = "flow_table_full"
     NO_RELAY = "no_relay"
-    """No VM that is known has a relay; the agent of one answers."""
+    """No known VM has a running relay; an agent sent the refusal."""
 
 
 class RetryReason(str, enum.Enum):
-    """Why a flow's first packets were tried at another endpoint."""
+    """Why a flow's first packets were sent to another endpoint."""
 
     UNANSWERED = "unanswered"
 
@@ -168,21 +169,21 @@
 
 
 class ForwardReason(str, enum.Enum):
-    """Why a datagram was passed to another relay."""
+    """Why a datagram was forwarded to another relay."""
 
     OWNER = "owner"
     HOLDER = "holder"
     ASK = "ask"
     RETURNED = "returned"
     NOT_READY = "not_ready"
-    """A new flow, by an owner whose beliefs are too old to open it."""
+    """A new flow whose owner's view of the fleet is too old to open it."""
 
     STANDBY = "standby"
-    """By an agent whose relay is silent."""
+    """Forwarded by an agent whose relay is silent."""
 
 
 class ManifestOutcome(str, enum.Enum):
-    """What became of a manifest that was offered."""
+    """What was done with a manifest that was received."""
 
     ACCEPTED = "accepted"
     OLDER = "older"
@@ -196,7 +197,14 @@
 
 @attrs.frozen
 class CounterDefinition:
-    """A counter: its name, unit, meaning and the reasons it tells apart."""
+    """A counter.
+
+    Attributes:
+        name: Unique, in lower case with underscores.
+        unit: The unit as OpenTelemetry writes it.
+        description: What it counts, for an operator.
+        reasons: The values of its reason label; `("",)` without reasons.
+    """
 
     name: str
     unit: str
--- a/src/pollenmast/counters/_counters.py
+++ b/src/pollenmast/counters/_counters.py
@@ -1,4 +1,4 @@
-"""Counting: plain integers that exist at zero from the start."""
+"""Counter values: plain integers, present from the start with value 0."""
 
 import enum
 
@@ -21,11 +21,11 @@
         reason: enum.Enum | str = "",
         amount: int = 1,
     ) -> None:
-        """Counts once more, or `amount` times.
+        """Adds `amount` to a counter.
 
         Raises:
-            KeyError: The catalogue does not list this reason; a fault of the
-                caller.
+            KeyError: The catalogue does not list this reason, which is an
+                error in the calling code.
         """
         text = reason.value if isinstance(reason, enum.Enum) else reason
         self._values[definition.name, text] += amount
@@ -35,10 +35,10 @@
         definition: catalogue.CounterDefinition,
         reason: enum.Enum | str = "",
     ) -> int:
-        """Returns how often this was counted."""
+        """Returns the value of a counter for one reason."""
         text = reason.value if isinstance(reason, enum.Enum) else reason
         return self._values[definition.name, text]
 
     def items(self) -> list[tuple[str, str, int]]:
-        """Returns (name, reason, value) of every counter, zeros included."""
+        """Returns (name, reason, value) of every counter, including zeros."""
         return [(name, why, n) for (name, why), n in self._values.items()]
--- a/src/pollenmast/counters/_histograms.py
+++ b/src/pollenmast/counters/_histograms.py
@@ -1,4 +1,4 @@
-"""Latency histograms: fixed buckets, plain integers."""
+"""Latency histograms with fixed buckets and integer counts."""
 
 import bisect
 
@@ -8,9 +8,10 @@
     *(0.001, 0.002, 0.005, 0.01, 0.02, 0.05),
     *(0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0),
 )
-"""Upper bounds of the buckets, in seconds: from a way within a zone to the
-longest deadlines of requests, closest together around the aims of 0.1 to 0.2
-seconds."""
+"""Upper bounds of the buckets, in seconds.
+
+They range from a network path within a zone to the longest deadlines of
+requests, and are densest around the latency targets of 0.1 to 0.2 seconds."""
 
 
 @attrs.frozen
@@ -18,7 +19,7 @@
     """A histogram of the catalogue.
 
     Attributes:
-        name: In lower case with underscores; seconds.
+        name: In lower case with underscores; the unit is seconds.
         description: What it measures, for an operator.
     """
 
@@ -45,7 +46,7 @@
 
 
 class Histogram:
-    """One histogram's counts."""
+    """The counts and the sum of one histogram."""
 
     def __init__(self):
         self._counts = [0] * (len(BOUNDS_S) + 1)
@@ -57,12 +58,12 @@
         return self._sum
 
     def observe(self, seconds: float) -> None:
-        """Counts one observation."""
+        """Adds one observation."""
         self._counts[bisect.bisect_left(BOUNDS_S, seconds)] += 1
         self._sum += seconds
 
     def cumulative(self) -> list[int]:
-        """Returns how many were at most each bound, and how many in all."""
+        """Returns the cumulative count up to each bound, then the total."""
         total, counts = 0, []
         for count in self._counts:
             total += count
@@ -77,9 +78,9 @@
         self._by_name = {each.name: Histogram() for each in HISTOGRAMS}
 
     def observe(self, definition: HistogramDefinition, seconds: float) -> None:
-        """Counts one observation."""
+        """Adds one observation to a histogram."""
         self._by_name[definition.name].observe(seconds)
 
     def get(self, definition: HistogramDefinition) -> Histogram:
-        """Returns one histogram."""
+        """Returns the histogram of a definition."""
         return self._by_name[definition.name]
--- a/src/pollenmast/events/__init__.py
+++ b/src/pollenmast/events/__init__.py
@@ -1,4 +1,4 @@
-"""Numbered, rate-limited log events."""
+"""The catalogue of numbered log events, and a rate-limited log."""
 
 from pollenmast.events._catalogue import (
     CATALOGUE,
--- a/src/pollenmast/events/_log.py
+++ b/src/pollenmast/events/_log.py
@@ -1,4 +1,4 @@
-"""Writes numbered events, at most so many a second of each kind."""
+"""Writes numbered events, rate-limited per event."""
 
 import time
 from collections.abc import Callable
@@ -11,7 +11,13 @@
 
 @attrs.define
 class _Window:
-    """The lines of one event within one second."""
+    """Counts of one event within one second of the clock.
+
+    Attributes:
+        second: The second, as a whole number of the clock.
+        written: Lines written.
+        suppressed: Lines not written because the limit was reached.
+    """
 
     second: int
     written: int = 0
@@ -21,8 +27,9 @@
 class EventLog:
     """The log of one program.
 
-    A flood from outside (malformed datagrams, say) must not become a flood
-    of log lines, which would take the processor from the flows.
+    Each event has a limit of lines per second. Without one, a flood of, for
+    example, malformed datagrams would become a flood of log lines and take
+    processor time from the flows.
     """
 
     def __init__(
@@ -32,7 +39,14 @@
         clock: Callable[[], float] = time.monotonic,
         sink: Sink | None = None,
     ):
-        """Sets where the lines go: to eliot's destinations by default."""
+        """Creates a log.
+
+        Args:
+            program: The program's name, part of every line.
+            vm: The VM's name, part of every line.
+            clock: Returns the time in seconds for the rate limit.
+            sink: Where the lines go; eliot's destinations by default.
+        """
         self._sink = EliotSink() if sink is None else sink
         self._program = program
         self._vm = vm
@@ -40,7 +54,7 @@
         self._windows: dict[Event, _Window] = {}
 
     def write(self, event: Event, **fields: object) -> None:
-        """Writes one event, unless too many of its kind came this second."""
+        """Writes one event, or counts it if it has reached its limit."""
         second = int(self._clock())
         window = self._windows.setdefault(event, _Window(second))
         if window.second != second:
@@ -53,7 +67,7 @@
         self._put(event, fields)
 
     def flush(self) -> None:
-        """Tells how many lines were suppressed; called before the end."""
+        """Logs how many lines were suppressed; to be called before the exit."""
         for event, window in self._windows.items():
             self._report(event, window)
             window.suppressed = 0
--- a/src/pollenmast/events/_sinks.py
+++ b/src/pollenmast/events/_sinks.py
@@ -1,4 +1,4 @@
-"""Where log lines go."""
+"""Destinations of log lines."""
 
 import abc
 import json
@@ -10,18 +10,18 @@
 
 
 class Sink(abc.ABC):
-    """Takes the fields of one line."""
+    """A destination of log lines."""
 
     @abc.abstractmethod
     def put(self, fields: Fields) -> None:
-        """Writes one line."""
+        """Writes the fields of one line."""
 
 
 class EliotSink(Sink):
-    """Eliot's destinations."""
+    """Writes lines to eliot's destinations."""
 
     def __init__(self):
-        # Imported only where it is used: see JsonSink.
+        # Imported here because loading eliot is slow: see JsonSink.
         import eliot
 
         self._log_message = eliot.log_message
@@ -32,11 +32,11 @@
 
 
 class JsonSink(Sink):
-    """One JSON object a line, as eliot writes it but for its task's ids.
+    """Writes one JSON object per line, like eliot but without its task ids.
 
-    Eliot and what it imports take 59 of the 254 ms that the program of a VM
-    takes to load, and 3 of its 20 MB (python -X importtime; VmHWM). After a
-    loss of power that time is missing to every client of the VM.
+    Without eliot and its dependencies, the program of a VM loads 59 ms faster
+    (of 254 ms; python -X importtime) and needs 3 MB less memory (of 20 MB;
+    VmHWM). After a power failure, every client of the VM waits for the load.
     """
 
     def __init__(self, stream: IO, clock: Callable[[], float] = time.time):
@@ -54,9 +54,9 @@
 
 
 def write_to(stream: IO) -> None:
-    """Sends eliot's lines of this process to a stream.
+    """Adds a stream to eliot's destinations in this process.
 
-    A second call for the same stream does nothing.
+    Further calls with the same stream have no effect.
     """
     import eliot
 
--- a/src/pollenmast/events/_stream.py
+++ b/src/pollenmast/events/_stream.py
@@ -1,8 +1,9 @@
-"""A stream for log lines that never makes its writer wait.
+"""A non-blocking stream for log lines with a bounded queue.
 
-Whoever reads a program's output may be slow, stuck or gone. A blocking write
-would then stop the packets of every flow, with nothing in the log to say so.
-Lines that do not fit are counted, and the count is written when there is room.
+The process that reads the log may be slow, stuck or gone. A blocking write
+would then stop the packets of every flow, and the log could not show why.
+Lines that do not fit into the queue are dropped and counted; the count is
+written when there is room again.
 """
 
 import collections
@@ -11,12 +12,13 @@
 import os
 
 MOST_QUEUED_BYTES = 256 * 1024
-"""Log kept for a slow reader: about 1,000 lines, some seconds of the greatest
-rate at which events are written."""
+"""Maximum bytes queued for a slow reader.
+
+About 1,000 lines, which is a few seconds of events at their maximum rate."""
 
 
 class BoundedStream(io.RawIOBase):
-    """Writes whole lines to a descriptor, without waiting."""
+    """Writes whole lines to a file descriptor without blocking."""
 
     def __init__(self, descriptor: int):
         os.set_blocking(descriptor, False)
@@ -28,15 +30,15 @@
 
     @property
     def lost(self) -> int:
-        """Lines that did not fit and are not yet told of."""
+        """Lines dropped since the last notice in the log."""
         return self._lost
 
     def writable(self) -> bool:
-        """Whether lines are taken; they always are."""
+        """Returns True, as `io.RawIOBase` requires of a writable stream."""
         return True
 
     def write(self, data: bytes) -> int:
-        """Queues one line; a line too many is counted instead."""
+        """Queues one line, or drops and counts it if the queue is full."""
         size = len(data)
         if self._closed or self._queued + len(data) > MOST_QUEUED_BYTES:
             self._lost += 1
@@ -48,7 +50,7 @@
         return size
 
     def flush(self) -> None:
-        """Writes what the reader takes now; the rest stays queued."""
+        """Writes what the descriptor accepts now; the rest stays queued."""
         while self._queue and not self._closed:
             data = self._queue[0]
             try:
@@ -56,7 +58,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone for good: there is nobody left to tell.
+                # The reader has closed the pipe: later lines are dropped.
                 self._closed = True
                 self._queue.clear()
                 self._queued = 0
--- a/src/pollenmast/operators/__init__.py
+++ b/src/pollenmast/operators/__init__.py
@@ -1,4 +1,4 @@
-"""Towards operators: status, metrics, health and readiness over HTTP."""
+"""The operators' HTTP API: status, metrics, health and readiness."""
 
 from pollenmast.operators._metrics import Gauges, Metrics
 from pollenmast.operators._site import Knowledge, Site
--- a/src/pollenmast/operators/_metrics.py
+++ b/src/pollenmast/operators/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry, in the form that Prometheus scrapes."""
+"""OpenTelemetry metrics in the text format that Prometheus scrapes."""
 
 from collections.abc import Callable, Iterable
 
@@ -18,13 +18,13 @@
 
 @attrs.frozen
 class Gauges:
-    """What can go up and down.
+    """The current values of all gauges.
 
     Attributes:
         flows: Flows carried by the relay.
         held: Flows whose first packets are held.
         replicas: Flow records kept for other relays.
-        members: VMs by state.
+        members: Number of VMs by state.
         manifest_version: The version in force, 0 without one.
         manifest_age_s: Seconds since it came into force, 0 without one.
     """
@@ -47,7 +47,7 @@
 
 
 class Metrics:
-    """Every counter of the catalogue, from both programs, and the gauges."""
+    """The metrics of a VM: all counters of both programs, and the gauges."""
 
     def __init__(
         self,
@@ -57,14 +57,14 @@
         """Registers all instruments.
 
         Args:
-            counters: Returns the values of each program by its name; a
-                counter that is missing counts as zero.
-            gauges: Returns the gauges now.
+            counters: Returns the counter values of each program by the
+                program's name; a missing counter is exported as zero.
+            gauges: Returns the current gauge values.
         """
         self._counters = counters
         self._gauges = gauges
         reader = PrometheusMetricReader(disable_target_info=True)
-        # Looking for the process's resource would start threads.
+        # An explicit resource: detecting one would start threads.
         provider = MeterProvider(
             metric_readers=[reader],
             resource=Resource({}),
@@ -83,7 +83,7 @@
         )
 
     def text(self) -> bytes:
-        """Returns all metrics as Prometheus reads them."""
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest()
 
     def _register(self, definition: CounterDefinition) -> None:
--- a/src/pollenmast/operators/_site.py
+++ b/src/pollenmast/operators/_site.py
@@ -1,4 +1,4 @@
-"""The operators' endpoint: which path answers what."""
+"""Routes the requests of operators to their answers."""
 
 import abc
 import urllib.parse
@@ -13,23 +13,31 @@
 
 
 class Knowledge(abc.ABC):
-    """What the site asks of the program that it speaks for."""
+    """What the program provides to the operators' API."""
 
     @abc.abstractmethod
     def status(self) -> Status:
-        """Returns the status now."""
+        """Returns the current status."""
 
     @abc.abstractmethod
     def health(self) -> str | None:
-        """Returns what is wrong with this process, or None."""
+        """Returns what is wrong with this process, or None if it is healthy."""
 
     @abc.abstractmethod
     def readiness(self) -> str | None:
-        """Returns why this VM takes no new flows, or None."""
+        """Returns why this VM accepts no new flows, or None if it does."""
 
     @abc.abstractmethod
     async def explain(self, subject: str) -> tuple[str, ...] | None:
-        """Returns why something was decided, or None without an answer."""
+        """Returns the lines that explain the decisions about a subject.
+
+        Args:
+            subject: A caller as IP:PORT, or SERVICE/ENDPOINT; empty for the
+                newest decisions.
+
+        Returns:
+            The lines, or None if the relay does not answer.
+        """
 
 
 @attrs.frozen
@@ -39,7 +47,7 @@
 
 
 class Site:
-    """Answers operators' requests."""
+    """Answers the HTTP requests of operators."""
 
     def __init__(self, knowledge: Knowledge, metrics: _metrics.Metrics):
         self._knowledge = knowledge
--- a/src/pollenmast/operators/_status.py
+++ b/src/pollenmast/operators/_status.py
@@ -1,4 +1,4 @@
-"""What `/status` tells: one VM, and what it knows of the fleet."""
+"""The answer of `/status`: one VM and its view of the fleet."""
 
 import attrs
 from cattrs.preconf.json import make_converter
@@ -14,9 +14,9 @@
         name: Its name.
         zone: Its availability zone.
         version: The program's version.
-        ready: Whether its relay takes new flows.
-        fresh: Whether its beliefs may be acted on.
-        alone: Whether no other VM answered when asked.
+        ready: Whether its relay accepts new flows.
+        fresh: Whether its view of the fleet is recent enough to act on.
+        alone: Whether no other VM answered its last refresh.
         stopping: Whether a graceful shutdown has begun.
         uptime_s: Seconds since the agent started.
     """
@@ -38,9 +38,9 @@
     Attributes:
         version: Its version; 0 without one.
         digest: Digest of its content.
-        age_s: Seconds since it came into force here; None without one.
+        age_s: Seconds since it came into force on this VM; None without one.
         relay_version: The version in force in this VM's relay.
-        heard_version: The greatest version heard of, here or elsewhere.
+        heard_version: The greatest version that any known VM has announced.
     """
 
     version: int
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class RelayStatus:
-    """What this VM's relay does; zeros while it is silent."""
+    """The state of this VM's relay; zeros while the relay is silent."""
 
     up: bool
     draining: bool
@@ -63,10 +63,10 @@
 
 @attrs.frozen
 class PlatformStatus:
-    """The platform, as seen from here.
+    """The platform as seen from this VM.
 
     Attributes:
-        up: Whether its last answer came.
+        up: Whether the last call to it was answered.
         heard_s: Seconds since its last answer; None before the first.
     """
 
@@ -76,7 +76,7 @@
 
 @attrs.frozen
 class MemberStatus:
-    """One VM of the fleet, as believed here."""
+    """One VM of the fleet as this VM sees it."""
 
     name: str
     zone: str
@@ -94,14 +94,14 @@
         service: The service's name.
         endpoint: Its name.
         zone: Its availability zone.
-        intended: What the manifest says of it.
-        healthy: What the probes say; None without one.
-        running: Requests that hold a slot.
-        queued: Requests that wait for one.
+        intended: The state that the manifest gives it.
+        healthy: The result of the probes; None without one.
+        running: Requests that occupy a slot.
+        queued: Requests that wait for a slot.
         connections: Open connections.
         flows: Flows that this VM's relay carries to it.
-        weight: Share of the new flows it now gets here.
-        why: Why the weight is what it is.
+        weight: Share of this VM's new flows that it currently gets.
+        why: The reason for the weight.
     """
 
     service: str
@@ -119,7 +119,7 @@
 
 @attrs.frozen
 class CounterStatus:
-    """One counter that is not zero."""
+    """The value of a counter that is not zero."""
 
     program: str
     name: str
@@ -129,7 +129,7 @@
 
 @attrs.frozen
 class Status:
-    """All that `/status` tells."""
+    """The whole answer of `/status`."""
 
     vm: VmStatus
     manifest: ManifestStatus
@@ -141,5 +141,5 @@
 
 
 def to_json(value: object) -> bytes:
-    """Returns an attrs value as JSON."""
+    """Returns an attrs value as JSON in UTF-8."""
     return _CONVERTER.dumps(value).encode()
