--- a/src/pollenmast/events/_catalogue.py
+++ b/src/pollenmast/events/_catalogue.py
@@ -58,14 +58,14 @@
 CUT = Event(
     104,
     "cut",
-    "A program ended without completing its graceful shutdown; its open flows"
-    " may no longer be carried.",
-    "Check `flows`; callers that keep sending are served by another VM.",
+    "A program ended at once, before its graceful shutdown was complete, and"
+    " may have lost its open flows.",
+    "Look at `flows`; callers that keep sending are served by another VM.",
 )
 START_FAILED = Event(
     107,
     "start_failed",
-    "A program could not open its ports and did not start.",
+    "A program could not open its ports; nothing was started.",
     "Check whether another instance runs on this VM, and check the addresses.",
 )
 SUPPRESSED = Event(
@@ -73,13 +73,13 @@
     "suppressed",
     "Event `of` exceeded its limit of lines per second; `lines` were not"
     " written.",
-    "Check the counters, which count every occurrence.",
+    "Look at the counters, which count every occurrence.",
 )
 UPSTREAM_UNHEALTHY = Event(
     301,
     "upstream_unhealthy",
     "An endpoint gave no load report, or does not accept work.",
-    "Check the endpoint, unless it was stopped on purpose.",
+    "Look at the endpoint, unless it was stopped on purpose.",
 )
 UPSTREAM_HEALTHY = Event(
     302, "upstream_healthy", "An endpoint accepts work again.", "Nothing."
@@ -90,7 +90,7 @@
 MANIFEST_INVALID = Event(
     402,
     "manifest_invalid",
-    "A manifest was rejected as a whole; the one in force stays.",
+    "A manifest was refused as a whole; the one in force stays.",
     "Correct the manifest at the named path and publish a greater version.",
 )
 MANIFEST_CONFLICT = Event(
@@ -104,13 +104,13 @@
     404,
     "manifest_older",
     "A manifest older than the one in force was offered and ignored.",
-    "Check the platform: it is stale, or someone published an old version.",
+    "Look at the platform: it is stale, or someone published an old version.",
 )
 PLATFORM_LOST = Event(
     411,
     "platform_lost",
     "The platform does not answer; the manifest in force stays.",
-    "Check the platform and the network path to it.",
+    "Look at the platform and the network path to it.",
 )
 PLATFORM_BACK = Event(
     412, "platform_back", "The platform answers again.", "Nothing."
@@ -122,14 +122,14 @@
     502,
     "vm_suspect",
     "A VM answered a heartbeat neither directly nor through other VMs.",
-    "Nothing yet; if it recurs, check that VM's load.",
+    "Nothing yet; if it recurs, look at that VM's load.",
 )
 VM_DEAD = Event(
     503,
     "vm_dead",
-    "A VM did not refute a suspicion, or has stopped; its flows have new"
+    "A VM has not refuted a suspicion, or has stopped; its flows have new"
     " owners.",
-    "Check that VM, unless it was stopped on purpose.",
+    "Look at that VM, unless it was stopped on purpose.",
 )
 VM_LEAVING = Event(
     504, "vm_leaving", "A VM is shutting down gracefully.", "Nothing."
@@ -139,13 +139,12 @@
     "vm_returned",
     "A VM believed dead was heard from again: it restarted, resumed from a"
     " pause or became reachable again.",
-    "If it did not restart, look for a network partition between availability"
-    " zones.",
+    "If it did not restart, look for a network cut between availability zones.",
 )
 VM_UPDATED = Event(
     506,
     "vm_updated",
-    "A VM announced a change of its own state, or refuted a suspicion.",
+    "A VM told the others of a change of its state, or refuted a suspicion.",
     "Nothing.",
 )
 REFRESH_BEGAN = Event(
@@ -153,22 +152,22 @@
     "refresh_began",
     "This VM's view of the fleet may be out of date (the VM started, was"
     " paused, cut off or declared dead); it opens no flows until a peer has"
-    " sent it what it missed.",
+    " told it what it missed.",
     "If it recurs, look for pauses of this VM.",
 )
 REFRESH_ENDED = Event(
     508,
     "refresh_ended",
-    "This VM's view of the fleet counts as up to date again; `alone` when no"
-    " peer answered.",
-    "If alone, check the network between the availability zones.",
+    "This VM's view of the fleet counts as fresh again; `alone` when no peer"
+    " answered.",
+    "If alone, look at the network between the availability zones.",
 )
 RELAY_SILENT = Event(
     511,
     "relay_silent",
     "The relay of this VM does not report to its agent; other VMs own its"
     " flows.",
-    "Check the relay's log.",
+    "Look at the relay's log.",
 )
 RELAY_HEARD = Event(
     512, "relay_heard", "The relay of this VM reports again.", "Nothing."
@@ -178,7 +177,7 @@
     "standby_began",
     "The agent reads callers' packets in place of its relay and forwards them"
     " to the relays that own their flows.",
-    "Check the relay's log; restart only the relay.",
+    "Look at the relay's log; restart only the relay.",
 )
 STANDBY_ENDED = Event(
     514,
@@ -198,9 +197,9 @@
 PAUSED = Event(
     108,
     "paused",
-    "The VM was paused for `gap_s` seconds; it reads its view of the platform"
+    "The VM was paused for `gap_s` seconds; its view of the platform is read"
     " again.",
-    "Check the VM if this recurs.",
+    "Look at the VM if this recurs.",
 )
 SETTINGS_RELOADED = Event(
     109, "settings_reloaded", "The settings file was read again.", "Nothing."
@@ -216,7 +215,7 @@
     "load_failed",
     "A module of the program could not be loaded; packets are carried without"
     " it for a while, and loading is retried.",
-    "Check `error`, and the VM's memory and files.",
+    "Look at `error`, and the VM's memory and files.",
 )
 FLOW_PLACED = Event(
     201,
@@ -227,14 +226,14 @@
 FLOW_RESET = Event(
     202,
     "flow_reset",
-    "A client's flow was reset; `reason` says why.",
-    "Check the endpoint, or for `no_route` the configuration.",
+    "A client was told by a reset that its flow has ended; `reason` says why.",
+    "Look at the endpoint, or for `no_route` the configuration.",
 )
 SEGMENT_DROPPED = Event(
     203,
     "segment_dropped",
     "A client's packet was dropped without an answer.",
-    "Check `reason`; `unknown_token` means that the packet names an endpoint"
+    "Look at `reason`; `unknown_token` means that the packet names an endpoint"
     " not known here.",
 )
 REQUEST_CARRIED = Event(
@@ -254,13 +253,13 @@
     304,
     "endpoint_lapsed",
     "An endpoint's entry has disappeared from the directory; it may come back.",
-    "Check the endpoint, unless it was stopped on purpose.",
+    "Look at the endpoint, unless it was stopped on purpose.",
 )
 ENDPOINT_DOWN = Event(
     305,
     "endpoint_down",
     "An endpoint answers neither clients nor a health check.",
-    "Check the endpoint and the network path to it.",
+    "Look at the endpoint and the network path to it.",
 )
 ENDPOINT_UP = Event(
     306, "endpoint_up", "An endpoint answers again.", "Nothing."
@@ -277,7 +276,7 @@
     "checks_unsure",
     "An endpoint did not answer, and neither did others that had shown signs"
     " of life shortly before: this VM's own link or processor is at fault.",
-    "Check this VM's link if this continues.",
+    "Look at this VM's link if this continues.",
 )
 ENDPOINT_CHECKED = Event(
     309,
@@ -299,7 +298,7 @@
 HISTORY_GONE = Event(
     423,
     "history_gone",
-    "The directory no longer keeps the changes since the last read; everything"
+    "The directory no longer knows what changed since the last read; everything"
     " is read again.",
     "If `fault` is restored, see event 429; otherwise nothing.",
 )
@@ -325,14 +324,14 @@
     310,
     "endpoint_ejected",
     "An endpoint fails far more requests than others; it gets no new flows.",
-    "Check the endpoint: its health check may still pass.",
+    "Look at the endpoint: its health check may still pass.",
 )
 ZONES_UNREACHED = Event(
     427,
     "zones_unreached",
     "The VM's zone is drained and the VM reaches no other zone; it is not"
     " ready.",
-    "Check the network between the zones, or end the drain.",
+    "Look at the network between the zones, or end the drain.",
 )
 ZONES_REACHED = Event(
     428,
@@ -343,7 +342,7 @@
 PEER_TOLD = Event(
     424,
     "peer_told",
-    "While the directory is unavailable, a peer sent what it knows.",
+    "While the directory is unavailable, a peer told this VM what it knows.",
     "Nothing.",
 )
 
