--- a/src/pollenmast/cli/__init__.py
+++ b/src/pollenmast/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command-line interface."""
 
 from pollenmast.cli._exits import ExitCode
 from pollenmast.cli._main import main
--- a/src/pollenmast/cli/_adapted.py
+++ b/src/pollenmast/cli/_adapted.py
@@ -1,4 +1,4 @@
-"""Formats of other places: checked and told through the adapters."""
+"""Checks files and decodes packets in formats that adapters read."""
 
 import string
 import sys
@@ -20,7 +20,7 @@
 
 
 def find(name: str) -> adapters.Adapter:
-    """Returns an adapter, or ends the command."""
+    """Returns the adapter of this name, or exits with an error message."""
     adapter = adapters.find(name)
     if adapter is None:
         allowed = ", ".join(adapters.NAMES)
@@ -30,7 +30,7 @@
 
 
 def tell(checked: Result[adapters.Rows, str], as_json: bool) -> NoReturn:
-    """Prints what an adapter has read, or its fault, and ends."""
+    """Prints the rows or the fault that an adapter returned, and exits."""
     fault = checked.err_value if isinstance(checked, Err) else None
     rows = [] if isinstance(checked, Err) else checked.ok_value
     if as_json:
@@ -48,7 +48,13 @@
     read: Callable[[bytes], Result[adapters.Rows, str]],
     as_json: bool,
 ) -> NoReturn:
-    """Reads a file by an adapter, prints what it says, and ends."""
+    """Reads a file with an adapter, prints the result, and exits.
+
+    Args:
+        file: The path of the file.
+        read: The adapter's function for this kind of file.
+        as_json: Whether to print JSON instead of a table.
+    """
     try:
         with open(file, "rb") as stream:
             data = stream.read()
--- a/src/pollenmast/cli/_app.py
+++ b/src/pollenmast/cli/_app.py
@@ -1,4 +1,4 @@
-"""The command line as a whole."""
+"""Assembles the command line from its commands."""
 
 import typer
 
@@ -16,7 +16,7 @@
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
-    # Plain help needs no further library in the two long-running programs.
+    # With plain help the two long-running programs need no further library.
     rich_markup_mode=None,
     epilog=MEANINGS,
 )
--- a/src/pollenmast/cli/_client.py
+++ b/src/pollenmast/cli/_client.py
@@ -1,4 +1,4 @@
-"""Asks an agent's operators endpoint, read only."""
+"""HTTP client for an agent's operators endpoint; it only reads."""
 
 import http.client
 import json
@@ -8,18 +8,29 @@
 from pollenmast.cli._output import printable
 
 _TIMEOUT_S = 5.0
-"""Longest wait for an answer, in seconds; agents answer from memory."""
+"""Time-out of a request, in seconds. Agents answer from memory."""
 
 _MOST_BYTES = 16_000_000
-"""Bytes read of an answer. At 11,000 endpoints a status has about two
-megabytes; a stranger on that port must not fill the memory."""
+"""Maximum size of an answer, in bytes.
+
+A status with 11,000 endpoints has about two megabytes. The limit keeps another
+program on that port from filling the memory."""
 
 _MOST_SHOWN = 200
-"""Bytes shown of an answer that is an error."""
+"""Maximum bytes shown of an error answer."""
 
 
 def get(address: str, port: int, path: str) -> Result[object, str]:
-    """Returns the JSON of an answer, or why there is none."""
+    """Requests a path and returns the decoded JSON.
+
+    Args:
+        address: The agent's IP address.
+        port: The port of its operators endpoint.
+        path: The path, with its query if any.
+
+    Returns:
+        The decoded JSON, or an error message.
+    """
     connection = http.client.HTTPConnection(address, port, timeout=_TIMEOUT_S)
     try:
         connection.request("GET", path)
--- a/src/pollenmast/cli/_events.py
+++ b/src/pollenmast/cli/_events.py
@@ -1,4 +1,4 @@
-"""`pollenmast events`: the numbered catalogue of log lines."""
+"""`pollenmast events`: the catalogue of numbered log events."""
 
 import attrs
 import typer
--- a/src/pollenmast/cli/_exits.py
+++ b/src/pollenmast/cli/_exits.py
@@ -4,17 +4,18 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What a command's end means."""
+    """The exit code of a command."""
 
     OK = 0
     FAILED = 1
-    """It could not be done, such as when a VM did not answer."""
+    """The command could not be carried out, for example because a VM did not
+    answer."""
 
     REFUSED = 2
-    """The settings, the manifest or the command line are wrong."""
+    """The settings, the manifest or the command line are invalid."""
 
     CUT = 3
-    """A second signal ended a program before its graceful shutdown did."""
+    """A second signal ended a program before its graceful shutdown was done."""
 
 
 MEANINGS = (
--- a/src/pollenmast/cli/_main.py
+++ b/src/pollenmast/cli/_main.py
@@ -1,4 +1,4 @@
-"""Where the command line starts."""
+"""The entry point of the command line."""
 
 import sys
 
@@ -9,9 +9,14 @@
 def main(arguments: list[str] | None = None) -> int:
     """Runs one command and returns its exit code.
 
-    The two long-running programs in their plain form start without the
-    command line's library. It would stay loaded for months to have read one
-    option; docs/BINARY.md gives its share of the agent's memory.
+    `relay --settings FILE` and `agent --settings FILE` run without importing
+    typer. These programs run for months, and typer would stay in memory after
+    parsing a single option; docs/BINARY.md gives its share of the agent's
+    memory.
+
+    Args:
+        arguments: The arguments after the program's name; those of the
+            process by default.
     """
     words = sys.argv[1:] if arguments is None else arguments
     match words:
--- a/src/pollenmast/cli/_operators.py
+++ b/src/pollenmast/cli/_operators.py
@@ -1,4 +1,7 @@
-"""The commands that ask one VM what it knows and why it decided."""
+"""`pollenmast status` and `pollenmast explain`: queries to one VM.
+
+With `--log`, `explain` reads log lines instead.
+"""
 
 import sys
 import urllib.parse
--- a/src/pollenmast/cli/_output.py
+++ b/src/pollenmast/cli/_output.py
@@ -1,4 +1,4 @@
-"""Output for a person (tables) and for a program (JSON)."""
+"""Prints tables for people and JSON for programs."""
 
 import json
 import sys
@@ -12,7 +12,7 @@
 
 
 def table(heads: tuple[str, ...], rows: list[tuple[object, ...]]) -> str:
-    """Returns rows under their heads, in columns as wide as they need."""
+    """Returns rows below their column headers, in aligned columns."""
     cells = [heads, *[tuple(str(cell) for cell in row) for row in rows]]
     widths = [max(len(row[n]) for row in cells) for n in range(len(heads))]
     lines = []
@@ -25,15 +25,18 @@
 
 
 def printable(text: str) -> str:
-    """Returns a text from the network in a form that steers no terminal."""
+    """Replaces unprintable characters, so that no terminal obeys them.
+
+    For texts from the network.
+    """
     return "".join(c if c.isprintable() else "?" for c in text)
 
 
 def say(text: str) -> None:
-    """Writes to the standard output."""
+    """Prints a text to the standard output."""
     print(text)
 
 
 def complain(text: str) -> None:
-    """Writes to the standard error output."""
+    """Prints a text to the standard error output."""
     print(text, file=sys.stderr)
--- a/src/pollenmast/cli/_programs.py
+++ b/src/pollenmast/cli/_programs.py
@@ -1,4 +1,4 @@
-"""The commands that run the two programs of a VM."""
+"""`pollenmast relay` and `pollenmast agent`: the programs of a VM."""
 
 import typer
 
--- a/src/pollenmast/cli/_report.py
+++ b/src/pollenmast/cli/_report.py
@@ -1,14 +1,14 @@
-"""Writes an agent's JSON answer as tables.
+"""Formats an agent's JSON answer as tables.
 
-The tables follow the answer's own keys, so that a command line of one
-version shows all that an agent of another version tells.
+The tables are built from the keys of the answer, so that the command line
+shows every field even if the agent has another version.
 """
 
 from pollenmast.cli._output import printable, table
 
 
 def report(answer: object) -> str:
-    """Returns an answer as lines and tables that a person can read."""
+    """Returns an answer as lines and tables for people."""
     if not isinstance(answer, dict):
         return _cell(answer)
     plain = [(k, _cell(v)) for k, v in answer.items() if not _is_part(v)]
@@ -20,7 +20,7 @@
 
 
 def explanation(answer: object) -> str:
-    """Returns the lines of an answer to `explain`."""
+    """Returns the lines of an `/explain` answer as one text."""
     lines = answer.get("lines") if isinstance(answer, dict) else None
     if not isinstance(lines, list):
         return report(answer)
@@ -44,7 +44,7 @@
 
 
 def _pairs(prefix: str, value: dict[str, object]) -> list[tuple[object, ...]]:
-    """Flattens objects within objects, as with counters by reason."""
+    """Flattens nested objects into rows with dotted keys."""
     rows: list[tuple[object, ...]] = []
     for key, inner in value.items():
         if isinstance(inner, dict):
--- a/src/pollenmast/cli/_run.py
+++ b/src/pollenmast/cli/_run.py
@@ -1,4 +1,4 @@
-"""Runs one of the two programs of a VM."""
+"""Starts the two programs of a VM."""
 
 import os
 import sys
@@ -10,19 +10,19 @@
 
 
 def run_relay(file: str) -> int:
-    """Runs the relay with a settings file; returns the exit code."""
+    """Runs the relay with a settings file and returns the exit code."""
     settings = _checked(file)
     if settings is None:
         return ExitCode.REFUSED
-    # Imported only here, as the agent is below: each program would else load
-    # what only the other one needs, and a small VM has little memory.
+    # Both programs are imported in their functions: otherwise each would load
+    # the modules of the other, and a small VM has little memory.
     from pollenmast import relay
 
     return relay.run(settings)
 
 
 def run_agent(file: str) -> int:
-    """Runs the agent with a settings file; returns the exit code."""
+    """Runs the agent with a settings file and returns the exit code."""
     settings = _checked(file)
     if settings is None:
         return ExitCode.REFUSED
@@ -32,10 +32,13 @@
 
 
 def _checked(file: str) -> Settings | None:
-    """Returns the settings, or None after telling every fault in them.
+    """Loads the settings and starts the log.
 
-    With good settings the log begins, before any part of a program can write
-    to it: until then eliot keeps its lines in memory.
+    The log starts before any module of a program can write to it, because
+    eliot keeps lines in memory until it has a destination.
+
+    Returns:
+        The settings, or None after printing every fault in them.
     """
     checked = load(file, os.environ)
     for fault in checked.err() or ():
--- a/src/pollenmast/cli/_settings.py
+++ b/src/pollenmast/cli/_settings.py
@@ -51,7 +51,7 @@
 
 
 def _values(settings: Settings) -> dict[str, dict[str, object]]:
-    """Returns the values by section, without the content of keys."""
+    """Returns the values by section, without the secret keys."""
     values = attrs.asdict(settings)
     fleet = settings.fleet
     values["fleet"]["key"] = "given"
--- a/src/pollenmast/cli/_story.py
+++ b/src/pollenmast/cli/_story.py
@@ -1,4 +1,4 @@
-"""The story of one request, flow or endpoint, from the programs' logs."""
+"""Builds the timeline of a request, flow or endpoint from log lines."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -8,8 +8,8 @@
 from pollenmast.cli._output import printable
 
 _NAMING = ("request", "flow", "endpoint")
-"""Fields that lead from one line to others: a request to its flow, a flow to
-its endpoint."""
+"""Fields that connect log lines: a request to its flow, a flow to its
+endpoint."""
 
 _HIDDEN = frozenset(
     ("timestamp", "task_uuid", "task_level", "message_type", "event")
@@ -20,13 +20,15 @@
     ("zone_drained", "zone_restored", "zones_unreached", "zones_reached")
     + ("platform_lost", "platform_back", "history_gone", "directory_restored")
 )
-"""What a VM learned of zones, and how well it followed the directory, explains
-where it placed a flow."""
+"""Events about zones and about the VM's reads of the directory: they explain
+where the VM placed a flow."""
 
 BEFORE_S = 10.0
-"""How long before the subject an endpoint's lines still explain it."""
+"""Lines about an endpoint, a zone or the directory are included from this many
+seconds before the subject's first line."""
 
 AFTER_S = 10.0
+"""The same lines are included until this many seconds after its last line."""
 
 
 @attrs.frozen
@@ -41,21 +43,24 @@
 
 
 def read(lines: Iterable[str]) -> list[_Line]:
-    """Returns the log's lines in the order of their times.
+    """Parses log lines and sorts them by time.
 
-    A collector's prefix before the JSON object is passed over, and so is
-    every line that is none of a program's.
+    A log collector's prefix before the JSON object is skipped, as are lines
+    that no program of pollenmast wrote.
     """
     parsed = [line for line in map(_parse, lines) if line is not None]
     return sorted(parsed, key=lambda line: line.at)
 
 
 def story(lines: list[_Line], subject: str) -> list[str]:
-    """Returns what happened to a subject, one text a line.
+    """Returns the timeline of a subject.
 
     Args:
-        lines: From `read`.
+        lines: The log lines, sorted by time as `read` returns them.
         subject: A request's id, a flow or an endpoint, as logged.
+
+    Returns:
+        One text for each line, or an empty list if no line names the subject.
     """
     own = [line for line in lines if line.names(subject)]
     if not own:
--- a/src/pollenmast/events/_catalogue.py
+++ b/src/pollenmast/events/_catalogue.py
@@ -58,8 +58,8 @@
 CUT = Event(
     104,
     "cut",
-    "A program ended at once, before its graceful shutdown was complete, and"
-    " may have lost its open flows.",
+    "A program ended at once, before its graceful shutdown was complete;"
+    " open flows may be lost with it.",
     "Look at `flows`; callers that keep sending are served by another VM.",
 )
 START_FAILED = Event(
@@ -227,7 +227,7 @@
     202,
     "flow_reset",
     "A client was told by a reset that its flow has ended; `reason` says why.",
-    "Look at the endpoint, or for `no_route` the configuration.",
+    "Look at the endpoint, or for `no_route` at the configuration.",
 )
 SEGMENT_DROPPED = Event(
     203,
--- a/tests/cli_adapted_test.py
+++ b/tests/cli_adapted_test.py
@@ -1,4 +1,4 @@
-"""Tests of cli._adapted: formats of the platform on the command line."""
+"""Tests of `--adapter` and `decode`: formats of the platform."""
 
 import json
 
@@ -51,10 +51,10 @@
 
 
 class AdaptedTest(CommandCase):
-    """An operator of the platform checks files before a roll-out."""
+    """Operators check the platform's files before a roll-out."""
 
     def test_settings(self):
-        """The values in force are shown in the product's words."""
+        """The values in force are printed."""
         file = self.write("boot.conf", SETTINGS)
         code, output, _ = self.run_command(
             "settings", "check", file, "--adapter", "platform"
@@ -69,9 +69,9 @@
         ]
     )
     def test_fault(self, command, text, fault):
-        """A wrong file is refused with the field that is wrong.
+        """An invalid file is refused and the error names the field.
 
-        Found out at the next start, it would take a VM out of service.
+        A fault found only at the next start would take a VM out of service.
         """
         file = self.write("wrong", text)
         code, _, complaints = self.run_command(
@@ -81,7 +81,7 @@
         self.assertIn(fault, complaints)
 
     def test_configuration(self):
-        """Each route is told with its services and shares."""
+        """Each route is printed with its services and their weights."""
         file = self.write("config.json", json.dumps(CONFIGURATION))
         code, output, _ = self.run_command(
             "manifest", "check", file, "--adapter", "platform", "--json"
@@ -96,7 +96,7 @@
         self.assertNotIn("warm-up of spare", read)
 
     def test_unknown_adapter(self):
-        """The adapters that there are stand in the complaint."""
+        """The error lists the adapters that exist."""
         code, _, complaints = self.run_command(
             "settings", "check", "file", "--adapter", "moon"
         )
@@ -104,7 +104,7 @@
         self.assertIn("allowed: platform", complaints)
 
     def test_no_file(self):
-        """A file that is not there is a complaint, not a traceback."""
+        """A missing file gives an error message, not a traceback."""
         code, _, complaints = self.run_command(
             "settings", "check", "/nowhere", "--adapter", "platform"
         )
@@ -113,10 +113,10 @@
 
 
 class DecodeTest(CommandCase):
-    """A packet from a capture, in words."""
+    """`decode` prints the fields of a captured packet."""
 
     def test_syn(self):
-        """A SYN's flow and its copies are told."""
+        """A SYN's flow and the number of its earlier copies are printed."""
         code, output, _ = self.run_command("decode", SYN)
         self.assertEqual(ExitCode.OK, code)
         self.assertIn("100.64.0.7:40001", output)
@@ -124,7 +124,7 @@
 
     @parameterized.expand([("odd", "abc"), ("words", "xy"), ("short", "00")])
     def test_no_packet(self, _, text):
-        """What is no packet is refused."""
+        """Input that is not a packet is refused."""
         code, _, complaints = self.run_command("decode", text)
         self.assertEqual(ExitCode.REFUSED, code)
         self.assertTrue(complaints)
--- a/tests/cli_app_test.py
+++ b/tests/cli_app_test.py
@@ -1,4 +1,4 @@
-"""Tests of cli: every command, as an operator calls it."""
+"""Tests of cli: every command, called as an operator does."""
 
 import contextlib
 import io
@@ -21,10 +21,10 @@
 
 
 class CommandCase(TestCase):
-    """Runs commands on files in a folder of its own."""
+    """Base class: runs commands on files in a temporary folder."""
 
     def setUp(self):
-        """Makes the folder with a valid file of each sort."""
+        """Creates the folder with a valid file of each kind."""
         super().setUp()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -39,7 +39,7 @@
         return str(self.folder / name)
 
     def run_command(self, *arguments: str) -> tuple[int, str, str]:
-        """Returns a command's exit code, output and complaints."""
+        """Runs a command; returns its exit code, output and error output."""
         output, complaints = io.StringIO(), io.StringIO()
         with (
             contextlib.redirect_stdout(output),
@@ -50,10 +50,10 @@
 
 
 class CommandTest(CommandCase):
-    """What each command prints, and how it ends."""
+    """The output and the exit code of each command."""
 
     def test_version(self):
-        """The version is that of the package."""
+        """`--version` prints the version of the package."""
         self.assertEqual(
             (0, f"pollenmast {pollenmast.VERSION}\n", ""),
             self.run_command("--version"),
@@ -76,13 +76,13 @@
         ]
     )
     def test_help(self, _, words):
-        """Each command's help shows an example of that command."""
+        """The help of each command shows an example of it."""
         code, output, _ = self.run_command(*words, "--help")
         self.assertEqual(ExitCode.OK, code)
         self.assertIn(f"Example: pollenmast {' '.join(words)}", output)
 
     def test_exit_codes_are_told(self):
-        """The help names every exit code."""
+        """The help lists every exit code."""
         _, output, _ = self.run_command("--help")
         for code in ExitCode:
             self.assertIn(f"{code.value} ", output.split("Exit codes:")[1])
@@ -97,11 +97,11 @@
         ]
     )
     def test_usage(self, _, words):
-        """A wrong command line ends with exit code 2."""
+        """An invalid command line gives exit code 2."""
         self.assertEqual(ExitCode.REFUSED, self.run_command(*words)[0])
 
     def test_events(self):
-        """The catalogue is printed whole, as a table and as JSON."""
+        """The whole catalogue is printed, as a table and as JSON."""
         _, output, _ = self.run_command("events", "--json")
         self.assertEqual(
             [event.number for event in CATALOGUE],
@@ -112,10 +112,10 @@
 
 
 class SettingsTest(CommandCase):
-    """`settings check` and the programs' own check."""
+    """`settings check`, and the checks of `relay` and `agent`."""
 
     def test_check(self):
-        """Every value in force is shown, but for the key."""
+        """Every value in force is printed, except the key."""
         code, output, _ = self.run_command("settings", "check", self.settings)
         self.assertEqual(ExitCode.OK, code)
         self.assertIn("pos-frederick", output)
@@ -136,9 +136,9 @@
         ]
     )
     def test_faults(self, _, words):
-        """A VM gets a wrong settings file.
+        """An invalid settings file gives one line per fault.
 
-        Each fault is one line, and nothing is started with a part of it.
+        No program starts with the valid part of it.
         """
         file = self.write("wrong.ini", "[vm]\nname = A\n")
         code, output, complaints = self.run_command(*words, file)
@@ -149,7 +149,7 @@
 
     @parameterized.expand([("relay", relay), ("agent", agent)])
     def test_programs(self, name, package):
-        """A program gets the settings, and its exit code is the command's."""
+        """The program receives the settings; its exit code is returned."""
         given = []
 
         def run(settings):
@@ -166,10 +166,10 @@
             given.clear()
 
     def test_imports_are_late(self):
-        """The agent loads what only the relay or a short command needs.
+        """The agent does not import what only the relay or short commands need.
 
-        It would keep that for months, and outgrow the memory that control
-        may take of a small VM.
+        The modules would stay loaded for months, and the agent would exceed
+        the memory allowed for control on a small VM.
         """
         code = (
             "import sys, pollenmast.cli, pollenmast.agent as agent;"
@@ -191,7 +191,7 @@
     """`manifest check`, `manifest schema` and `manifest diff`."""
 
     def test_check(self):
-        """A valid manifest is summed up."""
+        """A summary of a valid manifest is printed."""
         code, output, _ = self.run_command("manifest", "check", self.manifest)
         self.assertEqual(ExitCode.OK, code)
         self.assertIn("registry", output)
@@ -201,7 +201,7 @@
         self.assertEqual(3, json.loads(output)["version"])
 
     def test_faults(self):
-        """A wrong manifest is refused with path and reason."""
+        """An invalid manifest is refused with path and reason."""
         file = self.write("wrong.json", encode(example(port=0)).decode())
         code, _, complaints = self.run_command("manifest", "check", file)
         self.assertEqual(ExitCode.REFUSED, code)
@@ -218,18 +218,18 @@
         ]
     )
     def test_no_file(self, _, words):
-        """A file that cannot be read is told, without a traceback."""
+        """An unreadable file gives one line of error and no traceback."""
         code, _, complaints = self.run_command(*words, "/no/such/file")
         self.assertEqual(ExitCode.REFUSED, code)
         self.assertEqual(1, len(complaints.splitlines()))
 
     def test_schema(self):
-        """The schema is JSON."""
+        """The schema is printed as JSON."""
         _, output, _ = self.run_command("manifest", "schema")
         self.assertEqual("pollenmast manifest", json.loads(output)["title"])
 
     def test_diff(self):
-        """A release is told in words and as JSON."""
+        """The differences are printed as a table and as JSON."""
         value = {**example(state="draining"), "version": 4}
         new = self.write("new.json", encode(value).decode())
         code, output, _ = self.run_command(
@@ -243,7 +243,7 @@
         self.assertEqual("drain", json.loads(output)[0]["effect"])
 
     def test_diff_of_an_older_version(self):
-        """A release that the fleet will not take ends with exit code 2."""
+        """A new manifest that the fleet would ignore gives exit code 2."""
         new = self.write(
             "new.json", encode({**example(port=5), "version": 2}).decode()
         )
--- a/tests/cli_operators_test.py
+++ b/tests/cli_operators_test.py
@@ -1,4 +1,4 @@
-"""Tests of cli._operators, cli._client and cli._report."""
+"""Tests of `status` and `explain`, and of their output."""
 
 import http.server
 import json
@@ -23,7 +23,7 @@
 
 
 class _Agent(http.server.BaseHTTPRequestHandler):
-    """Answers as an agent does, or as something else on its port."""
+    """Answers like an agent, or like another program on its port."""
 
     def do_GET(self):  # noqa: N802 - the library names it
         """Answers one request."""
@@ -48,10 +48,10 @@
 
 
 class OperatorsTest(CommandCase):
-    """An operator asks a VM."""
+    """Operators query a VM."""
 
     def setUp(self):
-        """Starts an agent's stand-in."""
+        """Starts a stand-in for an agent."""
         super().setUp()
         server = http.server.HTTPServer(("127.0.0.1", 0), _Agent)
         thread = threading.Thread(target=server.serve_forever)
@@ -62,11 +62,11 @@
         self.address = f"127.0.0.1:{server.server_port}"
 
     def ask(self, *words: str) -> tuple[int, str, str]:
-        """Runs a command with the stand-in's address."""
+        """Runs a command with the address of the stand-in."""
         return self.run_command(*words, "--address", self.address)
 
     def test_status(self):
-        """The status is shown as tables, and as JSON unchanged."""
+        """The status is printed as tables, and unchanged as JSON."""
         code, output, _ = self.ask("status")
         self.assertEqual(ExitCode.OK, code)
         for text in ("relay-2  suspect", "refusals  busy", "12.2", "ready"):
@@ -83,13 +83,13 @@
         ]
     )
     def test_explain(self, _, subject, code, output, complaint):
-        """The lines of an answer are shown, and a missing answer is told."""
+        """The lines of an answer, or an error without one, are printed."""
         ended, shown, complaints = self.ask("explain", subject)
         self.assertEqual((code, output), (ended, shown))
         self.assertIn(complaint, complaints)
 
     def test_nobody_there(self):
-        """The agent is down: exit code 1 and one line."""
+        """Without an agent on the port: exit code 1 and one line of error."""
         code, _, complaints = self.run_command(
             "status", "--address", "127.0.0.1:1"
         )
@@ -97,7 +97,7 @@
 
 
 class ReportTest(TestCase):
-    """Any answer is shown, also of a version not yet known."""
+    """Every answer can be shown, also that of an unknown version."""
 
     @parameterized.expand(
         [
@@ -110,5 +110,5 @@
         ]
     )
     def test_report(self, _, answer, expected):
-        """Each shape of JSON has a form that a person can read."""
+        """Each shape of JSON has a readable form."""
         self.assertEqual(expected, report(answer))
--- a/tests/cli_story_test.py
+++ b/tests/cli_story_test.py
@@ -1,4 +1,4 @@
-"""Tests of cli._story: from a request's id to its cause."""
+"""Tests of `explain --log`: timelines from log lines."""
 
 import json
 import tempfile
@@ -31,11 +31,11 @@
 
 
 class StoryTest(TestCase):
-    """What an engineer on call reads after a complaint."""
+    """An engineer on call traces a failed request by its id."""
 
     @parameterized.expand([("request", "ab"), ("flow", FLOW)])
     def test_cut_off(self, _, subject):
-        """A request was cut off; its id leads to the endpoint that died."""
+        """The id of a reset request leads to the endpoint that failed."""
         told = _story.story(_story.read(LOG), subject)
         names = [text.split(" s  ")[1].split("  ")[1] for text in told]
         self.assertEqual(
@@ -45,9 +45,10 @@
         self.assertIn("check=timeout", told[2])
 
     def test_drained_zone(self):
-        """What the VM knew of drains is told with a flow that was refused.
+        """The timeline of a refused flow includes what the VM knew of drains.
 
-        A drain of another VM's, or of an hour ago, explains nothing.
+        Lines of another VM or from long before are left out: they do not
+        explain the refusal.
         """
         log = [
             _line(101.0, "zone_drained", zone="a", revision=7),
@@ -68,9 +69,11 @@
         ]
     )
     def test_directory(self, name, fields):
-        """A flow goes where nothing is served: the VM had lost its directory.
+        """The timeline of a flow includes the VM's trouble with its directory.
 
-        On-call would look at the endpoint, which says all there is of it.
+        A VM that has lost its directory can send a flow to an endpoint that
+        serves nothing. Without these lines, an engineer on call would look
+        only at the endpoint.
         """
         log = [
             _line(101.0, name, **fields),
@@ -82,14 +85,14 @@
         self.assertIn(name, told[0])
 
     def test_terminal(self):
-        """A client's text in a log line cannot steer the terminal."""
+        """Escape sequences from a client do not reach the terminal."""
         line = _line(1.0, "request_carried", request="ab", flow="\x1b[2J")
         told = _story.story(_story.read([line]), "ab")
         self.assertNotIn("\x1b", told[0])
 
     @parameterized.expand([("known", "ab", 0), ("unknown", "zz", 1)])
     def test_command(self, _, subject, code):
-        """The command reads a file, and says when nothing is found."""
+        """The command reads a file and fails if no line names the subject."""
         with tempfile.NamedTemporaryFile("w") as file:
             file.write("\n".join(LOG))
             file.flush()
--- a/tests/events_catalogue_test.py
+++ b/tests/events_catalogue_test.py
@@ -9,17 +9,17 @@
 
 
 class CatalogueTest(TestCase):
-    """Operators and their alarms rely on numbers and names."""
+    """Operators and their alerts rely on the numbers and names of events."""
 
     def test_complete(self):
-        """Every event that the package offers stands in the catalogue."""
+        """Every event that the package exports is in the catalogue."""
         offered = {
             value for value in vars(events).values() if isinstance(value, Event)
         }
         self.assertEqual(offered, set(CATALOGUE))
 
     def test_unique(self):
-        """No number and no name stands twice."""
+        """No number and no name is used twice."""
         numbers = [event.number for event in CATALOGUE]
         names = [event.name for event in CATALOGUE]
         self.assertEqual(len(numbers), len(set(numbers)))
--- a/tests/events_log_test.py
+++ b/tests/events_log_test.py
@@ -12,13 +12,13 @@
 
 
 class EventLogTest(TestCase):
-    """A flood from outside does not become a flood of lines."""
+    """The log limits the lines per second of each event."""
 
     def setUp(self):
-        """Gathers what is written.
+        """Collects the lines that are written.
 
-        Eliot hands its first destination what was written before there was
-        one, also by other tests' logs in the same process.
+        Eliot passes to its first destination all lines written before, also
+        those of other tests in the same process; they are cleared.
         """
         super().setUp()
         self.lines: list[dict[str, object]] = []
@@ -33,7 +33,7 @@
         return [line for line in self.lines if line["event"] == event.number]
 
     def test_fields(self):
-        """A line names event, program and VM, and carries its fields."""
+        """A line contains event, program, VM and the given fields."""
         self.log.write(STARTED, port=7001)
         line = self.written(STARTED)[0]
         self.assertEqual(
@@ -45,10 +45,10 @@
         )
 
     def test_flood(self):
-        """Somebody sends what makes the program log, thousands of times.
+        """Lines over the limit are suppressed, and counted in a later line.
 
-        Without a bound the log would take the processor; what is left out
-        is counted and told in the next second.
+        Without a limit, a client that causes thousands of events would use up
+        the processor time.
         """
         for _ in range(1000):
             self.log.write(STARTED)
@@ -62,7 +62,7 @@
         )
 
     def test_flood_at_the_end(self):
-        """A flood is told of when the program ends right after it."""
+        """`flush` reports suppressed lines once, for a program that ends."""
         for _ in range(BURST + 5):
             self.log.write(STARTED)
         self.log.flush()
@@ -72,7 +72,7 @@
         )
 
     def test_events_apart(self):
-        """A flood of one event does not silence another."""
+        """The limit of one event does not suppress another."""
         for _ in range(BURST + 1):
             self.log.write(STARTED)
         self.log.write(STOPPED)
@@ -80,10 +80,10 @@
 
 
 class JsonSinkTest(TestCase):
-    """Lines without eliot have the same form."""
+    """Lines written without eliot have the same fields."""
 
     def test_line(self):
-        """A line is one JSON object with the time, whatever its fields."""
+        """A line is one JSON object with the time, for fields of any type."""
         stream = io.BytesIO()
         sink = JsonSink(stream, lambda: 1.5)
         log = EventLog("entry", "vm-1", lambda: 10.0, sink)
--- a/tests/events_stream_test.py
+++ b/tests/events_stream_test.py
@@ -10,10 +10,10 @@
 
 
 class BoundedStreamTest(TestCase):
-    """Writing the log never waits for its reader."""
+    """Writing to the log never blocks on its reader."""
 
     def setUp(self):
-        """Makes a pipe."""
+        """Creates a pipe."""
         super().setUp()
         self.reader, self.writer = os.pipe()
         self.stream = BoundedStream(self.writer)
@@ -23,7 +23,7 @@
             os.close(descriptor)
 
     def test_reader_sleeps(self):
-        """Nobody reads: lines are dropped and counted, and no write waits.
+        """If nobody reads, lines are dropped and counted, and no write blocks.
 
         A blocking write would stop the packets of every flow.
         """
@@ -47,7 +47,7 @@
         self._close(self.reader, self.writer)
 
     def test_reader_gone(self):
-        """The reader ended; the program goes on without a log."""
+        """If the reader has ended, writes are ignored and raise nothing."""
         self._close(self.reader)
         for _ in range(10):
             self.stream.write(_LINE)
@@ -55,7 +55,7 @@
         self._close(self.writer)
 
     def test_whole_lines(self):
-        """What is written arrives in order and whole."""
+        """Lines arrive complete and in order."""
         for number in range(5):
             self.stream.write(b"%d\n" % number)
         self.stream.flush()
--- a/tests/operators_site_test.py
+++ b/tests/operators_site_test.py
@@ -1,4 +1,4 @@
-"""Tests of operators: what each path answers."""
+"""Tests of operators: the answer of each path, and the metrics."""
 
 import json
 
@@ -26,7 +26,7 @@
 
 
 class FakeKnowledge(operators.Knowledge):
-    """Answers as told."""
+    """Returns the given fault and lines."""
 
     def __init__(self, fault: str | None = None, lines=("a line",)):
         self.fault = fault
@@ -59,7 +59,7 @@
     return operators.Gauges(5, 0, 2, {"alive": 9, "dead": 0}, 3, 4.0)
 
 
-# One for all tests: its instruments are the process's own.
+# Shared by all tests: instruments are registered once per process.
 METRICS = operators.Metrics(_counters, _gauges)
 
 
@@ -69,7 +69,7 @@
 
 
 class SiteTest(TestCase):
-    """Each path has its answer; nothing else has one."""
+    """Known paths are answered; other requests are refused."""
 
     @parameterized.expand(
         [
@@ -84,42 +84,45 @@
         ]
     )
     def test_status_code(self, _, target, method, status):
-        """The status code says what became of the request."""
+        """Each request gets its status code."""
         self.assertEqual(status, _ask(target, method=method).status)
 
     @parameterized.expand([("/ready",), ("/health",)])
     def test_not_well(self, target):
-        """A fabric that checks readiness sees why a VM takes nothing."""
+        """A failed check is answered with 503 and the reason.
+
+        The fabric checks readiness and sees why a VM accepts no flows.
+        """
         answer = _ask(target, FakeKnowledge("no manifest yet"))
         self.assertEqual(
             (503, b"no manifest yet\n"), (answer.status, answer.body)
         )
 
     def test_status(self):
-        """The status is JSON with the model's own names."""
+        """The status is JSON with the field names of the model."""
         status = json.loads(_ask("/status").body)
         self.assertEqual("vm-1", status["vm"]["name"])
         self.assertEqual(2, status["counters"][0]["value"])
 
     def test_explain(self):
-        """The subject reaches the relay unquoted, the lines come back."""
+        """The subject is passed on unquoted, and the lines are returned."""
         knowledge = FakeKnowledge()
         answer = _ask("/explain?subject=10.0.0.1%3A99", knowledge)
         self.assertEqual(["10.0.0.1:99"], knowledge.asked)
         self.assertEqual(["a line"], json.loads(answer.body)["lines"])
 
     def test_explain_without_relay(self):
-        """The relay of the VM is gone; the operator is told so."""
+        """Without an answer of the relay, the status code is 503."""
         self.assertEqual(
             503, _ask("/explain", FakeKnowledge(lines=None)).status
         )
 
 
 class MetricsTest(TestCase):
-    """Every counter exists from the start, by program and reason."""
+    """Every counter is exported from the start, by program and reason."""
 
     def setUp(self):
-        """Scrapes once."""
+        """Scrapes the metrics once."""
         super().setUp()
         text = _ask("/metrics").body.decode()
         self.samples = {
@@ -130,13 +133,13 @@
         }
 
     def test_zeros_included(self):
-        """A reason that never occurred is scraped as zero."""
+        """A reason that never occurred is exported as zero."""
         cases = sum(len(definition.reasons) for definition in CATALOGUE)
         labelled = [name for name in self.samples if "program" in dict(name[1])]
         self.assertEqual(2 * cases, len(labelled))
 
     def test_values(self):
-        """Relay's counters and the gauges show their values."""
+        """The relay's counters and the gauges have their values."""
         values = {
             (name, dict(labels).get("reason"), dict(labels).get("state")): value
             for (name, labels), value in self.samples.items()
