--- a/src/pollenmast/cli/_adapted.py
+++ b/src/pollenmast/cli/_adapters.py
@@ -10,37 +10,45 @@
 
 from pollenmast import adapters
 from pollenmast.cli._exits import ExitCode
-from pollenmast.cli._output import complain, json_text, printable, say, table
+from pollenmast.cli._output import (
+    json_text,
+    print_error,
+    print_output,
+    printable,
+    table,
+)
 
-ADAPTER = typer.Option(
+ADAPTER_OPTION = typer.Option(
     "",
     "--adapter",
     help=f"Read the format of: {', '.join(adapters.NAMES)}.",
 )
 
 
-def find(name: str) -> adapters.Adapter:
+def find_or_exit(name: str) -> adapters.Adapter:
     """Returns the adapter of this name, or exits with an error message."""
     adapter = adapters.find(name)
     if adapter is None:
         allowed = ", ".join(adapters.NAMES)
-        complain(f"--adapter: found '{printable(name)}', allowed: {allowed}")
-        raise typer.Exit(ExitCode.REFUSED)
+        print_error(f"--adapter: found '{printable(name)}', allowed: {allowed}")
+        raise typer.Exit(ExitCode.INVALID_INPUT)
     return adapter
 
 
-def tell(checked: Result[adapters.Rows, str], as_json: bool) -> NoReturn:
+def print_result(result: Result[adapters.Rows, str], as_json: bool) -> NoReturn:
     """Prints the rows or the fault that an adapter returned, and exits."""
-    fault = checked.err_value if isinstance(checked, Err) else None
-    rows = [] if isinstance(checked, Err) else checked.ok_value
+    fault = result.err_value if isinstance(result, Err) else None
+    rows = [] if isinstance(result, Err) else result.ok_value
     if as_json:
-        say(json_text({"faults": [fault] if fault else [], "read": dict(rows)}))
+        print_output(
+            json_text({"faults": [fault] if fault else [], "read": dict(rows)})
+        )
     elif fault is None:
         shown = [(name, printable(value)) for name, value in rows]
-        say(table(("WHAT", "VALUE"), shown))
+        print_output(table(("WHAT", "VALUE"), shown))
     else:
-        complain(printable(fault))
-    raise typer.Exit(ExitCode.REFUSED if fault else ExitCode.OK)
+        print_error(printable(fault))
+    raise typer.Exit(ExitCode.INVALID_INPUT if fault else ExitCode.OK)
 
 
 def check_file(
@@ -60,9 +68,9 @@
             data = stream.read()
     except (OSError, ValueError) as error:
         reason = getattr(error, "strerror", None) or "no path"
-        complain(f"{file}: {reason}")
-        raise typer.Exit(ExitCode.REFUSED) from error
-    tell(read(data), as_json)
+        print_error(f"{file}: {reason}")
+        raise typer.Exit(ExitCode.INVALID_INPUT) from error
+    print_result(read(data), as_json)
 
 
 def decode(
@@ -83,6 +91,6 @@
     text = sys.stdin.read() if packet == "-" else packet
     digits = "".join(text.split())
     if len(digits) % 2 or not set(digits) <= set(string.hexdigits):
-        complain("packet: allowed are pairs of hex digits")
-        raise typer.Exit(ExitCode.REFUSED)
-    tell(find(adapter).packet(bytes.fromhex(digits)), as_json)
+        print_error("packet: allowed are pairs of hex digits")
+        raise typer.Exit(ExitCode.INVALID_INPUT)
+    print_result(find_or_exit(adapter).packet(bytes.fromhex(digits)), as_json)
--- a/src/pollenmast/cli/_app.py
+++ b/src/pollenmast/cli/_app.py
@@ -4,11 +4,11 @@
 
 from pollenmast import VERSION
 from pollenmast.cli import _manifest, _settings
-from pollenmast.cli._adapted import decode
+from pollenmast.cli._adapters import decode
 from pollenmast.cli._events import events
-from pollenmast.cli._exits import MEANINGS, ExitCode
+from pollenmast.cli._exits import HELP, ExitCode
 from pollenmast.cli._operators import explain, status
-from pollenmast.cli._output import say
+from pollenmast.cli._output import print_output
 from pollenmast.cli._programs import agent, relay
 
 app = typer.Typer(
@@ -18,13 +18,13 @@
     pretty_exceptions_enable=False,
     # With plain help the two long-running programs need no further library.
     rich_markup_mode=None,
-    epilog=MEANINGS,
+    epilog=HELP,
 )
 
 
 def _print_version(wanted: bool) -> None:
     if wanted:
-        say(f"pollenmast {VERSION}")
+        print_output(f"pollenmast {VERSION}")
         raise typer.Exit(ExitCode.OK)
 
 
--- a/src/pollenmast/cli/_client.py
+++ b/src/pollenmast/cli/_client.py
@@ -10,13 +10,13 @@
 _TIMEOUT_S = 5.0
 """Time-out of a request, in seconds. Agents answer from memory."""
 
-_MOST_BYTES = 16_000_000
+_MAX_ANSWER_BYTES = 16_000_000
 """Maximum size of an answer, in bytes.
 
 A status with 11,000 endpoints has about two megabytes. The limit keeps another
 program on that port from filling the memory."""
 
-_MOST_SHOWN = 200
+_MAX_SHOWN_BYTES = 200
 """Maximum bytes shown of an error answer."""
 
 
@@ -35,19 +35,21 @@
     try:
         connection.request("GET", path)
         response = connection.getresponse()
-        data = response.read(_MOST_BYTES + 1)
+        data = response.read(_MAX_ANSWER_BYTES + 1)
     except (OSError, http.client.HTTPException) as error:
         return Err(f"{address}:{port} gave no answer ({error})")
     finally:
         connection.close()
     if response.status != http.HTTPStatus.OK:
-        return Err(f"{address}:{port} answered {response.status} {_line(data)}")
+        return Err(
+            f"{address}:{port} answered {response.status} {_excerpt(data)}"
+        )
     try:
         return Ok(json.loads(data))
     except (ValueError, RecursionError):
         return Err(f"{address}:{port} answered with something else than JSON")
 
 
-def _line(data: bytes) -> str:
-    text = data[:_MOST_SHOWN].decode("utf-8", "replace")
+def _excerpt(data: bytes) -> str:
+    text = data[:_MAX_SHOWN_BYTES].decode("utf-8", "replace")
     return printable(text.strip())
--- a/src/pollenmast/cli/_events.py
+++ b/src/pollenmast/cli/_events.py
@@ -3,7 +3,7 @@
 import attrs
 import typer
 
-from pollenmast.cli._output import json_text, say, table
+from pollenmast.cli._output import json_text, print_output, table
 from pollenmast.events import CATALOGUE
 
 
@@ -12,10 +12,10 @@
 ) -> None:
     """Lists every event that the programs log."""
     if as_json:
-        say(json_text([attrs.asdict(event) for event in CATALOGUE]))
+        print_output(json_text([attrs.asdict(event) for event in CATALOGUE]))
         return
     rows = [
         (event.number, event.name, event.meaning, event.action)
         for event in CATALOGUE
     ]
-    say(table(("NUMBER", "NAME", "MEANING", "WHAT TO DO"), rows))
+    print_output(table(("NUMBER", "NAME", "MEANING", "WHAT TO DO"), rows))
--- a/src/pollenmast/cli/_exits.py
+++ b/src/pollenmast/cli/_exits.py
@@ -11,14 +11,14 @@
     """The command could not be carried out, for example because a VM did not
     answer."""
 
-    REFUSED = 2
+    INVALID_INPUT = 2
     """The settings, the manifest or the command line are invalid."""
 
-    CUT = 3
+    FORCED = 3
     """A second signal ended a program before its graceful shutdown was done."""
 
 
-MEANINGS = (
+HELP = (
     "Exit codes: 0 done; 1 could not be done; 2 wrong settings, manifest or"
     " command line; 3 ended at once by a second signal."
 )
--- a/src/pollenmast/cli/_manifest.py
+++ b/src/pollenmast/cli/_manifest.py
@@ -3,9 +3,9 @@
 import attrs
 import typer
 
-from pollenmast.cli import _adapted
+from pollenmast.cli import _adapters
 from pollenmast.cli._exits import ExitCode
-from pollenmast.cli._output import complain, json_text, say, table
+from pollenmast.cli._output import json_text, print_error, print_output, table
 from pollenmast.manifest import (
     MOST_BYTES,
     Difference,
@@ -30,7 +30,7 @@
 def check(
     file: str = typer.Argument(..., help="The manifest."),
     as_json: bool = _JSON,
-    adapter: str = _adapted.ADAPTER,
+    adapter: str = _adapters.ADAPTER_OPTION,
 ) -> None:
     """Checks a manifest as the fleet will, and sums it up.
 
@@ -38,17 +38,17 @@
     fault. With --adapter it is the configuration of another place.
     """
     if adapter:
-        found = _adapted.find(adapter)
-        _adapted.check_file(file, found.configuration, as_json)
+        found = _adapters.find_or_exit(adapter)
+        _adapters.check_file(file, found.configuration, as_json)
     checked = parse(_read_or_exit(file))
     faults = checked.err() or ()
     if as_json:
-        say(json_text(_summary(checked.ok(), faults)))
+        print_output(json_text(_summary(checked.ok(), faults)))
     elif checked.is_ok():
-        say(_table(checked.unwrap()))
+        print_output(_table(checked.unwrap()))
     for fault in () if as_json else faults:
-        complain(f"{file}: {fault}")
-    raise typer.Exit(ExitCode.REFUSED if faults else ExitCode.OK)
+        print_error(f"{file}: {fault}")
+    raise typer.Exit(ExitCode.INVALID_INPUT if faults else ExitCode.OK)
 
 
 @app.command(
@@ -57,7 +57,7 @@
 )
 def print_schema() -> None:
     """Prints the JSON schema of a manifest, for editors and pipelines."""
-    say(json_text(schema()))
+    print_output(json_text(schema()))
 
 
 @app.command(
@@ -75,15 +75,15 @@
     """
     found = differences(_parse_or_exit(old), _parse_or_exit(new))
     if as_json:
-        say(json_text([_difference(item) for item in found]))
+        print_output(json_text([_difference(item) for item in found]))
     elif found:
         rows = [(item.effect.value, item.subject, item.words) for item in found]
-        say(table(("EFFECT", "SUBJECT", "WHAT IT MEANS"), rows))
+        print_output(table(("EFFECT", "SUBJECT", "WHAT IT MEANS"), rows))
     else:
-        say("no difference but the version, if that")
-    wrong = {Effect.IGNORED, Effect.CONFLICT}
-    refused = any(item.effect in wrong for item in found)
-    raise typer.Exit(ExitCode.REFUSED if refused else ExitCode.OK)
+        print_output("no difference but the version, if that")
+    not_taken = {Effect.IGNORED, Effect.CONFLICT}
+    refused = any(item.effect in not_taken for item in found)
+    raise typer.Exit(ExitCode.INVALID_INPUT if refused else ExitCode.OK)
 
 
 def _read_or_exit(file: str) -> bytes:
@@ -92,16 +92,16 @@
             return stream.read(MOST_BYTES + 1)
     except (OSError, ValueError) as error:
         reason = getattr(error, "strerror", None) or "no path"
-        complain(f"{file}: {reason}")
-        raise typer.Exit(ExitCode.REFUSED) from error
+        print_error(f"{file}: {reason}")
+        raise typer.Exit(ExitCode.INVALID_INPUT) from error
 
 
 def _parse_or_exit(file: str) -> Manifest:
     checked = parse(_read_or_exit(file))
     if checked.is_err():
         for fault in checked.unwrap_err():
-            complain(f"{file}: {fault}")
-        raise typer.Exit(ExitCode.REFUSED)
+            print_error(f"{file}: {fault}")
+        raise typer.Exit(ExitCode.INVALID_INPUT)
     return checked.unwrap()
 
 
@@ -127,9 +127,9 @@
         )
         for service in manifest.services
     ]
-    heads = ("SERVICE", "NUMBER", "PORT", "KIND", "IDEMPOTENT", "ENDPOINTS")
+    headers = ("SERVICE", "NUMBER", "PORT", "KIND", "IDEMPOTENT", "ENDPOINTS")
     title = f"version {manifest.version}, digest {manifest.digest}"
-    return f"{title}\n{table(heads, rows)}"
+    return f"{title}\n{table(headers, rows)}"
 
 
 def _difference(item: Difference) -> dict[str, str]:
--- a/src/pollenmast/cli/_operators.py
+++ b/src/pollenmast/cli/_operators.py
@@ -8,9 +8,14 @@
 
 import typer
 
-from pollenmast.cli import _client, _story
+from pollenmast.cli import _client, _timeline
 from pollenmast.cli._exits import ExitCode
-from pollenmast.cli._output import complain, json_text, printable, say
+from pollenmast.cli._output import (
+    json_text,
+    print_error,
+    print_output,
+    printable,
+)
 from pollenmast.cli._report import explanation, report
 from pollenmast.settings import socket_address
 
@@ -26,7 +31,7 @@
     endpoints with weight and reason, flows, and refusals by reason.
     """
     answer = _ask_or_exit(address, "/status")
-    say(json_text(answer) if as_json else report(answer))
+    print_output(json_text(answer) if as_json else report(answer))
 
 
 def explain(
@@ -47,37 +52,37 @@
     log lines of all VMs; nothing is asked.
     """
     if log:
-        _tell(log, subject)
+        _print_timeline(log, subject)
         return
     query = urllib.parse.urlencode({"subject": subject})
     answer = _ask_or_exit(address, f"/explain?{query}")
-    say(json_text(answer) if as_json else explanation(answer))
+    print_output(json_text(answer) if as_json else explanation(answer))
 
 
-def _tell(log: str, subject: str) -> None:
+def _print_timeline(log: str, subject: str) -> None:
     try:
         if log == "-":
-            lines = _story.read(sys.stdin)
+            lines = _timeline.read(sys.stdin)
         else:
             with open(log, encoding="utf-8", errors="replace") as file:
-                lines = _story.read(file)
+                lines = _timeline.read(file)
     except OSError as error:
-        complain(str(error))
+        print_error(str(error))
         raise typer.Exit(ExitCode.FAILED) from error
-    told = _story.story(lines, subject)
-    if not told:
-        complain(f"no line of {len(lines)} names '{printable(subject)}'")
+    shown = _timeline.timeline(lines, subject)
+    if not shown:
+        print_error(f"no line of {len(lines)} names '{printable(subject)}'")
         raise typer.Exit(ExitCode.FAILED)
-    say("\n".join(told))
+    print_output("\n".join(shown))
 
 
 def _ask_or_exit(address: str, path: str) -> object:
     socket = socket_address(address)
     if socket is None:
-        complain(f"--address: found '{address}', allowed: IP:PORT")
-        raise typer.Exit(ExitCode.REFUSED)
+        print_error(f"--address: found '{address}', allowed: IP:PORT")
+        raise typer.Exit(ExitCode.INVALID_INPUT)
     answer = _client.get(*socket, path)
     if answer.is_err():
-        complain(answer.unwrap_err())
+        print_error(answer.unwrap_err())
         raise typer.Exit(ExitCode.FAILED)
     return answer.unwrap()
--- a/src/pollenmast/cli/_output.py
+++ b/src/pollenmast/cli/_output.py
@@ -3,7 +3,7 @@
 import json
 import sys
 
-_GAP = "  "
+_COLUMN_GAP = "  "
 
 
 def json_text(value: object) -> str:
@@ -11,16 +11,16 @@
     return json.dumps(value, indent=2)
 
 
-def table(heads: tuple[str, ...], rows: list[tuple[object, ...]]) -> str:
+def table(headers: tuple[str, ...], rows: list[tuple[object, ...]]) -> str:
     """Returns rows below their column headers, in aligned columns."""
-    cells = [heads, *[tuple(str(cell) for cell in row) for row in rows]]
-    widths = [max(len(row[n]) for row in cells) for n in range(len(heads))]
+    cells = [headers, *[tuple(str(cell) for cell in row) for row in rows]]
+    widths = [max(len(row[n]) for row in cells) for n in range(len(headers))]
     lines = []
     for row in cells:
         padded = [
             cell.ljust(width) for cell, width in zip(row, widths, strict=True)
         ]
-        lines.append(_GAP.join(padded).rstrip())
+        lines.append(_COLUMN_GAP.join(padded).rstrip())
     return "\n".join(lines)
 
 
@@ -32,11 +32,11 @@
     return "".join(c if c.isprintable() else "?" for c in text)
 
 
-def say(text: str) -> None:
+def print_output(text: str) -> None:
     """Prints a text to the standard output."""
     print(text)
 
 
-def complain(text: str) -> None:
+def print_error(text: str) -> None:
     """Prints a text to the standard error output."""
     print(text, file=sys.stderr)
--- a/src/pollenmast/cli/_report.py
+++ b/src/pollenmast/cli/_report.py
@@ -10,13 +10,15 @@
 def report(answer: object) -> str:
     """Returns an answer as lines and tables for people."""
     if not isinstance(answer, dict):
-        return _cell(answer)
-    plain = [(k, _cell(v)) for k, v in answer.items() if not _is_part(v)]
-    parts = [table(("WHAT", "VALUE"), plain)] if plain else []
+        return _format_cell(answer)
+    scalars = [
+        (k, _format_cell(v)) for k, v in answer.items() if not _is_nested(v)
+    ]
+    sections = [table(("WHAT", "VALUE"), scalars)] if scalars else []
     for name, value in answer.items():
-        if _is_part(value):
-            parts.append(f"{name}\n{_part(value)}")
-    return "\n\n".join(parts)
+        if _is_nested(value):
+            sections.append(f"{name}\n{_section(value)}")
+    return "\n\n".join(sections)
 
 
 def explanation(answer: object) -> str:
@@ -24,37 +26,43 @@
     lines = answer.get("lines") if isinstance(answer, dict) else None
     if not isinstance(lines, list):
         return report(answer)
-    return "\n".join(_cell(line) for line in lines) or "nothing is known of it"
+    return (
+        "\n".join(_format_cell(line) for line in lines)
+        or "nothing is known of it"
+    )
 
 
-def _is_part(value: object) -> bool:
+def _is_nested(value: object) -> bool:
     return isinstance(value, dict | list)
 
 
-def _part(value: dict[str, object] | list[object]) -> str:
+def _section(value: dict[str, object] | list[object]) -> str:
     if not value:
         return "none"
     if isinstance(value, dict):
-        return table(("WHAT", "VALUE"), _pairs("", value))
+        return table(("WHAT", "VALUE"), _flatten("", value))
     if all(isinstance(item, dict) for item in value):
-        heads = tuple(dict.fromkeys(key for item in value for key in item))
-        rows = [tuple(_cell(item.get(key)) for key in heads) for item in value]
-        return table(tuple(head.upper() for head in heads), rows)
-    return "\n".join(_cell(item) for item in value)
+        headers = tuple(dict.fromkeys(key for item in value for key in item))
+        rows = [
+            tuple(_format_cell(item.get(key)) for key in headers)
+            for item in value
+        ]
+        return table(tuple(head.upper() for head in headers), rows)
+    return "\n".join(_format_cell(item) for item in value)
 
 
-def _pairs(prefix: str, value: dict[str, object]) -> list[tuple[object, ...]]:
+def _flatten(prefix: str, value: dict[str, object]) -> list[tuple[object, ...]]:
     """Flattens nested objects into rows with dotted keys."""
     rows: list[tuple[object, ...]] = []
     for key, inner in value.items():
         if isinstance(inner, dict):
-            rows.extend(_pairs(f"{prefix}{key}.", inner))
+            rows.extend(_flatten(f"{prefix}{key}.", inner))
         else:
-            rows.append((f"{prefix}{key}", _cell(inner)))
+            rows.append((f"{prefix}{key}", _format_cell(inner)))
     return rows
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if value is None or value == "":
         return "-"
     if isinstance(value, bool):
--- a/src/pollenmast/cli/_run.py
+++ b/src/pollenmast/cli/_run.py
@@ -4,16 +4,16 @@
 import sys
 
 from pollenmast.cli._exits import ExitCode
-from pollenmast.cli._output import complain
+from pollenmast.cli._output import print_error
 from pollenmast.events import write_to
 from pollenmast.settings import Settings, load
 
 
 def run_relay(file: str) -> int:
     """Runs the relay with a settings file and returns the exit code."""
-    settings = _checked(file)
+    settings = _load_settings(file)
     if settings is None:
-        return ExitCode.REFUSED
+        return ExitCode.INVALID_INPUT
     # Both programs are imported in their functions: otherwise each would load
     # the modules of the other, and a small VM has little memory.
     from pollenmast import relay
@@ -23,15 +23,15 @@
 
 def run_agent(file: str) -> int:
     """Runs the agent with a settings file and returns the exit code."""
-    settings = _checked(file)
+    settings = _load_settings(file)
     if settings is None:
-        return ExitCode.REFUSED
+        return ExitCode.INVALID_INPUT
     from pollenmast import agent
 
     return agent.run(settings)
 
 
-def _checked(file: str) -> Settings | None:
+def _load_settings(file: str) -> Settings | None:
     """Loads the settings and starts the log.
 
     The log starts before any module of a program can write to it, because
@@ -42,7 +42,7 @@
     """
     checked = load(file, os.environ)
     for fault in checked.err() or ():
-        complain(str(fault))
+        print_error(str(fault))
     if checked.is_ok():
         write_to(sys.stderr)
     return checked.ok()
--- a/src/pollenmast/cli/_settings.py
+++ b/src/pollenmast/cli/_settings.py
@@ -5,9 +5,9 @@
 import attrs
 import typer
 
-from pollenmast.cli import _adapted
+from pollenmast.cli import _adapters
 from pollenmast.cli._exits import ExitCode
-from pollenmast.cli._output import complain, json_text, say, table
+from pollenmast.cli._output import json_text, print_error, print_output, table
 from pollenmast.settings import Settings, load
 
 app = typer.Typer(
@@ -21,7 +21,7 @@
 def check(
     file: str = typer.Argument(..., help="The settings file."),
     as_json: bool = typer.Option(False, "--json", help="Answer in JSON."),
-    adapter: str = _adapted.ADAPTER,
+    adapter: str = _adapters.ADAPTER_OPTION,
 ) -> None:
     """Checks a settings file and shows every value in force.
 
@@ -29,8 +29,8 @@
     what is allowed. Keys are never shown.
     """
     if adapter:
-        found = _adapted.find(adapter)
-        _adapted.check_file(
+        found = _adapters.find_or_exit(adapter)
+        _adapters.check_file(
             file,
             lambda data: found.settings(data.decode("utf-8", "replace")),
             as_json,
@@ -42,12 +42,12 @@
             "faults": [attrs.asdict(fault) for fault in faults],
             "settings": _values(checked.ok()) if checked.is_ok() else None,
         }
-        say(json_text(shown))
+        print_output(json_text(shown))
     elif checked.is_ok():
-        say(_table(checked.unwrap()))
+        print_output(_table(checked.unwrap()))
     for fault in () if as_json else faults:
-        complain(str(fault))
-    raise typer.Exit(ExitCode.REFUSED if faults else ExitCode.OK)
+        print_error(str(fault))
+    raise typer.Exit(ExitCode.INVALID_INPUT if faults else ExitCode.OK)
 
 
 def _values(settings: Settings) -> dict[str, dict[str, object]]:
@@ -62,14 +62,14 @@
 
 def _table(settings: Settings) -> str:
     rows = [
-        (section, key, _cell(value))
+        (section, key, _format_cell(value))
         for section, values in _values(settings).items()
         for key, value in values.items()
     ]
     return table(("SECTION", "KEY", "VALUE"), rows)
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, list):
         return ", ".join(value) or "none"
     return "none" if value is None else str(value)
--- a/src/pollenmast/cli/_story.py
+++ b/src/pollenmast/cli/_timeline.py
@@ -7,39 +7,49 @@
 
 from pollenmast.cli._output import printable
 
-_NAMING = ("request", "flow", "endpoint")
+_LINKING_FIELDS = ("request", "flow", "endpoint")
 """Fields that connect log lines: a request to its flow, a flow to its
 endpoint."""
 
-_HIDDEN = frozenset(
+_HIDDEN_FIELDS = frozenset(
     ("timestamp", "task_uuid", "task_level", "message_type", "event")
     + ("program", "vm")
 )
 
-_VIEW_EVENTS = frozenset(
+_CONTEXT_EVENTS = frozenset(
     ("zone_drained", "zone_restored", "zones_unreached", "zones_reached")
     + ("platform_lost", "platform_back", "history_gone", "directory_restored")
 )
 """Events about zones and about the VM's reads of the directory: they explain
 where the VM placed a flow."""
 
-BEFORE_S = 10.0
+CONTEXT_BEFORE_S = 10.0
 """Lines about an endpoint, a zone or the directory are included from this many
 seconds before the subject's first line."""
 
-AFTER_S = 10.0
+CONTEXT_AFTER_S = 10.0
 """The same lines are included until this many seconds after its last line."""
 
 
 @attrs.frozen
 class _Line:
-    at: float
+    """A parsed log line.
+
+    Attributes:
+        time_s: When it was written, in seconds since 1970.
+        name: The name of the event.
+        vm: The VM that wrote it.
+        fields: All fields, including the ones above.
+    """
+
+    time_s: float
     name: str
     vm: str
     fields: dict[str, object]
 
-    def names(self, value: str) -> bool:
-        return any(self.fields.get(field) == value for field in _NAMING)
+    def mentions(self, value: str) -> bool:
+        """Whether the value is the line's request, flow or endpoint."""
+        return any(self.fields.get(field) == value for field in _LINKING_FIELDS)
 
 
 def read(lines: Iterable[str]) -> list[_Line]:
@@ -49,10 +59,10 @@
     that no program of pollenmast wrote.
     """
     parsed = [line for line in map(_parse, lines) if line is not None]
-    return sorted(parsed, key=lambda line: line.at)
+    return sorted(parsed, key=lambda line: line.time_s)
 
 
-def story(lines: list[_Line], subject: str) -> list[str]:
+def timeline(lines: list[_Line], subject: str) -> list[str]:
     """Returns the timeline of a subject.
 
     Args:
@@ -62,31 +72,36 @@
     Returns:
         One text for each line, or an empty list if no line names the subject.
     """
-    own = [line for line in lines if line.names(subject)]
-    if not own:
+    matching = [line for line in lines if line.mentions(subject)]
+    if not matching:
         return []
-    flows = {str(line.fields["flow"]) for line in own if "flow" in line.fields}
+    flows = {
+        str(line.fields["flow"]) for line in matching if "flow" in line.fields
+    }
     by_flow = [
         line
         for line in lines
-        if line.fields.get("flow") in flows or line.names(subject)
+        if line.fields.get("flow") in flows or line.mentions(subject)
     ]
     vms = {line.vm for line in by_flow}
     endpoints = {line.fields.get("endpoint") for line in by_flow} - {None, ""}
-    first, last = by_flow[0].at - BEFORE_S, by_flow[-1].at + AFTER_S
-    about = [
+    first, last = (
+        by_flow[0].time_s - CONTEXT_BEFORE_S,
+        by_flow[-1].time_s + CONTEXT_AFTER_S,
+    )
+    context = [
         line
         for line in lines
         if (
             line.fields.get("endpoint") in endpoints
-            or line.name in _VIEW_EVENTS
+            or line.name in _CONTEXT_EVENTS
         )
         and "flow" not in line.fields
         and line.vm in vms
-        and first <= line.at <= last
+        and first <= line.time_s <= last
     ]
-    told = sorted((*by_flow, *about), key=lambda line: line.at)
-    return list(_texts(told))
+    selected = sorted((*by_flow, *context), key=lambda line: line.time_s)
+    return list(_format(selected))
 
 
 def _parse(text: str) -> _Line | None:
@@ -105,13 +120,13 @@
         return None
 
 
-def _texts(lines: list[_Line]) -> Iterator[str]:
-    begin = lines[0].at
+def _format(lines: list[_Line]) -> Iterator[str]:
+    start = lines[0].time_s
     for line in lines:
         shown = " ".join(
             f"{name}={value}"
             for name, value in line.fields.items()
-            if name not in _HIDDEN and value != ""
+            if name not in _HIDDEN_FIELDS and value != ""
         )
-        text = f"{line.at - begin:+9.3f} s  {line.vm}  {line.name}  {shown}"
+        text = f"{line.time_s - start:+9.3f} s  {line.vm}  {line.name}  {shown}"
         yield printable(text)
--- a/src/pollenmast/events/_stream.py
+++ b/src/pollenmast/events/_stream.py
@@ -58,8 +58,8 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone, so nobody would see a notice: later lines are
-                # dropped without one.
+                # The reader is gone, so nobody would see a notice: later lines
+                # are dropped without one.
                 self._closed = True
                 self._queue.clear()
                 self._queued = 0
--- a/tests/cli_adapted_test.py
+++ b/tests/cli_adapted_test.py
@@ -77,7 +77,7 @@
         code, _, complaints = self.run_command(
             command, "check", file, "--adapter", "platform"
         )
-        self.assertEqual(ExitCode.REFUSED, code)
+        self.assertEqual(ExitCode.INVALID_INPUT, code)
         self.assertIn(fault, complaints)
 
     def test_configuration(self):
@@ -100,7 +100,7 @@
         code, _, complaints = self.run_command(
             "settings", "check", "file", "--adapter", "moon"
         )
-        self.assertEqual(ExitCode.REFUSED, code)
+        self.assertEqual(ExitCode.INVALID_INPUT, code)
         self.assertIn("allowed: platform", complaints)
 
     def test_no_file(self):
@@ -108,7 +108,7 @@
         code, _, complaints = self.run_command(
             "settings", "check", "/nowhere", "--adapter", "platform"
         )
-        self.assertEqual(ExitCode.REFUSED, code)
+        self.assertEqual(ExitCode.INVALID_INPUT, code)
         self.assertIn("/nowhere", complaints)
 
 
@@ -126,5 +126,5 @@
     def test_no_packet(self, _, text):
         """Input that is not a packet is refused."""
         code, _, complaints = self.run_command("decode", text)
-        self.assertEqual(ExitCode.REFUSED, code)
+        self.assertEqual(ExitCode.INVALID_INPUT, code)
         self.assertTrue(complaints)
--- a/tests/cli_app_test.py
+++ b/tests/cli_app_test.py
@@ -98,7 +98,7 @@
     )
     def test_usage(self, _, words):
         """An invalid command line gives exit code 2."""
-        self.assertEqual(ExitCode.REFUSED, self.run_command(*words)[0])
+        self.assertEqual(ExitCode.INVALID_INPUT, self.run_command(*words)[0])
 
     def test_events(self):
         """The whole catalogue is printed, as a table and as JSON."""
@@ -142,7 +142,7 @@
         """
         file = self.write("wrong.ini", "[vm]\nname = A\n")
         code, output, complaints = self.run_command(*words, file)
-        self.assertEqual((ExitCode.REFUSED, ""), (code, output))
+        self.assertEqual((ExitCode.INVALID_INPUT, ""), (code, output))
         self.assertEqual(6, len(complaints.splitlines()), complaints)
         for line in complaints.splitlines():
             self.assertThat(line, StartsWith(f"{file}: ["))
@@ -154,7 +154,7 @@
 
         def run(settings):
             given.append(settings.vm.name)
-            return int(ExitCode.CUT)
+            return int(ExitCode.FORCED)
 
         self.patch(package, "run", run)
         for words in (
@@ -162,7 +162,7 @@
             [f"--settings={self.settings}"],
         ):
             code, _, _ = self.run_command(name, *words)
-            self.assertEqual((ExitCode.CUT, ["relay-1"]), (code, given))
+            self.assertEqual((ExitCode.FORCED, ["relay-1"]), (code, given))
             given.clear()
 
     def test_imports_are_late(self):
@@ -204,7 +204,7 @@
         """An invalid manifest is refused with path and reason."""
         file = self.write("wrong.json", encode(example(port=0)).decode())
         code, _, complaints = self.run_command("manifest", "check", file)
-        self.assertEqual(ExitCode.REFUSED, code)
+        self.assertEqual(ExitCode.INVALID_INPUT, code)
         self.assertEqual(
             f"{file}: services[0].endpoints[0].port: found 0, allowed: a port,"
             " 1 to 65535\n",
@@ -220,7 +220,7 @@
     def test_no_file(self, _, words):
         """An unreadable file gives one line of error and no traceback."""
         code, _, complaints = self.run_command(*words, "/no/such/file")
-        self.assertEqual(ExitCode.REFUSED, code)
+        self.assertEqual(ExitCode.INVALID_INPUT, code)
         self.assertEqual(1, len(complaints.splitlines()))
 
     def test_schema(self):
@@ -248,4 +248,4 @@
             "new.json", encode({**example(port=5), "version": 2}).decode()
         )
         code, _, _ = self.run_command("manifest", "diff", self.manifest, new)
-        self.assertEqual(ExitCode.REFUSED, code)
+        self.assertEqual(ExitCode.INVALID_INPUT, code)
--- a/tests/cli_story_test.py
+++ b/tests/cli_story_test.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 from typer.testing import CliRunner
 
-from pollenmast.cli import _story
+from pollenmast.cli import _timeline
 from pollenmast.cli._app import app
 
 FLOW = "100.64.0.6:1049>198.18.0.1:8080"
@@ -36,7 +36,7 @@
     @parameterized.expand([("request", "ab"), ("flow", FLOW)])
     def test_cut_off(self, _, subject):
         """The id of a reset request leads to the endpoint that failed."""
-        told = _story.story(_story.read(LOG), subject)
+        told = _timeline.timeline(_timeline.read(LOG), subject)
         names = [text.split(" s  ")[1].split("  ")[1] for text in told]
         self.assertEqual(
             ["flow_placed", "request_carried", "endpoint_down", "flow_reset"],
@@ -56,7 +56,7 @@
             _line(101.1, "zone_drained", zone="b").replace("vm-1", "vm-2"),
             _line(102.0, "flow_reset", flow=FLOW, reason="zone_drained"),
         ]
-        told = _story.story(_story.read(log), FLOW)
+        told = _timeline.timeline(_timeline.read(log), FLOW)
         self.assertEqual(2, len(told))
         self.assertIn("zone=a", told[0])
 
@@ -80,14 +80,14 @@
             _line(101.1, name, **fields).replace("vm-1", "vm-2"),
             _line(102.0, "flow_placed", flow=FLOW, endpoint="i-1"),
         ]
-        told = _story.story(_story.read(log), FLOW)
+        told = _timeline.timeline(_timeline.read(log), FLOW)
         self.assertEqual(2, len(told))
         self.assertIn(name, told[0])
 
     def test_terminal(self):
         """Escape sequences from a client do not reach the terminal."""
         line = _line(1.0, "request_carried", request="ab", flow="\x1b[2J")
-        told = _story.story(_story.read([line]), "ab")
+        told = _timeline.timeline(_timeline.read([line]), "ab")
         self.assertNotIn("\x1b", told[0])
 
     @parameterized.expand([("known", "ab", 0), ("unknown", "zz", 1)])
