--- a/src/pollenmast/cli/_manifest.py
+++ b/src/pollenmast/cli/_manifest.py
@@ -38,8 +38,8 @@
     fault. With --adapter it is the configuration of another place.
     """
     if adapter:
-        found = _adapters.find_or_exit(adapter)
-        _adapters.check_file(file, found.configuration, as_json)
+        file_adapter = _adapters.find_or_exit(adapter)
+        _adapters.check_file(file, file_adapter.configuration, as_json)
     checked = parse(_read_or_exit(file))
     faults = checked.err() or ()
     if as_json:
@@ -73,16 +73,18 @@
 
     It ends with exit code 2 where the version of NEW is not greater.
     """
-    found = differences(_parse_or_exit(old), _parse_or_exit(new))
+    changes = differences(_parse_or_exit(old), _parse_or_exit(new))
     if as_json:
-        print_output(json_text([_difference(item) for item in found]))
-    elif found:
-        rows = [(item.effect.value, item.subject, item.words) for item in found]
+        print_output(json_text([_difference(item) for item in changes]))
+    elif changes:
+        rows = [
+            (item.effect.value, item.subject, item.words) for item in changes
+        ]
         print_output(table(("EFFECT", "SUBJECT", "WHAT IT MEANS"), rows))
     else:
         print_output("no difference but the version, if that")
-    not_taken = {Effect.IGNORED, Effect.CONFLICT}
-    refused = any(item.effect in not_taken for item in found)
+    refused_effects = {Effect.IGNORED, Effect.CONFLICT}
+    refused = any(item.effect in refused_effects for item in changes)
     raise typer.Exit(ExitCode.INVALID_INPUT if refused else ExitCode.OK)
 
 
--- a/src/pollenmast/cli/_settings.py
+++ b/src/pollenmast/cli/_settings.py
@@ -29,10 +29,10 @@
     what is allowed. Keys are never shown.
     """
     if adapter:
-        found = _adapters.find_or_exit(adapter)
+        file_adapter = _adapters.find_or_exit(adapter)
         _adapters.check_file(
             file,
-            lambda data: found.settings(data.decode("utf-8", "replace")),
+            lambda data: file_adapter.settings(data.decode("utf-8", "replace")),
             as_json,
         )
     checked = load(file, os.environ)
--- a/src/pollenmast/counters/_catalogue.py
+++ b/src/pollenmast/counters/_catalogue.py
@@ -212,36 +212,36 @@
     reasons: tuple[str, ...] = ("",)
 
 
-def _all(reasons: type[enum.Enum]) -> tuple[str, ...]:
+def _values(reasons: type[enum.Enum]) -> tuple[str, ...]:
     return tuple(reason.value for reason in reasons)
 
 
 DROPS = CounterDefinition(
-    "drops", "{datagram}", "Datagrams dropped.", _all(DropReason)
+    "drops", "{datagram}", "Datagrams dropped.", _values(DropReason)
 )
 ENVELOPE_FAULTS = CounterDefinition(
     "envelope_faults",
     "{message}",
     "Envelopes and control messages dropped.",
-    _all(EnvelopeFault),
+    _values(EnvelopeFault),
 )
 REFUSALS = CounterDefinition(
-    "refusals", "{flow}", "New flows refused.", _all(RefusalReason)
+    "refusals", "{flow}", "New flows refused.", _values(RefusalReason)
 )
 RETRIES = CounterDefinition(
     "retries",
     "{flow}",
     "First packets tried at another endpoint.",
-    _all(RetryReason),
+    _values(RetryReason),
 )
 REPATHS = CounterDefinition(
-    "repaths", "{flow}", "Flows given a new path.", _all(RepathReason)
+    "repaths", "{flow}", "Flows given a new path.", _values(RepathReason)
 )
 FORWARDS = CounterDefinition(
     "forwards",
     "{datagram}",
     "Datagrams passed to another relay.",
-    _all(ForwardReason),
+    _values(ForwardReason),
 )
 FLOWS_OPENED = CounterDefinition("flows_opened", "{flow}", "Flows opened.")
 FLOWS_ENDED = CounterDefinition("flows_ended", "{flow}", "Flows ended.")
@@ -258,13 +258,13 @@
     "transfers", "{flow}", "Flows handed over on a planned stop."
 )
 RESETS = CounterDefinition(
-    "resets", "{flow}", "Flows ended towards the client.", _all(ResetReason)
+    "resets", "{flow}", "Flows ended towards the client.", _values(ResetReason)
 )
 PLACEMENTS = CounterDefinition(
     "placements",
     "{flow}",
     "Flows placed by the packets' token.",
-    _all(PlacementReason),
+    _values(PlacementReason),
 )
 SEGMENTS = CounterDefinition(
     "segments", "{packet}", "Packets sent to the endpoint they name."
@@ -276,7 +276,7 @@
     ("gossip", "replication", "fetch", "probe", "platform"),
 )
 MANIFESTS = CounterDefinition(
-    "manifests", "{manifest}", "Manifests offered.", _all(ManifestOutcome)
+    "manifests", "{manifest}", "Manifests offered.", _values(ManifestOutcome)
 )
 PROBES = CounterDefinition(
     "probes", "{probe}", "Endpoint probes.", ("answered", "failed", "malformed")
@@ -285,7 +285,7 @@
     "checks",
     "{check}",
     "Endpoints asked for their health, controls among them.",
-    _all(CheckReason),
+    _values(CheckReason),
 )
 EJECTIONS = CounterDefinition(
     "ejections",
--- a/src/pollenmast/events/_catalogue.py
+++ b/src/pollenmast/events/_catalogue.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-BURST = 20
+DEFAULT_BURST = 20
 """Maximum lines of one event per second; further lines are only counted.
 
 Writing a line takes about 11 microseconds (docs/EVENTS.md). This keeps the
@@ -35,7 +35,7 @@
     name: str
     meaning: str
     action: str
-    burst: int = BURST
+    burst: int = DEFAULT_BURST
 
 
 STARTED = Event(101, "started", "A program started.", "Nothing.")
--- a/src/pollenmast/events/_log.py
+++ b/src/pollenmast/events/_log.py
@@ -58,26 +58,26 @@
         second = int(self._clock())
         window = self._windows.setdefault(event, _Window(second))
         if window.second != second:
-            self._report(event, window)
+            self._report_suppressed(event, window)
             window = self._windows[event] = _Window(second)
         if window.written >= event.burst:
             window.suppressed += 1
             return
         window.written += 1
-        self._put(event, fields)
+        self._write_line(event, fields)
 
     def flush(self) -> None:
         """Logs how many lines were suppressed; to be called before the exit."""
         for event, window in self._windows.items():
-            self._report(event, window)
+            self._report_suppressed(event, window)
             window.suppressed = 0
 
-    def _report(self, event: Event, window: _Window) -> None:
+    def _report_suppressed(self, event: Event, window: _Window) -> None:
         if window.suppressed:
             fields = {"of": event.number, "lines": window.suppressed}
-            self._put(SUPPRESSED, fields)
+            self._write_line(SUPPRESSED, fields)
 
-    def _put(self, event: Event, fields: dict[str, object]) -> None:
+    def _write_line(self, event: Event, fields: dict[str, object]) -> None:
         common = {
             "message_type": event.name,
             "event": event.number,
--- a/src/pollenmast/events/_stream.py
+++ b/src/pollenmast/events/_stream.py
@@ -11,7 +11,7 @@
 import json
 import os
 
-MOST_QUEUED_BYTES = 256 * 1024
+MAX_QUEUED_BYTES = 256 * 1024
 """Maximum bytes queued for a slow reader.
 
 About 1,000 lines, which is a few seconds of events at their maximum rate."""
@@ -40,11 +40,11 @@
     def write(self, data: bytes) -> int:
         """Queues one line, or drops and counts it if the queue is full."""
         size = len(data)
-        if self._closed or self._queued + len(data) > MOST_QUEUED_BYTES:
+        if self._closed or self._queued + len(data) > MAX_QUEUED_BYTES:
             self._lost += 1
             return size
         if self._lost:
-            data = self._notice() + data
+            data = self._take_notice() + data
         self._queue.append(data)
         self._queued += len(data)
         return size
@@ -70,7 +70,7 @@
                 return
             self._queue.popleft()
 
-    def _notice(self) -> bytes:
+    def _take_notice(self) -> bytes:
         lost, self._lost = self._lost, 0
         notice = {"message_type": "log_lost", "lines": lost}
         return json.dumps(notice).encode() + b"\n"
--- a/src/pollenmast/operators/_site.py
+++ b/src/pollenmast/operators/_site.py
@@ -66,9 +66,9 @@
                 text = self._metrics.text()
                 return Answer(200, text, _metrics.CONTENT_TYPE)
             case "/health":
-                return _verdict(self._knowledge.health())
+                return _check_answer(self._knowledge.health())
             case "/ready":
-                return _verdict(self._knowledge.readiness())
+                return _check_answer(self._knowledge.readiness())
             case "/explain":
                 return await self._explain(query)
         return Answer(404, b"known: /status /metrics /health /ready /explain\n")
@@ -85,7 +85,7 @@
         return Answer(200, to_json(_Explanation(subject, lines)), _JSON)
 
 
-def _verdict(fault: str | None) -> Answer:
+def _check_answer(fault: str | None) -> Answer:
     if fault is None:
         return Answer(200, b"ok\n")
     return Answer(503, f"{fault}\n".encode())
--- a/tests/cli_adapted_test.py
+++ b/tests/cli_adapters_test.py
@@ -50,7 +50,7 @@
 )
 
 
-class AdaptedTest(CommandCase):
+class AdapterTest(CommandCase):
     """Operators check the platform's files before a roll-out."""
 
     def test_settings(self):
@@ -68,17 +68,17 @@
             ("manifest", "{}", "services is missing"),
         ]
     )
-    def test_fault(self, command, text, fault):
+    def test_invalid_file(self, command, text, fault):
         """An invalid file is refused and the error names the field.
 
         A fault found only at the next start would take a VM out of service.
         """
         file = self.write("wrong", text)
-        code, _, complaints = self.run_command(
+        code, _, errors = self.run_command(
             command, "check", file, "--adapter", "platform"
         )
         self.assertEqual(ExitCode.INVALID_INPUT, code)
-        self.assertIn(fault, complaints)
+        self.assertIn(fault, errors)
 
     def test_configuration(self):
         """Each route is printed with its services and their weights."""
@@ -97,19 +97,19 @@
 
     def test_unknown_adapter(self):
         """The error lists the adapters that exist."""
-        code, _, complaints = self.run_command(
+        code, _, errors = self.run_command(
             "settings", "check", "file", "--adapter", "moon"
         )
         self.assertEqual(ExitCode.INVALID_INPUT, code)
-        self.assertIn("allowed: platform", complaints)
+        self.assertIn("allowed: platform", errors)
 
-    def test_no_file(self):
+    def test_missing_file(self):
         """A missing file gives an error message, not a traceback."""
-        code, _, complaints = self.run_command(
+        code, _, errors = self.run_command(
             "settings", "check", "/nowhere", "--adapter", "platform"
         )
         self.assertEqual(ExitCode.INVALID_INPUT, code)
-        self.assertIn("/nowhere", complaints)
+        self.assertIn("/nowhere", errors)
 
 
 class DecodeTest(CommandCase):
@@ -123,8 +123,8 @@
         self.assertRegex(output, "sent before +1 times")
 
     @parameterized.expand([("odd", "abc"), ("words", "xy"), ("short", "00")])
-    def test_no_packet(self, _, text):
+    def test_invalid_packet(self, _, text):
         """Input that is not a packet is refused."""
-        code, _, complaints = self.run_command("decode", text)
+        code, _, errors = self.run_command("decode", text)
         self.assertEqual(ExitCode.INVALID_INPUT, code)
-        self.assertTrue(complaints)
+        self.assertTrue(errors)
--- a/tests/cli_app_test.py
+++ b/tests/cli_app_test.py
@@ -40,13 +40,13 @@
 
     def run_command(self, *arguments: str) -> tuple[int, str, str]:
         """Runs a command; returns its exit code, output and error output."""
-        output, complaints = io.StringIO(), io.StringIO()
+        output, errors = io.StringIO(), io.StringIO()
         with (
             contextlib.redirect_stdout(output),
-            contextlib.redirect_stderr(complaints),
+            contextlib.redirect_stderr(errors),
         ):
             code = main(list(arguments))
-        return code, output.getvalue(), complaints.getvalue()
+        return code, output.getvalue(), errors.getvalue()
 
 
 class CommandTest(CommandCase):
@@ -81,7 +81,7 @@
         self.assertEqual(ExitCode.OK, code)
         self.assertIn(f"Example: pollenmast {' '.join(words)}", output)
 
-    def test_exit_codes_are_told(self):
+    def test_exit_codes_in_help(self):
         """The help lists every exit code."""
         _, output, _ = self.run_command("--help")
         for code in ExitCode:
@@ -96,7 +96,7 @@
             ("host_name", ["status", "--address", "localhost:7005"]),
         ]
     )
-    def test_usage(self, _, words):
+    def test_invalid_command_line(self, _, words):
         """An invalid command line gives exit code 2."""
         self.assertEqual(ExitCode.INVALID_INPUT, self.run_command(*words)[0])
 
@@ -141,19 +141,19 @@
         No program starts with the valid part of it.
         """
         file = self.write("wrong.ini", "[vm]\nname = A\n")
-        code, output, complaints = self.run_command(*words, file)
+        code, output, errors = self.run_command(*words, file)
         self.assertEqual((ExitCode.INVALID_INPUT, ""), (code, output))
-        self.assertEqual(6, len(complaints.splitlines()), complaints)
-        for line in complaints.splitlines():
+        self.assertEqual(6, len(errors.splitlines()), errors)
+        for line in errors.splitlines():
             self.assertThat(line, StartsWith(f"{file}: ["))
 
     @parameterized.expand([("relay", relay), ("agent", agent)])
     def test_programs(self, name, package):
         """The program receives the settings; its exit code is returned."""
-        given = []
+        received = []
 
         def run(settings):
-            given.append(settings.vm.name)
+            received.append(settings.vm.name)
             return int(ExitCode.FORCED)
 
         self.patch(package, "run", run)
@@ -162,10 +162,10 @@
             [f"--settings={self.settings}"],
         ):
             code, _, _ = self.run_command(name, *words)
-            self.assertEqual((ExitCode.FORCED, ["relay-1"]), (code, given))
-            given.clear()
+            self.assertEqual((ExitCode.FORCED, ["relay-1"]), (code, received))
+            received.clear()
 
-    def test_imports_are_late(self):
+    def test_agent_imports(self):
         """The agent does not import what only the relay or short commands need.
 
         The modules would stay loaded for months, and the agent would exceed
@@ -177,13 +177,13 @@
             "sys.exit(pollenmast.cli.main(sys.argv[1:]))"
         )
         words = ["agent", "--settings", self.settings]
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", code, *words],
             check=True,
             capture_output=True,
             text=True,
         )
-        loaded = set(done.stdout.split())
+        loaded = set(completed.stdout.split())
         self.assertEqual(set(), loaded & {"aioquic", "typer", "pydantic"})
 
 
@@ -203,12 +203,12 @@
     def test_faults(self):
         """An invalid manifest is refused with path and reason."""
         file = self.write("wrong.json", encode(example(port=0)).decode())
-        code, _, complaints = self.run_command("manifest", "check", file)
+        code, _, errors = self.run_command("manifest", "check", file)
         self.assertEqual(ExitCode.INVALID_INPUT, code)
         self.assertEqual(
             f"{file}: services[0].endpoints[0].port: found 0, allowed: a port,"
             " 1 to 65535\n",
-            complaints,
+            errors,
         )
 
     @parameterized.expand(
@@ -217,11 +217,11 @@
             ("diff", ["manifest", "diff", "/"]),
         ]
     )
-    def test_no_file(self, _, words):
+    def test_unreadable_file(self, _, words):
         """An unreadable file gives one line of error and no traceback."""
-        code, _, complaints = self.run_command(*words, "/no/such/file")
+        code, _, errors = self.run_command(*words, "/no/such/file")
         self.assertEqual(ExitCode.INVALID_INPUT, code)
-        self.assertEqual(1, len(complaints.splitlines()))
+        self.assertEqual(1, len(errors.splitlines()))
 
     def test_schema(self):
         """The schema is printed as JSON."""
@@ -242,7 +242,7 @@
         )
         self.assertEqual("drain", json.loads(output)[0]["effect"])
 
-    def test_diff_of_an_older_version(self):
+    def test_diff_with_older_version(self):
         """A new manifest that the fleet would ignore gives exit code 2."""
         new = self.write(
             "new.json", encode({**example(port=5), "version": 2}).decode()
--- a/tests/cli_operators_test.py
+++ b/tests/cli_operators_test.py
@@ -22,7 +22,7 @@
 }
 
 
-class _Agent(http.server.BaseHTTPRequestHandler):
+class _AgentHandler(http.server.BaseHTTPRequestHandler):
     """Answers like an agent, or like another program on its port."""
 
     def do_GET(self):  # noqa: N802 - the library names it
@@ -53,7 +53,7 @@
     def setUp(self):
         """Starts a stand-in for an agent."""
         super().setUp()
-        server = http.server.HTTPServer(("127.0.0.1", 0), _Agent)
+        server = http.server.HTTPServer(("127.0.0.1", 0), _AgentHandler)
         thread = threading.Thread(target=server.serve_forever)
         thread.start()
         self.addCleanup(server.server_close)
@@ -82,18 +82,16 @@
             ("stranger", "page", 1, "", "something else than JSON"),
         ]
     )
-    def test_explain(self, _, subject, code, output, complaint):
+    def test_explain(self, _, subject, code, output, error):
         """The lines of an answer, or an error without one, are printed."""
-        ended, shown, complaints = self.ask("explain", subject)
-        self.assertEqual((code, output), (ended, shown))
-        self.assertIn(complaint, complaints)
+        exit_code, output_text, errors = self.ask("explain", subject)
+        self.assertEqual((code, output), (exit_code, output_text))
+        self.assertIn(error, errors)
 
-    def test_nobody_there(self):
+    def test_no_agent(self):
         """Without an agent on the port: exit code 1 and one line of error."""
-        code, _, complaints = self.run_command(
-            "status", "--address", "127.0.0.1:1"
-        )
-        self.assertEqual((1, 1), (code, len(complaints.splitlines())))
+        code, _, errors = self.run_command("status", "--address", "127.0.0.1:1")
+        self.assertEqual((1, 1), (code, len(errors.splitlines())))
 
 
 class ReportTest(TestCase):
--- a/tests/cli_story_test.py
+++ b/tests/cli_timeline_test.py
@@ -30,19 +30,19 @@
 ]
 
 
-class StoryTest(TestCase):
+class TimelineTest(TestCase):
     """An engineer on call traces a failed request by its id."""
 
     @parameterized.expand([("request", "ab"), ("flow", FLOW)])
-    def test_cut_off(self, _, subject):
+    def test_reset_request(self, _, subject):
         """The id of a reset request leads to the endpoint that failed."""
-        told = _timeline.timeline(_timeline.read(LOG), subject)
-        names = [text.split(" s  ")[1].split("  ")[1] for text in told]
+        texts = _timeline.timeline(_timeline.read(LOG), subject)
+        names = [text.split(" s  ")[1].split("  ")[1] for text in texts]
         self.assertEqual(
             ["flow_placed", "request_carried", "endpoint_down", "flow_reset"],
             names,
         )
-        self.assertIn("check=timeout", told[2])
+        self.assertIn("check=timeout", texts[2])
 
     def test_drained_zone(self):
         """The timeline of a refused flow includes what the VM knew of drains.
@@ -56,9 +56,9 @@
             _line(101.1, "zone_drained", zone="b").replace("vm-1", "vm-2"),
             _line(102.0, "flow_reset", flow=FLOW, reason="zone_drained"),
         ]
-        told = _timeline.timeline(_timeline.read(log), FLOW)
-        self.assertEqual(2, len(told))
-        self.assertIn("zone=a", told[0])
+        texts = _timeline.timeline(_timeline.read(log), FLOW)
+        self.assertEqual(2, len(texts))
+        self.assertIn("zone=a", texts[0])
 
     @parameterized.expand(
         [
@@ -68,7 +68,7 @@
             ("directory_restored", {"known": 27, "revision": 25}),
         ]
     )
-    def test_directory(self, name, fields):
+    def test_directory_events(self, name, fields):
         """The timeline of a flow includes the VM's trouble with its directory.
 
         A VM that has lost its directory can send a flow to an endpoint that
@@ -80,15 +80,15 @@
             _line(101.1, name, **fields).replace("vm-1", "vm-2"),
             _line(102.0, "flow_placed", flow=FLOW, endpoint="i-1"),
         ]
-        told = _timeline.timeline(_timeline.read(log), FLOW)
-        self.assertEqual(2, len(told))
-        self.assertIn(name, told[0])
+        texts = _timeline.timeline(_timeline.read(log), FLOW)
+        self.assertEqual(2, len(texts))
+        self.assertIn(name, texts[0])
 
-    def test_terminal(self):
+    def test_escape_sequences(self):
         """Escape sequences from a client do not reach the terminal."""
         line = _line(1.0, "request_carried", request="ab", flow="\x1b[2J")
-        told = _timeline.timeline(_timeline.read([line]), "ab")
-        self.assertNotIn("\x1b", told[0])
+        texts = _timeline.timeline(_timeline.read([line]), "ab")
+        self.assertNotIn("\x1b", texts[0])
 
     @parameterized.expand([("known", "ab", 0), ("unknown", "zz", 1)])
     def test_command(self, _, subject, code):
--- a/tests/events_log_test.py
+++ b/tests/events_log_test.py
@@ -8,7 +8,7 @@
 
 from pollenmast.counters import ResetReason
 from pollenmast.events import STARTED, STOPPED, SUPPRESSED, EventLog, JsonSink
-from pollenmast.events._catalogue import BURST
+from pollenmast.events._catalogue import DEFAULT_BURST
 
 
 class EventLogTest(TestCase):
@@ -44,7 +44,7 @@
             ),
         )
 
-    def test_flood(self):
+    def test_limit(self):
         """Lines over the limit are suppressed, and counted in a later line.
 
         Without a limit, a client that causes thousands of events would use up
@@ -52,18 +52,18 @@
         """
         for _ in range(1000):
             self.log.write(STARTED)
-        self.assertEqual(BURST, len(self.written(STARTED)))
+        self.assertEqual(DEFAULT_BURST, len(self.written(STARTED)))
         self.now += 1
         self.log.write(STARTED)
-        told = self.written(SUPPRESSED)
+        suppressed = self.written(SUPPRESSED)
         self.assertEqual(
-            [(STARTED.number, 1000 - BURST)],
-            [(line["of"], line["lines"]) for line in told],
+            [(STARTED.number, 1000 - DEFAULT_BURST)],
+            [(line["of"], line["lines"]) for line in suppressed],
         )
 
-    def test_flood_at_the_end(self):
+    def test_flush_reports_suppressed(self):
         """`flush` reports suppressed lines once, for a program that ends."""
-        for _ in range(BURST + 5):
+        for _ in range(DEFAULT_BURST + 5):
             self.log.write(STARTED)
         self.log.flush()
         self.log.flush()
@@ -71,9 +71,9 @@
             [5], [line["lines"] for line in self.written(SUPPRESSED)]
         )
 
-    def test_events_apart(self):
+    def test_limit_is_per_event(self):
         """The limit of one event does not suppress another."""
-        for _ in range(BURST + 1):
+        for _ in range(DEFAULT_BURST + 1):
             self.log.write(STARTED)
         self.log.write(STOPPED)
         self.assertEqual(1, len(self.written(STOPPED)))
--- a/tests/events_stream_test.py
+++ b/tests/events_stream_test.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from pollenmast.events._stream import MOST_QUEUED_BYTES, BoundedStream
+from pollenmast.events._stream import MAX_QUEUED_BYTES, BoundedStream
 
 _LINE = b"x" * 999 + b"\n"
 
@@ -22,12 +22,12 @@
         for descriptor in descriptors:
             os.close(descriptor)
 
-    def test_reader_sleeps(self):
+    def test_reader_does_not_read(self):
         """If nobody reads, lines are dropped and counted, and no write blocks.
 
         A blocking write would stop the packets of every flow.
         """
-        for _ in range(2 * MOST_QUEUED_BYTES // len(_LINE)):
+        for _ in range(2 * MAX_QUEUED_BYTES // len(_LINE)):
             self.stream.write(_LINE)
             self.stream.flush()
         self.assertGreater(self.stream.lost, 0)
--- a/tests/operators_site_test.py
+++ b/tests/operators_site_test.py
@@ -31,7 +31,7 @@
     def __init__(self, fault: str | None = None, lines=("a line",)):
         self.fault = fault
         self.lines = lines
-        self.asked = []
+        self.subjects = []
 
     def status(self):
         """Returns a status."""
@@ -47,7 +47,7 @@
 
     async def explain(self, subject):
         """Returns the lines."""
-        self.asked.append(subject)
+        self.subjects.append(subject)
         return self.lines
 
 
@@ -88,7 +88,7 @@
         self.assertEqual(status, _ask(target, method=method).status)
 
     @parameterized.expand([("/ready",), ("/health",)])
-    def test_not_well(self, target):
+    def test_failed_check(self, target):
         """A failed check is answered with 503 and the reason.
 
         The fabric checks readiness and sees why a VM accepts no flows.
@@ -108,7 +108,7 @@
         """The subject is passed on unquoted, and the lines are returned."""
         knowledge = FakeKnowledge()
         answer = _ask("/explain?subject=10.0.0.1%3A99", knowledge)
-        self.assertEqual(["10.0.0.1:99"], knowledge.asked)
+        self.assertEqual(["10.0.0.1:99"], knowledge.subjects)
         self.assertEqual(["a line"], json.loads(answer.body)["lines"])
 
     def test_explain_without_relay(self):
@@ -134,9 +134,9 @@
 
     def test_zeros_included(self):
         """A reason that never occurred is exported as zero."""
-        cases = sum(len(definition.reasons) for definition in CATALOGUE)
+        label_sets = sum(len(definition.reasons) for definition in CATALOGUE)
         labelled = [name for name in self.samples if "program" in dict(name[1])]
-        self.assertEqual(2 * cases, len(labelled))
+        self.assertEqual(2 * label_sets, len(labelled))
 
     def test_values(self):
         """The relay's counters and the gauges have their values."""
