--- a/src/pollenmast/cli/_operators.py
+++ b/src/pollenmast/cli/_operators.py
@@ -16,7 +16,7 @@
     print_output,
     printable,
 )
-from pollenmast.cli._report import explanation, report
+from pollenmast.cli._report import format_explanation, format_report
 from pollenmast.settings import socket_address
 
 _ADDRESS_HELP = "The VM's operators endpoint, IP:PORT."
@@ -31,7 +31,7 @@
     endpoints with weight and reason, flows, and refusals by reason.
     """
     answer = _ask_or_exit(address, "/status")
-    print_output(json_text(answer) if as_json else report(answer))
+    print_output(json_text(answer) if as_json else format_report(answer))
 
 
 def explain(
@@ -56,7 +56,7 @@
         return
     query = urllib.parse.urlencode({"subject": subject})
     answer = _ask_or_exit(address, f"/explain?{query}")
-    print_output(json_text(answer) if as_json else explanation(answer))
+    print_output(json_text(answer) if as_json else format_explanation(answer))
 
 
 def _print_timeline(log: str, subject: str) -> None:
--- a/src/pollenmast/cli/_report.py
+++ b/src/pollenmast/cli/_report.py
@@ -7,7 +7,7 @@
 from pollenmast.cli._output import printable, table
 
 
-def report(answer: object) -> str:
+def format_report(answer: object) -> str:
     """Returns an answer as lines and tables for people."""
     if not isinstance(answer, dict):
         return _format_cell(answer)
@@ -21,11 +21,11 @@
     return "\n\n".join(sections)
 
 
-def explanation(answer: object) -> str:
+def format_explanation(answer: object) -> str:
     """Returns the lines of an `/explain` answer as one text."""
     lines = answer.get("lines") if isinstance(answer, dict) else None
     if not isinstance(lines, list):
-        return report(answer)
+        return format_report(answer)
     return (
         "\n".join(_format_cell(line) for line in lines)
         or "nothing is known of it"
--- a/src/pollenmast/cli/_timeline.py
+++ b/src/pollenmast/cli/_timeline.py
@@ -36,13 +36,13 @@
     """A parsed log line.
 
     Attributes:
-        time_s: When it was written, in seconds since 1970.
+        at: When it was written, in seconds since 1970.
         name: The name of the event.
         vm: The VM that wrote it.
         fields: All fields, including the ones above.
     """
 
-    time_s: float
+    at: float
     name: str
     vm: str
     fields: dict[str, object]
@@ -59,7 +59,7 @@
     that no program of pollenmast wrote.
     """
     parsed = [line for line in map(_parse, lines) if line is not None]
-    return sorted(parsed, key=lambda line: line.time_s)
+    return sorted(parsed, key=lambda line: line.at)
 
 
 def timeline(lines: list[_Line], subject: str) -> list[str]:
@@ -86,8 +86,8 @@
     vms = {line.vm for line in by_flow}
     endpoints = {line.fields.get("endpoint") for line in by_flow} - {None, ""}
     first, last = (
-        by_flow[0].time_s - CONTEXT_BEFORE_S,
-        by_flow[-1].time_s + CONTEXT_AFTER_S,
+        by_flow[0].at - CONTEXT_BEFORE_S,
+        by_flow[-1].at + CONTEXT_AFTER_S,
     )
     context = [
         line
@@ -98,9 +98,9 @@
         )
         and "flow" not in line.fields
         and line.vm in vms
-        and first <= line.time_s <= last
+        and first <= line.at <= last
     ]
-    selected = sorted((*by_flow, *context), key=lambda line: line.time_s)
+    selected = sorted((*by_flow, *context), key=lambda line: line.at)
     return list(_format(selected))
 
 
@@ -121,12 +121,12 @@
 
 
 def _format(lines: list[_Line]) -> Iterator[str]:
-    start = lines[0].time_s
+    start = lines[0].at
     for line in lines:
         shown = " ".join(
             f"{name}={value}"
             for name, value in line.fields.items()
             if name not in _HIDDEN_FIELDS and value != ""
         )
-        text = f"{line.time_s - start:+9.3f} s  {line.vm}  {line.name}  {shown}"
+        text = f"{line.at - start:+9.3f} s  {line.vm}  {line.name}  {shown}"
         yield printable(text)
--- a/src/pollenmast/counters/_counters.py
+++ b/src/pollenmast/counters/_counters.py
@@ -41,4 +41,7 @@
 
     def items(self) -> list[tuple[str, str, int]]:
         """Returns (name, reason, value) of every counter, including zeros."""
-        return [(name, why, n) for (name, why), n in self._values.items()]
+        return [
+            (name, reason, value)
+            for (name, reason), value in self._values.items()
+        ]
--- a/src/pollenmast/counters/_histograms.py
+++ b/src/pollenmast/counters/_histograms.py
@@ -75,7 +75,9 @@
     """The histograms of one process."""
 
     def __init__(self):
-        self._by_name = {each.name: Histogram() for each in HISTOGRAMS}
+        self._by_name = {
+            definition.name: Histogram() for definition in HISTOGRAMS
+        }
 
     def observe(self, definition: HistogramDefinition, seconds: float) -> None:
         """Adds one observation to a histogram."""
--- a/tests/cli_operators_test.py
+++ b/tests/cli_operators_test.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from pollenmast.cli import ExitCode
-from pollenmast.cli._report import report
+from pollenmast.cli._report import format_report
 from tests.cli_app_test import CommandCase
 
 _STATUS = {
@@ -109,4 +109,4 @@
     )
     def test_report(self, _, answer, expected):
         """Each shape of JSON has a readable form."""
-        self.assertEqual(expected, report(answer))
+        self.assertEqual(expected, format_report(answer))
--- a/tests/cli_timeline_test.py
+++ b/tests/cli_timeline_test.py
@@ -96,7 +96,7 @@
         with tempfile.NamedTemporaryFile("w") as file:
             file.write("\n".join(LOG))
             file.flush()
-            ended = CliRunner().invoke(
+            result = CliRunner().invoke(
                 app, ["explain", subject, "--log", file.name]
             )
-        self.assertEqual(code, ended.exit_code)
+        self.assertEqual(code, result.exit_code)
