--- a/src/pollenmast/cli/_app.py
+++ b/src/pollenmast/cli/_app.py
@@ -1,14 +1,14 @@
-"""The command line as a whole."""
+"""Assembles the command line from its commands."""
 
 import typer
 
 from pollenmast import VERSION
 from pollenmast.cli import _manifest, _settings
-from pollenmast.cli._adapted import decode
+from pollenmast.cli._adapters import decode
 from pollenmast.cli._events import events
-from pollenmast.cli._exits import MEANINGS, ExitCode
+from pollenmast.cli._exits import HELP, ExitCode
 from pollenmast.cli._operators import explain, status
-from pollenmast.cli._output import say
+from pollenmast.cli._output import print_output
 from pollenmast.cli._programs import agent, relay
 
 app = typer.Typer(
@@ -16,15 +16,15 @@
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
-    # Plain help needs no further library in the two long-running programs.
+    # With plain help the two long-running programs need no further library.
     rich_markup_mode=None,
-    epilog=MEANINGS,
+    epilog=HELP,
 )
 
 
 def _print_version(wanted: bool) -> None:
     if wanted:
-        say(f"pollenmast {VERSION}")
+        print_output(f"pollenmast {VERSION}")
         raise typer.Exit(ExitCode.OK)
 
 
--- a/src/pollenmast/cli/_output.py
+++ b/src/pollenmast/cli/_output.py
@@ -1,9 +1,9 @@
-"""Output for a person (tables) and for a program (JSON)."""
+"""Prints tables for people and JSON for programs."""
 
 import json
 import sys
 
-_GAP = "  "
+_COLUMN_GAP = "  "
 
 
 def json_text(value: object) -> str:
@@ -11,29 +11,32 @@
     return json.dumps(value, indent=2)
 
 
-def table(heads: tuple[str, ...], rows: list[tuple[object, ...]]) -> str:
-    """Returns rows under their heads, in columns as wide as they need."""
-    cells = [heads, *[tuple(str(cell) for cell in row) for row in rows]]
-    widths = [max(len(row[n]) for row in cells) for n in range(len(heads))]
+def table(headers: tuple[str, ...], rows: list[tuple[object, ...]]) -> str:
+    """Returns rows below their column headers, in aligned columns."""
+    cells = [headers, *[tuple(str(cell) for cell in row) for row in rows]]
+    widths = [max(len(row[n]) for row in cells) for n in range(len(headers))]
     lines = []
     for row in cells:
         padded = [
             cell.ljust(width) for cell, width in zip(row, widths, strict=True)
         ]
-        lines.append(_GAP.join(padded).rstrip())
+        lines.append(_COLUMN_GAP.join(padded).rstrip())
     return "\n".join(lines)
 
 
 def printable(text: str) -> str:
-    """Returns a text from the network in a form that steers no terminal."""
+    """Replaces unprintable characters, so that no terminal obeys them.
+
+    For texts from the network.
+    """
     return "".join(c if c.isprintable() else "?" for c in text)
 
 
-def say(text: str) -> None:
-    """Writes to the standard output."""
+def print_output(text: str) -> None:
+    """Prints a text to the standard output."""
     print(text)
 
 
-def complain(text: str) -> None:
-    """Writes to the standard error output."""
+def print_error(text: str) -> None:
+    """Prints a text to the standard error output."""
     print(text, file=sys.stderr)
--- a/src/pollenmast/operators/_site.py
+++ b/src/pollenmast/operators/_site.py
@@ -1,4 +1,4 @@
-"""The operators' endpoint: which path answers what."""
+"""Routes the requests of operators to their answers."""
 
 import abc
 import urllib.parse
@@ -13,23 +13,31 @@
 
 
 class Knowledge(abc.ABC):
-    """What the site asks of the program that it speaks for."""
+    """What the program provides to the operators' API."""
 
     @abc.abstractmethod
     def status(self) -> Status:
-        """Returns the status now."""
+        """Returns the current status."""
 
     @abc.abstractmethod
     def health(self) -> str | None:
-        """Returns what is wrong with this process, or None."""
+        """Returns what is wrong with this process, or None if it is healthy."""
 
     @abc.abstractmethod
     def readiness(self) -> str | None:
-        """Returns why this VM takes no new flows, or None."""
+        """Returns why this VM accepts no new flows, or None if it does."""
 
     @abc.abstractmethod
     async def explain(self, subject: str) -> tuple[str, ...] | None:
-        """Returns why something was decided, or None without an answer."""
+        """Returns the lines that explain the decisions about a subject.
+
+        Args:
+            subject: A caller as IP:PORT, or SERVICE/ENDPOINT; empty for the
+                newest decisions.
+
+        Returns:
+            The lines, or None if the relay does not answer.
+        """
 
 
 @attrs.frozen
@@ -39,7 +47,7 @@
 
 
 class Site:
-    """Answers operators' requests."""
+    """Answers the HTTP requests of operators."""
 
     def __init__(self, knowledge: Knowledge, metrics: _metrics.Metrics):
         self._knowledge = knowledge
@@ -58,9 +66,9 @@
                 text = self._metrics.text()
                 return Answer(200, text, _metrics.CONTENT_TYPE)
             case "/health":
-                return _verdict(self._knowledge.health())
+                return _check_answer(self._knowledge.health())
             case "/ready":
-                return _verdict(self._knowledge.readiness())
+                return _check_answer(self._knowledge.readiness())
             case "/explain":
                 return await self._explain(query)
         return Answer(404, b"known: /status /metrics /health /ready /explain\n")
@@ -77,7 +85,7 @@
         return Answer(200, to_json(_Explanation(subject, lines)), _JSON)
 
 
-def _verdict(fault: str | None) -> Answer:
+def _check_answer(fault: str | None) -> Answer:
     if fault is None:
         return Answer(200, b"ok\n")
     return Answer(503, f"{fault}\n".encode())
--- a/tests/cli_adapted_test.py
+++ b/tests/cli_adapters_test.py
@@ -1,4 +1,4 @@
-"""Tests of cli._adapted: formats of the platform on the command line."""
+"""Tests of `--adapter` and `decode`: formats of the platform."""
 
 import json
 
@@ -50,11 +50,11 @@
 )
 
 
-class AdaptedTest(CommandCase):
-    """An operator of the platform checks files before a roll-out."""
+class AdapterTest(CommandCase):
+    """Operators check the platform's files before a roll-out."""
 
     def test_settings(self):
-        """The values in force are shown in the product's words."""
+        """The values in force are printed."""
         file = self.write("boot.conf", SETTINGS)
         code, output, _ = self.run_command(
             "settings", "check", file, "--adapter", "platform"
@@ -68,20 +68,20 @@
             ("manifest", "{}", "services is missing"),
         ]
     )
-    def test_fault(self, command, text, fault):
-        """A wrong file is refused with the field that is wrong.
+    def test_invalid_file(self, command, text, fault):
+        """An invalid file is refused and the error names the field.
 
-        Found out at the next start, it would take a VM out of service.
+        A fault found only at the next start would take a VM out of service.
         """
         file = self.write("wrong", text)
-        code, _, complaints = self.run_command(
+        code, _, errors = self.run_command(
             command, "check", file, "--adapter", "platform"
         )
-        self.assertEqual(ExitCode.REFUSED, code)
-        self.assertIn(fault, complaints)
+        self.assertEqual(ExitCode.INVALID_INPUT, code)
+        self.assertIn(fault, errors)
 
     def test_configuration(self):
-        """Each route is told with its services and shares."""
+        """Each route is printed with its services and their weights."""
         file = self.write("config.json", json.dumps(CONFIGURATION))
         code, output, _ = self.run_command(
             "manifest", "check", file, "--adapter", "platform", "--json"
@@ -96,35 +96,35 @@
         self.assertNotIn("warm-up of spare", read)
 
     def test_unknown_adapter(self):
-        """The adapters that there are stand in the complaint."""
-        code, _, complaints = self.run_command(
+        """The error lists the adapters that exist."""
+        code, _, errors = self.run_command(
             "settings", "check", "file", "--adapter", "moon"
         )
-        self.assertEqual(ExitCode.REFUSED, code)
-        self.assertIn("allowed: platform", complaints)
+        self.assertEqual(ExitCode.INVALID_INPUT, code)
+        self.assertIn("allowed: platform", errors)
 
-    def test_no_file(self):
-        """A file that is not there is a complaint, not a traceback."""
-        code, _, complaints = self.run_command(
+    def test_missing_file(self):
+        """A missing file gives an error message, not a traceback."""
+        code, _, errors = self.run_command(
             "settings", "check", "/nowhere", "--adapter", "platform"
         )
-        self.assertEqual(ExitCode.REFUSED, code)
-        self.assertIn("/nowhere", complaints)
+        self.assertEqual(ExitCode.INVALID_INPUT, code)
+        self.assertIn("/nowhere", errors)
 
 
 class DecodeTest(CommandCase):
-    """A packet from a capture, in words."""
+    """`decode` prints the fields of a captured packet."""
 
     def test_syn(self):
-        """A SYN's flow and its copies are told."""
+        """A SYN's flow and the number of its earlier copies are printed."""
         code, output, _ = self.run_command("decode", SYN)
         self.assertEqual(ExitCode.OK, code)
         self.assertIn("100.64.0.7:40001", output)
         self.assertRegex(output, "sent before +1 times")
 
     @parameterized.expand([("odd", "abc"), ("words", "xy"), ("short", "00")])
-    def test_no_packet(self, _, text):
-        """What is no packet is refused."""
-        code, _, complaints = self.run_command("decode", text)
-        self.assertEqual(ExitCode.REFUSED, code)
-        self.assertTrue(complaints)
+    def test_invalid_packet(self, _, text):
+        """Input that is not a packet is refused."""
+        code, _, errors = self.run_command("decode", text)
+        self.assertEqual(ExitCode.INVALID_INPUT, code)
+        self.assertTrue(errors)
--- a/tests/cli_operators_test.py
+++ b/tests/cli_operators_test.py
@@ -1,4 +1,4 @@
-"""Tests of cli._operators, cli._client and cli._report."""
+"""Tests of `status` and `explain`, and of their output."""
 
 import http.server
 import json
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from pollenmast.cli import ExitCode
-from pollenmast.cli._report import report
+from pollenmast.cli._report import format_report
 from tests.cli_app_test import CommandCase
 
 _STATUS = {
@@ -22,8 +22,8 @@
 }
 
 
-class _Agent(http.server.BaseHTTPRequestHandler):
-    """Answers as an agent does, or as something else on its port."""
+class _AgentHandler(http.server.BaseHTTPRequestHandler):
+    """Answers like an agent, or like another program on its port."""
 
     def do_GET(self):  # noqa: N802 - the library names it
         """Answers one request."""
@@ -48,12 +48,12 @@
 
 
 class OperatorsTest(CommandCase):
-    """An operator asks a VM."""
+    """Operators query a VM."""
 
     def setUp(self):
-        """Starts an agent's stand-in."""
+        """Starts a stand-in for an agent."""
         super().setUp()
-        server = http.server.HTTPServer(("127.0.0.1", 0), _Agent)
+        server = http.server.HTTPServer(("127.0.0.1", 0), _AgentHandler)
         thread = threading.Thread(target=server.serve_forever)
         thread.start()
         self.addCleanup(server.server_close)
@@ -62,11 +62,11 @@
         self.address = f"127.0.0.1:{server.server_port}"
 
     def ask(self, *words: str) -> tuple[int, str, str]:
-        """Runs a command with the stand-in's address."""
+        """Runs a command with the address of the stand-in."""
         return self.run_command(*words, "--address", self.address)
 
     def test_status(self):
-        """The status is shown as tables, and as JSON unchanged."""
+        """The status is printed as tables, and unchanged as JSON."""
         code, output, _ = self.ask("status")
         self.assertEqual(ExitCode.OK, code)
         for text in ("relay-2  suspect", "refusals  busy", "12.2", "ready"):
@@ -82,22 +82,20 @@
             ("stranger", "page", 1, "", "something else than JSON"),
         ]
     )
-    def test_explain(self, _, subject, code, output, complaint):
-        """The lines of an answer are shown, and a missing answer is told."""
-        ended, shown, complaints = self.ask("explain", subject)
-        self.assertEqual((code, output), (ended, shown))
-        self.assertIn(complaint, complaints)
+    def test_explain(self, _, subject, code, output, error):
+        """The lines of an answer, or an error without one, are printed."""
+        exit_code, output_text, errors = self.ask("explain", subject)
+        self.assertEqual((code, output), (exit_code, output_text))
+        self.assertIn(error, errors)
 
-    def test_nobody_there(self):
-        """The agent is down: exit code 1 and one line."""
-        code, _, complaints = self.run_command(
-            "status", "--address", "127.0.0.1:1"
-        )
-        self.assertEqual((1, 1), (code, len(complaints.splitlines())))
+    def test_no_agent(self):
+        """Without an agent on the port: exit code 1 and one line of error."""
+        code, _, errors = self.run_command("status", "--address", "127.0.0.1:1")
+        self.assertEqual((1, 1), (code, len(errors.splitlines())))
 
 
 class ReportTest(TestCase):
-    """Any answer is shown, also of a version not yet known."""
+    """Every answer can be shown, also that of an unknown version."""
 
     @parameterized.expand(
         [
@@ -110,5 +108,5 @@
         ]
     )
     def test_report(self, _, answer, expected):
-        """Each shape of JSON has a form that a person can read."""
-        self.assertEqual(expected, report(answer))
+        """Each shape of JSON has a readable form."""
+        self.assertEqual(expected, format_report(answer))
--- a/tests/cli_story_test.py
+++ b/tests/cli_timeline_test.py
@@ -1,4 +1,4 @@
-"""Tests of cli._story: from a request's id to its cause."""
+"""Tests of `explain --log`: timelines from log lines."""
 
 import json
 import tempfile
@@ -7,7 +7,7 @@
 from testtools import TestCase
 from typer.testing import CliRunner
 
-from pollenmast.cli import _story
+from pollenmast.cli import _timeline
 from pollenmast.cli._app import app
 
 FLOW = "100.64.0.6:1049>198.18.0.1:8080"
@@ -30,24 +30,25 @@
 ]
 
 
-class StoryTest(TestCase):
-    """What an engineer on call reads after a complaint."""
+class TimelineTest(TestCase):
+    """An engineer on call traces a failed request by its id."""
 
     @parameterized.expand([("request", "ab"), ("flow", FLOW)])
-    def test_cut_off(self, _, subject):
-        """A request was cut off; its id leads to the endpoint that died."""
-        told = _story.story(_story.read(LOG), subject)
-        names = [text.split(" s  ")[1].split("  ")[1] for text in told]
+    def test_reset_request(self, _, subject):
+        """The id of a reset request leads to the endpoint that failed."""
+        texts = _timeline.timeline(_timeline.read(LOG), subject)
+        names = [text.split(" s  ")[1].split("  ")[1] for text in texts]
         self.assertEqual(
             ["flow_placed", "request_carried", "endpoint_down", "flow_reset"],
             names,
         )
-        self.assertIn("check=timeout", told[2])
+        self.assertIn("check=timeout", texts[2])
 
     def test_drained_zone(self):
-        """What the VM knew of drains is told with a flow that was refused.
+        """The timeline of a refused flow includes what the VM knew of drains.
 
-        A drain of another VM's, or of an hour ago, explains nothing.
+        Lines of another VM or from long before are left out: they do not
+        explain the refusal.
         """
         log = [
             _line(101.0, "zone_drained", zone="a", revision=7),
@@ -55,9 +56,9 @@
             _line(101.1, "zone_drained", zone="b").replace("vm-1", "vm-2"),
             _line(102.0, "flow_reset", flow=FLOW, reason="zone_drained"),
         ]
-        told = _story.story(_story.read(log), FLOW)
-        self.assertEqual(2, len(told))
-        self.assertIn("zone=a", told[0])
+        texts = _timeline.timeline(_timeline.read(log), FLOW)
+        self.assertEqual(2, len(texts))
+        self.assertIn("zone=a", texts[0])
 
     @parameterized.expand(
         [
@@ -67,33 +68,35 @@
             ("directory_restored", {"known": 27, "revision": 25}),
         ]
     )
-    def test_directory(self, name, fields):
-        """A flow goes where nothing is served: the VM had lost its directory.
+    def test_directory_events(self, name, fields):
+        """The timeline of a flow includes the VM's trouble with its directory.
 
-        On-call would look at the endpoint, which says all there is of it.
+        A VM that has lost its directory can send a flow to an endpoint that
+        serves nothing. Without these lines, an engineer on call would look
+        only at the endpoint.
         """
         log = [
             _line(101.0, name, **fields),
             _line(101.1, name, **fields).replace("vm-1", "vm-2"),
             _line(102.0, "flow_placed", flow=FLOW, endpoint="i-1"),
         ]
-        told = _story.story(_story.read(log), FLOW)
-        self.assertEqual(2, len(told))
-        self.assertIn(name, told[0])
+        texts = _timeline.timeline(_timeline.read(log), FLOW)
+        self.assertEqual(2, len(texts))
+        self.assertIn(name, texts[0])
 
-    def test_terminal(self):
-        """A client's text in a log line cannot steer the terminal."""
+    def test_escape_sequences(self):
+        """Escape sequences from a client do not reach the terminal."""
         line = _line(1.0, "request_carried", request="ab", flow="\x1b[2J")
-        told = _story.story(_story.read([line]), "ab")
-        self.assertNotIn("\x1b", told[0])
+        texts = _timeline.timeline(_timeline.read([line]), "ab")
+        self.assertNotIn("\x1b", texts[0])
 
     @parameterized.expand([("known", "ab", 0), ("unknown", "zz", 1)])
     def test_command(self, _, subject, code):
-        """The command reads a file, and says when nothing is found."""
+        """The command reads a file and fails if no line names the subject."""
         with tempfile.NamedTemporaryFile("w") as file:
             file.write("\n".join(LOG))
             file.flush()
-            ended = CliRunner().invoke(
+            result = CliRunner().invoke(
                 app, ["explain", subject, "--log", file.name]
             )
-        self.assertEqual(code, ended.exit_code)
+        self.assertEqual(code, result.exit_code)
--- a/tests/events_stream_test.py
+++ b/tests/events_stream_test.py
@@ -4,16 +4,16 @@
 
 from testtools import TestCase
 
-from pollenmast.events._stream import MOST_QUEUED_BYTES, BoundedStream
+from pollenmast.events._stream import MAX_QUEUED_BYTES, BoundedStream
 
 _LINE = b"x" * 999 + b"\n"
 
 
 class BoundedStreamTest(TestCase):
-    """Writing the log never waits for its reader."""
+    """Writing to the log never blocks on its reader."""
 
     def setUp(self):
-        """Makes a pipe."""
+        """Creates a pipe."""
         super().setUp()
         self.reader, self.writer = os.pipe()
         self.stream = BoundedStream(self.writer)
@@ -22,12 +22,12 @@
         for descriptor in descriptors:
             os.close(descriptor)
 
-    def test_reader_sleeps(self):
-        """Nobody reads: lines are dropped and counted, and no write waits.
+    def test_reader_does_not_read(self):
+        """If nobody reads, lines are dropped and counted, and no write blocks.
 
         A blocking write would stop the packets of every flow.
         """
-        for _ in range(2 * MOST_QUEUED_BYTES // len(_LINE)):
+        for _ in range(2 * MAX_QUEUED_BYTES // len(_LINE)):
             self.stream.write(_LINE)
             self.stream.flush()
         self.assertGreater(self.stream.lost, 0)
@@ -47,7 +47,7 @@
         self._close(self.reader, self.writer)
 
     def test_reader_gone(self):
-        """The reader ended; the program goes on without a log."""
+        """If the reader has ended, writes are ignored and raise nothing."""
         self._close(self.reader)
         for _ in range(10):
             self.stream.write(_LINE)
@@ -55,7 +55,7 @@
         self._close(self.writer)
 
     def test_whole_lines(self):
-        """What is written arrives in order and whole."""
+        """Lines arrive complete and in order."""
         for number in range(5):
             self.stream.write(b"%d\n" % number)
         self.stream.flush()
