--- a/src/pollenmast/http1/__init__.py
+++ b/src/pollenmast/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 by h11 over anyio's TCP streams: a small client and server."""
+"""A small HTTP/1.1 client and server, with h11 over anyio TCP streams."""
 
 from pollenmast.http1._client import (
     Connection,
--- a/src/pollenmast/http1/_client.py
+++ b/src/pollenmast/http1/_client.py
@@ -1,4 +1,4 @@
-"""One kept-alive connection to one server, for GET only."""
+"""A persistent HTTP/1.1 connection that sends GET requests to one server."""
 
 import enum
 from collections.abc import Callable
@@ -15,22 +15,23 @@
     TooLargeError,
 )
 
-MOST_BODY_BYTES = 1 << 20
-"""The platform's values are a megabyte at most; more is a fault."""
+MAX_BODY_BYTES = 1 << 20
+"""Default limit of a response body, in bytes. The platform's values have at
+most a megabyte; a longer body is a fault."""
 
-_READ_BYTES = 65_536
+_RECEIVE_BYTES = 65_536
 
 
 class HttpFault(str, enum.Enum):
-    """Why there is no response."""
+    """The reason why a request has no response."""
 
     TIMEOUT = "timeout"
     INCOMPLETE = "incomplete"
-    """The answer has begun, but did not come whole in time."""
+    """Part of the response arrived, but not all of it in time."""
 
     UNREACHABLE = "unreachable"
     REFUSED = "refused"
-    """Nothing listens at the address."""
+    """Nothing listens at the address; only `Connection.connect` reports it."""
 
     PROTOCOL = "protocol"
     OVERSIZED = "oversized"
@@ -38,15 +39,15 @@
 
 @attrs.frozen
 class Patience:
-    """How long an answer is awaited that may take a narrow link seconds.
+    """Timeouts for a response that can take seconds over a slow link.
 
-    One timeout for the whole answer would drop each that is longer than the
-    link carries meanwhile, however often it is asked for.
+    With a single timeout, a response that is too long for the link to transfer
+    within it would fail on every retry.
 
     Attributes:
-        first_s: Seconds until some of it arrives.
-        idle_s: Seconds without any more of it.
-        total_s: Seconds until it is whole.
+        first_s: Seconds until the first bytes arrive.
+        idle_s: Seconds without any further bytes.
+        total_s: Seconds until the response is complete.
     """
 
     first_s: float
@@ -55,27 +56,27 @@
 
 
 class Connection:
-    """Asks one server, over one connection that is kept between requests.
+    """A client of one server that reuses its connection between requests.
 
-    A probe twice a second of each endpoint over a new connection each time
-    costs about three times the processor time of a kept one.
+    Each endpoint is probed twice a second. Opening a new connection for every
+    probe costs about three times the CPU time of reusing one.
     """
 
-    def __init__(self, address: str, port: int, most: int = MOST_BODY_BYTES):
+    def __init__(self, address: str, port: int, most: int = MAX_BODY_BYTES):
         self._address = address
         self._port = port
-        self._most = most
+        self._max_body_bytes = most
         self._stream: anyio.abc.SocketStream | None = None
         self._exchange = self._new_exchange()
-        self._sent = 0
-        self._most_now: int | None = None
-        self._begun = False
-        self._on_progress: Callable[[], None] = _nothing
+        self._sent_bytes = 0
+        self._request_max_body_bytes: int | None = None
+        self._response_started = False
+        self._on_progress: Callable[[], None] = _no_op
 
     @property
     def sent_bytes(self) -> int:
         """Bytes written to the network so far."""
-        return self._sent
+        return self._sent_bytes
 
     async def get(
         self,
@@ -83,40 +84,58 @@
         timeout: float | Patience,
         most: int | None = None,
     ) -> Result[Response, HttpFault]:
-        """Returns the response to a GET, or why there is none.
+        """Sends a GET request and reads the response.
 
-        A kept connection that the server has closed meanwhile is replaced
-        once: a GET is idempotent.
+        If the server has closed the reused connection in the meantime, the
+        request is sent once more over a new one: a GET is idempotent.
 
         Args:
             target: The path and query.
-            timeout: Seconds for the whole answer, or how long to wait for
-                each part of it.
-            most: The most bytes of its body, None for the connection's usual.
+            timeout: Seconds for the whole response, or a timeout for each
+                stage of it.
+            most: Limit of the response body in bytes; None for the
+                connection's default.
+
+        Returns:
+            The response, or the reason why there is none.
         """
         if not isinstance(timeout, Patience):
             timeout = Patience(timeout, timeout, timeout)
-        self._most_now, self._begun = most, False
-        give_up_at = anyio.current_time() + timeout.total_s
+        self._request_max_body_bytes, self._response_started = most, False
+        total_deadline = anyio.current_time() + timeout.total_s
         with anyio.move_on_after(timeout.first_s) as scope:
 
-            def extend() -> None:
-                idle_until = anyio.current_time() + timeout.idle_s
-                scope.deadline = min(give_up_at, idle_until)
+            def extend_deadline() -> None:
+                idle_deadline = anyio.current_time() + timeout.idle_s
+                scope.deadline = min(total_deadline, idle_deadline)
 
-            self._on_progress = extend
-            kept = self._stream is not None
+            self._on_progress = extend_deadline
+            reused = self._stream is not None
             outcome = await self._attempt(target)
-            if kept and outcome == Err(HttpFault.UNREACHABLE):
+            if reused and outcome == Err(HttpFault.UNREACHABLE):
                 outcome = await self._attempt(target)
             return outcome
-        # An answer that comes after the timeout would be read as the answer
-        # to the next request.
+        # On an open connection, a response that arrives after the timeout
+        # would be taken for the response to the next request.
         await self.aclose()
-        return Err(HttpFault.INCOMPLETE if self._begun else HttpFault.TIMEOUT)
+        return Err(
+            HttpFault.INCOMPLETE
+            if self._response_started
+            else HttpFault.TIMEOUT
+        )
 
     async def connect(self, timeout_s: float) -> Result[None, HttpFault]:
-        """Opens the connection, for callers to whom it alone says something."""
+        """Opens a new connection without sending a request.
+
+        For callers that only need to know whether the server accepts
+        connections.
+
+        Args:
+            timeout_s: Seconds until the connection is established.
+
+        Returns:
+            None, or the reason why there is no connection.
+        """
         await self.aclose()
         with anyio.move_on_after(timeout_s):
             try:
@@ -127,7 +146,7 @@
         return Err(HttpFault.TIMEOUT)
 
     async def aclose(self) -> None:
-        """Closes the connection; the next request opens another."""
+        """Closes the connection; the next request opens a new one."""
         stream, self._stream = self._stream, None
         if stream is not None:
             with anyio.CancelScope(shield=True), anyio.move_on_after(0.1):
@@ -135,7 +154,7 @@
 
     async def _attempt(self, target: str) -> Result[Response, HttpFault]:
         try:
-            response = await self._ask(target)
+            response = await self._request(target)
         except (OSError, anyio.BrokenResourceError, EndedError):
             await self.aclose()
             return Err(HttpFault.UNREACHABLE)
@@ -151,33 +170,33 @@
         except BaseException:
             await self.aclose()
             raise
-        await self._settle()
+        await self._prepare_next_request()
         return Ok(response)
 
     def _new_exchange(self) -> Exchange:
-        return Exchange(f"{self._address}:{self._port}", self._most)
+        return Exchange(f"{self._address}:{self._port}", self._max_body_bytes)
 
-    async def _ask(self, target: str) -> Response:
+    async def _request(self, target: str) -> Response:
         if self._stream is None:
             await self._open()
-        data = self._exchange.request(target, self._most_now)
-        self._sent += len(data)
+        data = self._exchange.request(target, self._request_max_body_bytes)
+        self._sent_bytes += len(data)
         await self._stream.send(data)
-        return await self._read()
+        return await self._read_response()
 
     async def _open(self) -> None:
         self._stream = await anyio.connect_tcp(self._address, self._port)
         self._exchange = self._new_exchange()
 
-    async def _read(self) -> Response:
-        begun = False
+    async def _read_response(self) -> Response:
+        received = False
         while True:
             data = await self._receive()
-            if not data and not begun:
-                # Closed without a byte of an answer: most often a kept
-                # connection that the server gave up while it was idle.
+            if not data and not received:
+                # Closed before any byte of a response. Usually this is a
+                # reused connection that the server closed while it was idle.
                 raise EndedError
-            begun = self._begun = True
+            received = self._response_started = True
             self._on_progress()
             self._exchange.feed(data)
             response = self._exchange.response()
@@ -186,16 +205,16 @@
 
     async def _receive(self) -> bytes:
         try:
-            return await self._stream.receive(_READ_BYTES)
+            return await self._stream.receive(_RECEIVE_BYTES)
         except anyio.EndOfStream:
             return b""
 
-    async def _settle(self) -> None:
+    async def _prepare_next_request(self) -> None:
         if not self._exchange.next_cycle():
             await self.aclose()
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     pass
 
 
--- a/src/pollenmast/http1/_server.py
+++ b/src/pollenmast/http1/_server.py
@@ -1,4 +1,4 @@
-"""A server for a few readers: GET in, a whole answer out."""
+"""A minimal HTTP/1.1 server for a small number of clients."""
 
 from collections.abc import Awaitable, Callable
 
@@ -7,24 +7,26 @@
 import attrs
 import h11
 
-MOST_CONNECTIONS = 32
-"""Connections served at the same time. Operators' tools need a handful; more
-would let a scraper that leaks connections take the agent's memory."""
+MAX_CONNECTIONS = 32
+"""Limit of concurrent connections; further ones are closed at once. Operators'
+tools need a handful. Without the limit, a scraper that leaks connections could
+use up the agent's memory."""
 
-IDLE_S = 30.0
-"""A connection without a request for so long is closed, in seconds."""
+IDLE_TIMEOUT_S = 30.0
+"""Seconds without a complete request after which a connection is closed."""
 
-MOST_REQUEST_BYTES = 16_384
-"""A request head and body of more is refused."""
+MAX_REQUEST_BYTES = 16_384
+"""Limit of a request's head, and of its body, in bytes. A request with a larger
+one is refused."""
 
 
 @attrs.frozen
 class Request:
-    """What was asked.
+    """An HTTP request.
 
     Attributes:
         method: The method, in upper case.
-        target: Path and query as sent.
+        target: The path and query as sent.
     """
 
     method: str
@@ -33,12 +35,12 @@
 
 @attrs.frozen
 class Answer:
-    """What is answered.
+    """An HTTP response to be sent.
 
     Attributes:
         status: The status code.
-        body: The content.
-        content_type: What the content is.
+        body: The response body.
+        content_type: Value of the Content-Type header.
     """
 
     status: int
@@ -50,55 +52,60 @@
 
 
 async def serve(listener: anyio.abc.Listener, handler: Handler) -> None:
-    """Serves connections until cancelled."""
-    slots = anyio.CapacityLimiter(MOST_CONNECTIONS)
+    """Serves HTTP connections until cancelled.
 
-    async def one(stream: anyio.abc.ByteStream) -> None:
+    Args:
+        listener: Accepts the connections.
+        handler: Called with each request; returns the response.
+    """
+    limiter = anyio.CapacityLimiter(MAX_CONNECTIONS)
+
+    async def serve_connection(stream: anyio.abc.ByteStream) -> None:
         try:
-            slots.acquire_nowait()
+            limiter.acquire_nowait()
         except anyio.WouldBlock:
             await anyio.aclose_forcefully(stream)
             return
         try:
             async with stream:
-                await _Session(stream, handler).run()
+                await _ServerConnection(stream, handler).run()
         except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
         finally:
-            slots.release()
+            limiter.release()
 
-    await listener.serve(one)
+    await listener.serve(serve_connection)
 
 
-class _Session:
-    """One connection, request after request."""
+class _ServerConnection:
+    """Serves the requests of one connection, one at a time."""
 
     def __init__(self, stream: anyio.abc.ByteStream, handler: Handler):
         self._stream = stream
         self._handler = handler
         self._protocol = h11.Connection(
-            h11.SERVER, max_incomplete_event_size=MOST_REQUEST_BYTES
+            h11.SERVER, max_incomplete_event_size=MAX_REQUEST_BYTES
         )
 
     async def run(self) -> None:
         while True:
             try:
-                request = await self._request()
+                request = await self._read_request()
             except h11.RemoteProtocolError:
-                await self._refuse()
+                await self._send_bad_request()
                 return
             if request is None:
                 return
-            await self._send(await self._handler(request))
+            await self._send_answer(await self._handler(request))
             done = (h11.DONE, h11.DONE)
             state = (self._protocol.our_state, self._protocol.their_state)
             if state != done:
                 return
             self._protocol.start_next_cycle()
 
-    async def _request(self) -> Request | None:
-        request, size = None, 0
-        with anyio.move_on_after(IDLE_S):
+    async def _read_request(self) -> Request | None:
+        request, body_bytes = None, 0
+        with anyio.move_on_after(IDLE_TIMEOUT_S):
             while True:
                 event = self._protocol.next_event()
                 if event is h11.NEED_DATA:
@@ -108,8 +115,8 @@
                         event.method.decode(), event.target.decode("latin-1")
                     )
                 elif isinstance(event, h11.Data):
-                    size += len(event.data)
-                    if size > MOST_REQUEST_BYTES:
+                    body_bytes += len(event.data)
+                    if body_bytes > MAX_REQUEST_BYTES:
                         return None
                 elif isinstance(event, h11.EndOfMessage):
                     return request
@@ -123,11 +130,11 @@
         except anyio.EndOfStream:
             return b""
 
-    async def _refuse(self) -> None:
+    async def _send_bad_request(self) -> None:
         if self._protocol.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            await self._send(Answer(400, b"bad request\n"))
+            await self._send_answer(Answer(400, b"bad request\n"))
 
-    async def _send(self, answer: Answer) -> None:
+    async def _send_answer(self, answer: Answer) -> None:
         head = h11.Response(
             status_code=answer.status,
             headers=[
--- a/tests/http1_test.py
+++ b/tests/http1_test.py
@@ -1,4 +1,4 @@
-"""Tests of http1, over streams in memory and with the clock paused."""
+"""Tests of http1, over in-memory streams and with a simulated clock."""
 
 import anyio
 import anyio.abc
@@ -19,11 +19,11 @@
     _server,
 )
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 class MemoryStream(anyio.abc.ByteStream):
-    """A trio stream in memory, as anyio sees streams."""
+    """Adapts an in-memory trio stream to the stream interface of anyio."""
 
     def __init__(self, stream):
         self._stream = stream
@@ -43,7 +43,7 @@
         return data
 
     async def send_eof(self) -> None:
-        """Ends this direction."""
+        """Closes the sending direction."""
         await self._stream.send_eof()
 
     async def aclose(self) -> None:
@@ -52,13 +52,13 @@
 
 
 def run(main) -> object:
-    """Runs with a clock that jumps over every wait."""
+    """Runs an async function with a clock that skips every wait."""
     clock = trio.testing.MockClock(autojump_threshold=0)
     return trio.run(main, clock=clock)
 
 
 class Network:
-    """Gives each connection to a scripted server."""
+    """Replaces `connect_tcp`; each new connection gets the next server."""
 
     def __init__(self, case: TestCase, nursery, *servers):
         self._nursery = nursery
@@ -69,30 +69,30 @@
     async def _connect(self, address: str, port: int) -> MemoryStream:
         if not self._servers:
             raise OSError("refused")
-        near, far = trio.testing.memory_stream_pair()
+        client_end, server_end = trio.testing.memory_stream_pair()
         self.opened += 1
-        self._nursery.start_soon(self._servers.pop(0), MemoryStream(far))
-        return MemoryStream(near)
+        self._nursery.start_soon(self._servers.pop(0), MemoryStream(server_end))
+        return MemoryStream(client_end)
 
 
-async def _silent(stream: MemoryStream) -> None:
+async def _silent_server(stream: MemoryStream) -> None:
     await anyio.sleep_forever()
 
 
-def _answering(*answers: bytes):
-    """Returns a server that gives these answers, then closes."""
+def _responding(*responses: bytes):
+    """Returns a server that sends these responses, then closes."""
 
     async def serve(stream: MemoryStream) -> None:
-        for answer in answers:
+        for response in responses:
             await stream.receive()
-            await stream.send(answer)
+            await stream.send(response)
         await stream.aclose()
 
     return serve
 
 
 class ConnectionTest(TestCase):
-    """A GET has one whole answer, or a fault."""
+    """A GET returns one complete response, or a fault."""
 
     def _get(self, servers, gets: int = 1, most: int = 1000) -> tuple:
         async def main():
@@ -107,101 +107,107 @@
 
         return run(main)
 
-    def test_kept(self):
-        """Two requests share one connection."""
-        outcomes, opened, _ = self._get([_answering(ANSWER, ANSWER)], gets=2)
+    def test_connection_reused(self):
+        """Two requests use the same connection."""
+        outcomes, opened, _ = self._get(
+            [_responding(RESPONSE, RESPONSE)], gets=2
+        )
         self.assertEqual(1, opened)
         self.assertEqual([b"ok"] * 2, [each.unwrap().body for each in outcomes])
 
-    def test_closed_between(self):
-        """The server closed the kept connection while it was idle.
+    def test_idle_connection_closed_by_server(self):
+        """A request is repeated if the server closed the idle connection.
 
-        Without the second attempt each restart of an endpoint's health port
+        Without the second attempt, each restart of an endpoint's health port
         would look like an outage.
         """
-        servers = [_answering(ANSWER), _answering(ANSWER)]
+        servers = [_responding(RESPONSE), _responding(RESPONSE)]
         outcomes, opened, _ = self._get(servers, gets=2)
         self.assertEqual(2, opened)
         self.assertTrue(all(each.is_ok() for each in outcomes))
 
-    def test_silence(self):
-        """A server takes the connection and never answers."""
-        outcomes, _, spent = self._get([_silent])
+    def test_server_never_responds(self):
+        """A server that accepts a connection but never responds times out."""
+        outcomes, _, elapsed_s = self._get([_silent_server])
         self.assertEqual([Err(HttpFault.TIMEOUT)], outcomes)
-        self.assertEqual(2.0, round(spent, 3))
+        self.assertEqual(2.0, round(elapsed_s, 3))
 
     @parameterized.expand(
         [
             ("refused", [], HttpFault.UNREACHABLE),
-            ("closed", [_answering()], HttpFault.UNREACHABLE),
-            ("garbage", [_answering(b"\0\1\2\r\n\r\n")], HttpFault.PROTOCOL),
-            ("cut", [_answering(ANSWER[:-1])], HttpFault.PROTOCOL),
+            ("closed", [_responding()], HttpFault.UNREACHABLE),
+            ("garbage", [_responding(b"\0\1\2\r\n\r\n")], HttpFault.PROTOCOL),
+            ("cut", [_responding(RESPONSE[:-1])], HttpFault.PROTOCOL),
             (
                 "oversized",
-                [_answering(ANSWER.replace(b"2\r", b"2000\r") + b"x" * 1998)],
+                [
+                    _responding(
+                        RESPONSE.replace(b"2\r", b"2000\r") + b"x" * 1998
+                    )
+                ],
                 HttpFault.OVERSIZED,
             ),
         ]
     )
-    def test_fault(self, _, servers, fault):
-        """Whatever a server does, the outcome is a value."""
+    def test_failure_returned_as_fault(self, _, servers, fault):
+        """Each failure of a server is returned as a fault, not raised."""
         outcomes, _, _ = self._get(servers)
         self.assertEqual([Err(fault)], outcomes)
 
 
 class ServerTest(TestCase):
-    """A whole answer to each request, and an end to everything else."""
+    """A request gets a complete response; anything else ends the connection."""
 
     def _serve(self, *sent: bytes, end: bool = True) -> bytes:
         async def handle(request):
             return Answer(200, request.target.encode())
 
         async def main():
-            near, far = trio.testing.memory_stream_pair()
+            client_end, server_end = trio.testing.memory_stream_pair()
             async with trio.open_nursery() as nursery:
 
                 async def serve():
-                    async with MemoryStream(far) as stream:
-                        await _server._Session(stream, handle).run()
+                    async with MemoryStream(server_end) as stream:
+                        await _server._ServerConnection(stream, handle).run()
 
                 nursery.start_soon(serve)
                 for data in sent:
-                    await near.send_all(data)
+                    await client_end.send_all(data)
                 if end:
-                    await near.send_eof()
+                    await client_end.send_eof()
                 received = b""
-                while data := await near.receive_some(65_536):
+                while data := await client_end.receive_some(65_536):
                     received += data
             return received
 
         return run(main)
 
-    def test_two_requests(self):
-        """Two requests of one connection are answered in their order."""
+    def test_requests_answered_in_order(self):
+        """Requests on one connection are answered in order."""
         request = b"GET /%d HTTP/1.1\r\nHost: a\r\n\r\n"
         received = self._serve(request % 1, request % 2)
         self.assertEqual(2, received.count(b"200"))
         self.assertTrue(received.endswith(b"/2"))
 
-    def test_idle(self):
-        """A connection that asks nothing is closed after a while."""
+    def test_idle_connection_closed(self):
+        """A connection without a request is closed after the idle timeout."""
         self.assertEqual(b"", self._serve(end=False))
 
-    def test_endless_head(self):
-        """A head that never ends is refused before it takes the memory."""
+    def test_endless_head_refused(self):
+        """An endless request head is refused before it uses up the memory."""
         data = b"GET / HTTP/1.1\r\nA: " + b"x" * 40_000
         received = self._serve(data, end=False)
         self.assertTrue(received.startswith(b"HTTP/1.1 400"))
 
     @settings(max_examples=60, derandomize=True, database=None, deadline=None)
     @given(st.binary(max_size=200))
-    def test_any_bytes(self, data):
-        """Bytes of no meaning end the connection, and nothing is raised."""
+    def test_random_bytes_end_connection(self, data):
+        """Random bytes end the connection without an exception."""
         self.assertNotIn(b"200", self._serve(data)[:20])
 
 
 class PatienceTest(TestCase):
-    """Answers that a narrow link carries for seconds."""
+    """Responses that take seconds over a slow link."""
 
     def _get(self, server, most: int | None = None):
         patience = Patience(first_s=1.0, idle_s=0.5, total_s=6.0)
@@ -210,15 +216,15 @@
             async with trio.open_nursery() as nursery:
                 Network(self, nursery, server)
                 connection = Connection("10.0.0.1", 1)
-                began = trio.current_time()
-                got = await connection.get("/", patience, most)
+                started_at = trio.current_time()
+                outcome = await connection.get("/", patience, most)
                 nursery.cancel_scope.cancel()
-                return got, trio.current_time() - began
+                return outcome, trio.current_time() - started_at
 
         return run(main)
 
     @staticmethod
-    def _trickling(parts: int, gap_s: float, length: int):
+    def _trickling_server(parts: int, gap_s: float, length: int):
         async def serve(stream: MemoryStream) -> None:
             await stream.receive()
             head = f"HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n"
@@ -230,10 +236,10 @@
 
         return serve
 
-    def test_slow_but_steady(self):
-        """An answer that goes on arriving is not dropped."""
-        answer, took_s = self._get(self._trickling(10, 0.4, 100))
-        self.assertEqual(100, len(answer.ok_value.body))
+    def test_slow_response_completes(self):
+        """A slow response is not given up while more of it keeps arriving."""
+        outcome, took_s = self._get(self._trickling_server(10, 0.4, 100))
+        self.assertEqual(100, len(outcome.ok_value.body))
         self.assertGreater(took_s, 3.9)
 
     @parameterized.expand(
@@ -243,21 +249,30 @@
             ("never_ends", 1000, 0.4, HttpFault.INCOMPLETE, 6.1),
         ]
     )
-    def test_bounded(self, _, parts, gap_s, fault, most_s):
-        """An answer that stops, or has no end, is given up."""
-        answer, took_s = self._get(self._trickling(parts, gap_s, 1 << 20))
-        self.assertEqual(Err(fault), answer)
-        self.assertLessEqual(took_s, most_s)
-
-    def test_no_answer(self):
-        """A server that says nothing is told apart from a slow one."""
-        answer, took_s = self._get(_silent)
-        self.assertEqual(Err(HttpFault.TIMEOUT), answer)
+    def test_stalled_or_endless_response_given_up(
+        self, _, parts, gap_s, fault, max_s
+    ):
+        """A response that stops, or never ends, is given up."""
+        outcome, took_s = self._get(
+            self._trickling_server(parts, gap_s, 1 << 20)
+        )
+        self.assertEqual(Err(fault), outcome)
+        self.assertLessEqual(took_s, max_s)
+
+    def test_silent_server_times_out(self):
+        """A silent server is reported differently from a slow one."""
+        outcome, took_s = self._get(_silent_server)
+        self.assertEqual(Err(HttpFault.TIMEOUT), outcome)
         self.assertLessEqual(took_s, 1.1)
 
     @parameterized.expand([("announced", 101), ("absurd", 10**18)])
-    def test_length(self, _, length):
-        """An answer that is too long is refused before it is transferred."""
-        answer, took_s = self._get(self._trickling(0, 0.1, length), most=100)
-        self.assertEqual(Err(HttpFault.OVERSIZED), answer)
+    def test_large_content_length_refused(self, _, length):
+        """A response with too large a Content-Length is refused at once.
+
+        Its body is not transferred first.
+        """
+        outcome, took_s = self._get(
+            self._trickling_server(0, 0.1, length), most=100
+        )
+        self.assertEqual(Err(HttpFault.OVERSIZED), outcome)
         self.assertLessEqual(took_s, 0.1)
