--- a/src/pollenmast/__main__.py
+++ b/src/pollenmast/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m pollenmast`: the command line."""
+"""Runs the command-line interface: `python -m pollenmast`."""
 
 import sys
 
--- a/src/pollenmast/adapters/__init__.py
+++ b/src/pollenmast/adapters/__init__.py
@@ -1,4 +1,4 @@
-"""Reads the formats of the places that pollenmast runs in, for its tools."""
+"""Adapters that let the command-line tools read a deployment's formats."""
 
 from pollenmast.adapters._model import Adapter, Rows
 from pollenmast.adapters._registry import NAMES, find
--- a/src/pollenmast/adapters/_model.py
+++ b/src/pollenmast/adapters/_model.py
@@ -1,24 +1,24 @@
-"""What an adapter tells a person about its place's formats."""
+"""The interface that each adapter implements."""
 
 import abc
 
 from result import Result
 
 Rows = list[tuple[str, str]]
-"""What was read: names and values, in the order to be shown."""
+"""Pairs of a name and a value, in display order."""
 
 
 class Adapter(abc.ABC):
-    """The formats of one place, in pollenmast's own words."""
+    """Translates the formats of one deployment environment for display."""
 
     @abc.abstractmethod
     def settings(self, text: str) -> Result[Rows, str]:
-        """Returns a settings file's values in force, or its fault."""
+        """Returns the effective values of a settings file, or its error."""
 
     @abc.abstractmethod
     def configuration(self, data: bytes) -> Result[Rows, str]:
-        """Returns what an operator's configuration says, or its fault."""
+        """Returns the content of an operator's configuration, or its error."""
 
     @abc.abstractmethod
     def packet(self, data: bytes) -> Result[Rows, str]:
-        """Returns what a client's packet says, or why it says nothing."""
+        """Returns the content of a client's packet, or why it has none."""
--- a/src/pollenmast/adapters/_registry.py
+++ b/src/pollenmast/adapters/_registry.py
@@ -1,16 +1,16 @@
-"""The adapters there are, loaded only when one is asked for."""
+"""The available adapters; each is imported only when it is requested."""
 
 import importlib
 
 from pollenmast.adapters._model import Adapter
 
-_PLACES = {"platform": "pollenmast.platform._adapter"}
-"""Modules by the adapter's name; each has an `ADAPTER`."""
+_ADAPTER_MODULES = {"platform": "pollenmast.platform._adapter"}
+"""Module of each adapter by its name; each module defines `ADAPTER`."""
 
-NAMES = tuple(_PLACES)
+NAMES = tuple(_ADAPTER_MODULES)
 
 
 def find(name: str) -> Adapter | None:
-    """Returns the adapter of a name, or None."""
-    module = _PLACES.get(name)
+    """Returns the adapter with this name, or None if there is none."""
+    module = _ADAPTER_MODULES.get(name)
     return importlib.import_module(module).ADAPTER if module else None
--- a/src/pollenmast/callers/__init__.py
+++ b/src/pollenmast/callers/__init__.py
@@ -1,8 +1,8 @@
-"""What the relay reads from callers' packets, and how it refuses a flow."""
+"""Parses the headers of callers' QUIC packets and builds refusals of flows."""
 
 from pollenmast.callers._packets import (
-    LEAST_INITIAL_BYTES,
     LONG_HEADER,
+    MIN_INITIAL_BYTES,
     Packet,
     PacketType,
     read_packet,
@@ -13,8 +13,8 @@
 
 __all__ = [
     "CONNECTION_REFUSED",
-    "LEAST_INITIAL_BYTES",
     "LONG_HEADER",
+    "MIN_INITIAL_BYTES",
     "Packet",
     "PacketType",
     "read_packet",
--- a/src/pollenmast/upstreams/__init__.py
+++ b/src/pollenmast/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Towards the upstreams: paths for flows, and probes of health and load."""
+"""Communication with upstreams: UDP paths for flows, health and load probes."""
--- a/src/pollenmast/upstreams/_paths.py
+++ b/src/pollenmast/upstreams/_paths.py
@@ -1,10 +1,10 @@
-"""Paths to upstreams: local UDP ports, shared by flows to different endpoints.
+"""Paths to upstreams: local UDP ports, each shared by several flows.
 
-An upstream's answer carries no key that the relay could read for certain: the
-caller's connection ids may change under encryption. So each flow must have a
-local port and an endpoint that together belong to it alone. One port serves a
-flow to each endpoint; a relay therefore needs as many ports as it has flows to
-its busiest endpoint, and not as many as it has flows.
+The relay cannot reliably match a datagram from an upstream to its flow by the
+content: the caller's connection IDs can change under encryption. So each flow
+has its own pair of local port and endpoint. A port carries at most one flow to
+each endpoint. A relay therefore needs as many ports as its busiest endpoint has
+flows, rather than one port for every flow.
 """
 
 import abc
@@ -12,30 +12,30 @@
 from typing import Generic, TypeVar
 
 MOST_PATHS = 4096
-"""Local ports of one relay: twice the connections of an endpoint, so that
-ports at rest after a flow's end never hold up a new one."""
+"""Limit of local ports of one relay. It is twice the number of connections of
+an endpoint, so that new flows never have to wait for a port that is kept out of
+use after the end of its flow."""
 
 REST_S = 10.0
-"""Time before a port is used again for the same endpoint, in seconds. Answers
-to the ended flow may still be on their way, and would reach a new caller, who
-would throw them away but count them against the path."""
-
+"""Seconds before a port is reused for the same endpoint. Datagrams of the ended
+flow may still be in flight and would reach the new caller, who would discard
+them but count them against the path."""
 
 LOST_REST_S = 600.0
-"""The same for a path on which a flow fell silent, in seconds. What lost track
-of it may go on losing it, and the next flow there would hang as well; firewalls
-forget an unused UDP flow within some minutes."""
-
+"""Seconds before a port is reused for the same endpoint after its flow stopped
+getting replies. A device on the way may have lost the state of this path and
+may keep dropping its datagrams, so that the next flow would hang as well.
+Firewalls drop the state of an unused UDP flow within some minutes."""
 
 _Flow = TypeVar("_Flow")
-"""Whatever the relay keeps of a flow; a path only hands it back."""
+"""The relay's state of a flow; a path stores it without using it."""
 
 
 class Path(abc.ABC, Generic[_Flow]):
-    """One local port towards upstreams.
+    """A local UDP port for traffic with upstreams.
 
     Attributes:
-        flows: The flow of each upstream address.
+        flows: The flow on this port by the address of its upstream.
     """
 
     __slots__ = ("flows",)
@@ -45,67 +45,88 @@
 
     @abc.abstractmethod
     def send(self, data: bytes, upstream: tuple[str, int]) -> None:
-        """Sends a datagram; what cannot be sent is lost, as on any network."""
+        """Sends a datagram; if it cannot be sent, it is lost."""
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Gives the port back."""
+        """Closes the port."""
 
 
 class PathPool:
-    """The relay's paths, opened as they are needed.
-
-    Attributes:
-        open_path: Opens one more path.
-    """
+    """The relay's paths, which are opened on demand."""
 
     def __init__(self, open_path):
+        """Creates a pool without open paths.
+
+        Args:
+            open_path: Opens and returns a new path; raises OSError if the
+                system has no more sockets.
+        """
         self._open_path = open_path
         self._paths: list[Path] = []
 
     @property
     def paths(self) -> list[Path]:
-        """Every open path."""
+        """All open paths."""
         return self._paths
 
     def path(self, index: int) -> Path | None:
-        """Returns the path with this index, or None beyond the last."""
+        """Returns the path with this index, opening paths up to it.
+
+        Args:
+            index: Index of the path, from 0.
+
+        Returns:
+            The path, or None if no more paths can be opened.
+        """
         while index >= len(self._paths):
             if len(self._paths) >= MOST_PATHS:
                 return None
             try:
                 self._paths.append(self._open_path())
             except OSError:
-                # The system has no more sockets: as good as the last path.
+                # No more sockets: treated like the limit of paths.
                 return None
         return self._paths[index]
 
     def close(self) -> None:
-        """Closes every path."""
+        """Closes all paths."""
         for path in self._paths:
             path.close()
 
 
 class PathChooser:
-    """Chooses a path for each new flow to one endpoint."""
+    """Assigns paths to the flows of one endpoint."""
 
-    __slots__ = ("_lost", "_next", "_pool", "_resting", "_upstream")
+    __slots__ = ("_lost", "_next_index", "_pool", "_resting", "_upstream")
 
     def __init__(self, pool: PathPool, upstream: tuple[str, int]):
         self._pool = pool
         self._upstream = upstream
-        self._next = 0
+        self._next_index = 0
         self._resting: collections.deque[tuple[float, Path]] = (
             collections.deque()
         )
         self._lost: collections.deque[tuple[float, Path]] = collections.deque()
 
     def take(self, flow: _Flow, now: float) -> Path | None:
-        """Returns a path of the flow's own, or None when all are used."""
+        """Assigns a path to a new flow.
+
+        If no other path is available, the one that was released longest ago is
+        reused early, unless its flow had stopped getting replies.
+
+        Args:
+            flow: The relay's state of the flow.
+            now: The runtime's clock, in seconds.
+
+        Returns:
+            A path that carries no other flow to this endpoint, or None if none
+            is available.
+        """
         path = self._rested(now)
         if path is None:
-            path = self._pool.path(self._next)
-            self._next += path is not None
+            path = self._pool.path(self._next_index)
+            self._next_index += path is not None
         if path is None and self._resting:
             _, path = self._resting.popleft()
         if path is not None:
@@ -113,12 +134,13 @@
         return path
 
     def give_back(self, path: Path, now: float, lost: bool = False) -> None:
-        """Lets a path rest after its flow has ended or moved.
+        """Releases a path after its flow has ended or moved to another path.
 
         Args:
-            path: The path.
+            path: The path to release.
             now: The runtime's clock, in seconds.
-            lost: Whether the flow left it because it had fallen silent.
+            lost: Whether the flow left the path because it stopped getting
+                replies. The path is then kept out of use for longer.
         """
         del path.flows[self._upstream]
         resting = self._lost if lost else self._resting
--- a/src/pollenmast/upstreams/_probe.py
+++ b/src/pollenmast/upstreams/_probe.py
@@ -1,4 +1,4 @@
-"""Asks one endpoint for its load report."""
+"""Requests load reports from one endpoint."""
 
 import enum
 
@@ -10,15 +10,16 @@
 from pollenmast import http1
 from pollenmast.counters import CONTROL_BYTES, PROBES, Counters
 
-MOST_REPORT_BYTES = 4096
-"""A load report has six fields; a page of another service is no report."""
+MAX_REPORT_BYTES = 4096
+"""Limit of a load report, in bytes. A report has six fields; anything longer is
+something else, such as a page of another service."""
 
-LARGEST_COUNT = 1 << 40
-"""Counts above this are no counts; they would overflow what sums them."""
+COUNT_LIMIT = 1 << 40
+"""Counts from this value on are invalid; they would overflow the sums."""
 
 
 class ProbeFault(str, enum.Enum):
-    """Why a probe gave no load."""
+    """The reason why a probe has no load report."""
 
     UNREACHABLE = "unreachable"
     MALFORMED = "malformed"
@@ -26,15 +27,15 @@
 
 @attrs.frozen
 class Load:
-    """An endpoint's own report.
+    """A load report of an endpoint.
 
     Attributes:
-        accepting: Whether it takes new work.
-        running: Requests that hold a slot.
-        queued: Requests that wait for a slot.
+        accepting: Whether the endpoint accepts new work.
+        running: Requests that occupy a slot.
+        queued: Requests that are waiting for a slot.
         connections: Open connections.
-        finished: Requests finished since its start.
-        uptime_s: Seconds since its start.
+        finished: Requests finished since the endpoint started.
+        uptime_s: Seconds since the endpoint started.
     """
 
     accepting: bool
@@ -49,14 +50,21 @@
 
 
 class Probe:
-    """Probes one endpoint over a kept connection."""
+    """Probes one endpoint over a persistent connection."""
 
     def __init__(self, address: str, port: int, counters: Counters):
-        self._connection = http1.Connection(address, port, MOST_REPORT_BYTES)
+        self._connection = http1.Connection(address, port, MAX_REPORT_BYTES)
         self._counters = counters
 
     async def load(self, timeout_s: float) -> Result[Load, ProbeFault]:
-        """Returns the endpoint's load, or why there is none."""
+        """Requests the endpoint's load report and counts the outcome.
+
+        Args:
+            timeout_s: Seconds for the whole response.
+
+        Returns:
+            The load, or the reason why there is none.
+        """
         before = self._connection.sent_bytes
         response = await self._connection.get("/load", timeout_s)
         sent = self._connection.sent_bytes - before
@@ -75,13 +83,13 @@
 
 
 def parse_load(body: bytes) -> Result[Load, ProbeFault]:
-    """Returns the report that a body holds, if it holds a possible one."""
+    """Parses a load report; one with impossible values is malformed."""
     try:
         load = _CONVERTER.loads(body, Load)
     except (ValueError, TypeError, cattrs.BaseValidationError):
         return Err(ProbeFault.MALFORMED)
     counts = (load.running, load.queued, load.connections, load.finished)
-    possible = all(0 <= count < LARGEST_COUNT for count in counts)
-    if not possible or not 0 <= load.uptime_s < LARGEST_COUNT:
+    counts_valid = all(0 <= count < COUNT_LIMIT for count in counts)
+    if not counts_valid or not 0 <= load.uptime_s < COUNT_LIMIT:
         return Err(ProbeFault.MALFORMED)
     return Ok(load)
--- a/tests/upstreams_probe_test.py
+++ b/tests/upstreams_probe_test.py
@@ -1,4 +1,4 @@
-"""Tests of upstreams._probe and platform: what counts as an answer."""
+"""Tests of load probes and the platform client: which responses are valid."""
 
 import json
 
@@ -33,11 +33,11 @@
 }
 
 
-class _Answered(TestCase):
-    """A case in which each GET has the same outcome."""
+class _FixedOutcomeTest(TestCase):
+    """A test case in which every GET has the same outcome."""
 
-    def answer(self, outcome) -> None:
-        """Sets the outcome."""
+    def set_outcome(self, outcome) -> None:
+        """Sets the outcome of every GET."""
 
         async def get(connection, target, timeout_s):
             return outcome
@@ -45,8 +45,8 @@
         self.patch(Connection, "get", get)
 
 
-class ProbeTest(_Answered):
-    """An endpoint is healthy only by a whole and possible report."""
+class ProbeTest(_FixedOutcomeTest):
+    """An endpoint is healthy only with a complete, possible load report."""
 
     @parameterized.expand(
         [
@@ -56,16 +56,16 @@
             ("page", Ok(Response(200, b"<html>")), "malformed"),
         ]
     )
-    def test_counted(self, _, outcome, reason):
-        """Each probe is counted by what came of it."""
-        self.answer(outcome)
+    def test_outcome_counted(self, _, outcome, reason):
+        """Each probe is counted by its outcome."""
+        self.set_outcome(outcome)
         counters = Counters()
         load = trio.run(Probe("127.0.2.1", 6001, counters).load, 0.5)
         self.assertEqual(1, counters.value(PROBES, reason))
         self.assertEqual(reason == "answered", load.is_ok())
 
-    def test_parsed(self):
-        """The six fields are read."""
+    def test_report_parsed(self):
+        """All six fields of a report are parsed."""
         load = parse_load(json.dumps(LOAD).encode()).unwrap()
         self.assertEqual(Load(True, 1, 0, 900, 40, 12.5), load)
 
@@ -78,23 +78,23 @@
             ("text", {"running": "many"}),
         ]
     )
-    def test_impossible(self, _, changes):
-        """A report that cannot be true is no report."""
+    def test_impossible_report_malformed(self, _, changes):
+        """A report with impossible values is malformed."""
         body = json.dumps(LOAD | changes).encode()
         self.assertEqual(Err(ProbeFault.MALFORMED), parse_load(body))
 
     @settings(max_examples=200, derandomize=True, database=None, deadline=None)
     @given(st.binary(max_size=200))
-    def test_any_bytes(self, body):
-        """Bytes of no meaning are no report, and nothing is raised."""
+    def test_random_bytes_malformed(self, body):
+        """Random bytes are malformed and raise no exception."""
         self.assertTrue(parse_load(body).is_err())
 
 
-class PlatformTest(_Answered):
-    """The platform's answers, and what is made of a bad one."""
+class PlatformTest(_FixedOutcomeTest):
+    """Handling of valid and invalid responses of the platform."""
 
     def setUp(self):
-        """Makes a reader."""
+        """Creates a client of the platform."""
         super().setUp()
         self.counters = Counters()
         self.platform = HttpPlatform("127.0.3.1", 80, self.counters)
@@ -117,22 +117,28 @@
             ),
         ]
     )
-    def test_manifest(self, _, outcome, expected, reason):
-        """A read gives a text, nothing new, or a fault; all are counted."""
-        self.answer(outcome)
-        answer = trio.run(self.platform.manifest, 3, 0.0)
-        self.assertEqual(expected, answer)
+    def test_manifest_read(self, _, outcome, expected, reason):
+        """A read gives a manifest, None if none is newer, or a fault.
+
+        Each outcome is counted.
+        """
+        self.set_outcome(outcome)
+        result = trio.run(self.platform.manifest, 3, 0.0)
+        self.assertEqual(expected, result)
         self.assertEqual(1, self.counters.value(PLATFORM_CALLS, reason))
 
-    def test_list(self):
-        """The list gives VMs with their ports; impossible ones are left out.
+    def test_invalid_vms_left_out(self):
+        """The list contains VMs with their ports; invalid VMs are left out.
 
-        A name in place of an IP number would be looked up with the whole
-        agent waiting; a port above the greatest cannot be sent to.
+        Resolving a host name in place of an IP address would block the whole
+        agent; nothing can be sent to a port above the highest port number.
         """
-        wrong = [VM | {"address": "vm-1.example"}, VM | {"gossip_port": 70000}]
-        body = json.dumps({"vms": [*wrong, VM]}).encode()
-        self.answer(Ok(Response(200, body)))
+        invalid = [
+            VM | {"address": "vm-1.example"},
+            VM | {"gossip_port": 70000},
+        ]
+        body = json.dumps({"vms": [*invalid, VM]}).encode()
+        self.set_outcome(Ok(Response(200, body)))
         (vm,) = trio.run(self.platform.vms).unwrap()
         self.assertEqual(("vm-1", 7003), (vm.name, vm.gossip_port))
 
@@ -144,8 +150,8 @@
         ]
     )
     def test_malformed_list(self, _, body):
-        """A list that cannot be read changes nothing and is counted."""
-        self.answer(Ok(Response(200, body)))
-        answer = trio.run(self.platform.vms)
-        self.assertEqual(Err(PlatformFault.MALFORMED), answer)
+        """A list that cannot be parsed changes nothing and is counted."""
+        self.set_outcome(Ok(Response(200, body)))
+        result = trio.run(self.platform.vms)
+        self.assertEqual(Err(PlatformFault.MALFORMED), result)
         self.assertEqual(1, self.counters.value(PLATFORM_CALLS, "malformed"))
