--- a/src/pollenmast/agent/__init__.py
+++ b/src/pollenmast/agent/__init__.py
@@ -1,4 +1,8 @@
-"""The agent program: manifest, membership, probes and operators' endpoint."""
+"""The agent process: control plane of one VM.
+
+It follows the manifest, maintains fleet membership, probes upstream endpoints
+and serves the operators' HTTP endpoint.
+"""
 
 from pollenmast.agent._program import run
 
--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -1,4 +1,7 @@
-"""Runs membership over the gossip socket and spreads news on its messages."""
+"""Runs the membership protocol over the gossip socket.
+
+Updates of members and of endpoints are piggybacked on its messages.
+"""
 
 from collections.abc import Callable
 
@@ -20,21 +23,28 @@
 from pollenmast.peers._gossip_socket import GossipSocket
 
 BYTES_PER_S = 2_300
-"""Gossip of one VM, in bytes a second. A VM's control may cost 4 KB/s; this
-leaves 1.4 KB/s for replication, besides probes and reads of the platform.
-Load in the views of nine VMs is 0.6 s old at 2,000 and at 2,600 alike; of
-eighteen, 1.8 s and 1.2 s (bench control, trials)."""
+"""Gossip budget of one VM, in bytes per second.
+
+Control traffic of one VM may take 4 KB/s. This budget leaves 1.4 KB/s for
+replication, besides probes and reads of the platform. In trials with `bench
+control`, load reports in the views of nine VMs were 0.6 s old with a budget
+of 2,000 as well as of 2,600; with eighteen VMs they were 1.8 s and 1.2 s old.
+"""
 
 BURST_BYTES = 12_000
-"""What a burst of news may take at once. A death in a fleet of nine takes a
-tenth of it."""
+"""Size of the largest gossip burst, in bytes.
+
+The failure of one VM in a fleet of nine takes a tenth of it.
+"""
 
 MEMBER_BYTES = 500
-"""News of VMs in one message, at the most."""
+"""Maximum size of the member updates added to one message, in bytes."""
 
 PROBE_SENDS_PER_LOG = 1
-"""Sends of one endpoint's report, times log2 of the fleet. A lost report is
-replaced by the next one within two seconds, so once is enough."""
+"""How often one endpoint's report is sent, per log2 of the fleet's size.
+
+One is enough, because the next report replaces a lost one within two seconds.
+"""
 
 _STATE_EVENTS = {
     VmState.SUSPECT: events.VM_SUSPECT,
@@ -51,15 +61,20 @@
 
 
 class GossipLoop:
-    """Sends what membership decides, with news, and takes what comes."""
+    """Exchanges gossip messages with the peers.
+
+    It sends the messages that the membership protocol asks for, adds pending
+    updates to them, and applies the messages received.
+    """
 
     def __init__(self, node: Node, socket: GossipSocket, wanted: Wanted):
-        """Wires the loop.
+        """Initializes the loop.
 
         Args:
-            node: The VM.
-            socket: Where messages go and come.
-            wanted: Told of a manifest that a peer has and this VM lacks.
+            node: State of this VM's agent.
+            socket: Sends and receives gossip messages.
+            wanted: Called with the key of a manifest that this VM lacks and
+                the peer that has it.
         """
         self._node = node
         self._socket = socket
@@ -80,19 +95,21 @@
             tasks.start_soon(self._tick)
 
     def send(self, sends: list[Send]) -> None:
-        """Sends messages, each with as much news as it may carry."""
+        """Sends messages, each with as many updates as it may carry."""
         changed = self._collect()
         for send in sends:
             self._send(send)
         if changed or any(send.act is Act.PING for send in sends):
-            # There may be a deadline before the one that `_tick` waits for.
+            # The next deadline may now be earlier than the one that `_tick`
+            # waits for.
             self._earlier.set()
 
     def tell(self, news: ProbeNews) -> None:
         """Queues an endpoint's report for the peers.
 
-        That an endpoint is down or leaves must reach every VM: one that
-        misses it goes on sending work there. Load may be missed.
+        A report that an endpoint is down or leaving must reach every VM,
+        because a VM that misses it continues to send work there. It is
+        therefore sent more often than a load report, which may be lost.
         """
         key = (news.report.service, news.report.endpoint, news.prober)
         sends = None if news.report.healthy else SENDS_PER_LOG
@@ -114,13 +131,18 @@
                 heard = self._take_news(message, now)
                 sends = self._node.membership.receive(message, source, now)
                 self.send(sends)
-                # Queued after the answer: the newest news goes first, and
-                # an ack would carry back what its ping has just brought.
+                # Queue the reports after the answer has been sent. The
+                # least-sent updates go first, so an ack would otherwise
+                # carry the ping's reports back to their sender.
                 for news in heard:
                     self.tell(news)
 
     def _take_news(self, message: Gossip, now: float) -> list[ProbeNews]:
-        """Takes what a message tells; returns what was new of endpoints."""
+        """Applies the updates in a message.
+
+        Returns:
+            The endpoint reports that were new to this VM.
+        """
         reports = self._node.reports
         heard = [news for news in message.probes if reports.heard(news, now)]
         if heard:
@@ -131,7 +153,11 @@
         return heard
 
     def _collect(self) -> bool:
-        """Turns what membership changed into news and log lines."""
+        """Queues and logs changes of the membership.
+
+        Returns:
+            Whether any member changed.
+        """
         membership = self._node.membership
         changes = membership.take_changes()
         for change in changes:
@@ -165,8 +191,9 @@
     def _send(self, send: Send) -> None:
         left = self._budget.left(anyio.current_time())
         if send.act is Act.NEWS and not left:
-            # The same news rides on the next heartbeats; without this bound
-            # a cut of many VMs would cost each of the others a burst.
+            # The same updates are sent with the next heartbeats. Without
+            # this limit, a network cut of many VMs would cause a burst from
+            # each of the others.
             return
         message = self._compose(send, left)
         sent = self._socket.send(message, send.to)
--- a/src/pollenmast/agent/_knowledge.py
+++ b/src/pollenmast/agent/_knowledge.py
@@ -1,4 +1,4 @@
-"""What the agent tells operators, gathered from its parts."""
+"""Collects the agent's state for the operators' HTTP endpoint."""
 
 import collections
 
@@ -14,14 +14,14 @@
 
 
 class NodeKnowledge(operators.Knowledge):
-    """Answers the operators' questions about one node."""
+    """Provides status, health, metrics and explanations of one VM."""
 
     def __init__(self, node: Node, link: LinkLoop):
         self._node = node
         self._link = link
 
     def status(self) -> operators.Status:
-        """Returns the status now."""
+        """Returns the current status."""
         return operators.Status(
             vm=self._vm(),
             manifest=self._manifest(),
@@ -33,13 +33,13 @@
         )
 
     def health(self) -> str | None:
-        """Returns what is wrong with this process, or None."""
-        # Whoever is answered here is answered by the loop that does all
-        # the work; there is nothing else that could hang.
+        """Returns why this process is unhealthy, or None if it is healthy."""
+        # The event loop that answers this request also does all the other
+        # work, so an answer shows that the process is not hung.
         return None
 
     def readiness(self) -> str | None:
-        """Returns why this VM takes no new flows, or None."""
+        """Returns why this VM takes no new flows, or None if it does."""
         node = self._node
         if node.stopping:
             return "stopping"
@@ -56,11 +56,18 @@
         return None
 
     async def explain(self, subject: str) -> tuple[str, ...] | None:
-        """Returns why something was decided, or None without an answer."""
+        """Returns the relay's explanation of a routing decision.
+
+        Args:
+            subject: What to explain, as the operator named it.
+
+        Returns:
+            Lines of text, or None if the relay did not answer.
+        """
         return await self._link.explain(subject)
 
     def counter_values(self) -> dict[str, dict[tuple[str, str], int]]:
-        """Returns the counters of both programs."""
+        """Returns the counters of the agent and of the relay."""
         own = self._node.counters.items()
         report = self._node.relay.report
         told = report.counters if report else ()
@@ -70,7 +77,7 @@
         }
 
     def gauges(self) -> operators.Gauges:
-        """Returns the gauges now."""
+        """Returns the current gauges."""
         relay = self._relay()
         manifest = self._manifest()
         states = collections.Counter(
--- a/src/pollenmast/agent/_link_loop.py
+++ b/src/pollenmast/agent/_link_loop.py
@@ -1,4 +1,4 @@
-"""Tells the relay all that it needs, and hears what it does."""
+"""Sends fleet views to this VM's relay and receives its reports."""
 
 import itertools
 
@@ -20,50 +20,62 @@
 )
 
 VIEW_S = 1.0
-"""Longest time between two views; the relay's lease on them is longer."""
+"""Maximum time between two views, in seconds.
+
+The relay's lease on a view is longer.
+"""
 
 SPACING_S = 0.4
-"""Shortest time between two views that tell of load only, in seconds. Load
-is probed twice a second; telling each probe at once, ten views a second, took
-a fifth of the agent's processor time."""
+"""Minimum time between two views that only update load, in seconds.
+
+Load is probed twice a second. A view for every probe, which made ten views a
+second, took a fifth of the agent's processor time.
+"""
 
 GATHER_S = 0.02
-"""Changes that move flows come in bursts; they are told together, in
-seconds."""
+"""Delay before a view with urgent changes, in seconds.
+
+Changes that move flows come in bursts, and the delay puts them in one view.
+"""
 
 MANIFEST_AGAIN_S = 1.0
-"""A manifest that the relay has not reported in force after so long is sent
-again, in seconds: two reports are due in this time."""
+"""Time after which an unconfirmed manifest is sent again, in seconds.
+
+The relay confirms a manifest by reporting it in force, and two reports are due
+in this time.
+"""
 
 ALL_REPORTS_S = 10.0
-"""Between two views that name the report of every endpoint, in seconds. The
-others name what has changed: at 11,000 endpoints, all of them each second took
-2% of a core (`python -m bench run capacity`). What a lost view named comes
-with the next whole one."""
+"""Interval between views that hold the reports of all endpoints, in seconds.
+
+The views between them hold only the reports that have changed: with 11,000
+endpoints, sending all reports every second took 2% of a core (`python -m bench
+run capacity`). Changes in a lost view are repeated by the next full one.
+"""
 
 EXPLAIN_S = 2.0
-"""Longest wait for the relay's explanation, in seconds."""
+"""Timeout for the relay's explanation, in seconds."""
 
 MOST_QUERIES = 16
-"""Explanations awaited at the same time."""
+"""Maximum number of concurrent explanation queries."""
 
 WATCH_RELAY_S = 0.5
-"""Between two looks at whether the relay still reports, in seconds."""
+"""Interval between checks whether the relay still reports, in seconds."""
 
 
 class LinkLoop:
-    """Views to the relay, reports from it."""
+    """Exchanges messages with this VM's relay."""
 
     def __init__(
         self, node: Node, link: Link, gossip: GossipLoop, standby: Standby
     ):
-        """Wires the loop.
+        """Initializes the loop.
 
         Args:
-            node: The VM.
-            link: The way to the relay.
-            gossip: Tells peers when this VM's own state has changed.
-            standby: Told when the relay leaves its ports unread.
+            node: State of this VM's agent.
+            link: Connection to the relay.
+            gossip: Notifies the peers when this VM's own state has changed.
+            standby: Activated while the relay does not read its ports.
         """
         self._node = node
         self._link = link
@@ -87,11 +99,23 @@
             tasks.start_soon(self._watch_link)
 
     async def order_drain(self, grace_s: float) -> None:
-        """Tells the relay to hand over its flows and stop."""
+        """Orders the relay to hand over its flows and stop.
+
+        Args:
+            grace_s: Time that the relay has for it, in seconds.
+        """
         await self._link.send(DrainOrder(grace_s))
 
     async def explain(self, subject: str) -> tuple[str, ...] | None:
-        """Returns the relay's explanation, or None without one."""
+        """Asks the relay to explain a routing decision.
+
+        Args:
+            subject: What to explain, as the operator named it.
+
+        Returns:
+            Lines of text, or None if the relay did not answer in time or too
+            many queries are pending.
+        """
         if len(self._answers) >= MOST_QUERIES:
             return None
         identifier = next(self._sequences)
@@ -129,7 +153,11 @@
         )
 
     def _reports(self, now: float) -> tuple[EndpointReport, ...]:
-        """Returns what the relay has not been told, at times all of it."""
+        """Returns the reports that changed since the last view.
+
+        All reports are returned at regular intervals, while the relay has no
+        manifest, and after it has been suspended.
+        """
         report = self._node.relay.report
         wake = report.wake if report else 0
         new_relay = report is None or report.version == 0
@@ -164,8 +192,9 @@
         while True:
             message = await self._link.receive()
             if isinstance(message, RelayReport):
-                # The last words of a relay that has ended are read after its
-                # link has closed; taken, they would make it live again.
+                # The last reports of a relay that has exited may be read
+                # after its link has closed. Accepting them would mark the
+                # relay as up again.
                 if self._link.connected:
                     await self._take(message)
             elif isinstance(message, ExplainAnswer):
@@ -197,10 +226,10 @@
             await self._check_relay()
 
     async def _watch_link(self) -> None:
-        """Takes a closed link for the relay's end, at once.
+        """Marks the relay as lost as soon as the link closes.
 
-        A process that ends closes its connections; to wait for its reports
-        until they are overdue would cost callers another second and a half.
+        A process that exits closes its connections. Waiting until its reports
+        are overdue would cost callers another second and a half.
         """
         while True:
             await self._link.changed()
@@ -217,17 +246,17 @@
             self._relay_up = up
             node.log.write(events.RELAY_HEARD if up else events.RELAY_SILENT)
             if not up:
-                # The next relay starts without a manifest.
+                # A restarted relay has no manifest.
                 self._sent = (ManifestKey(), 0.0)
         node.membership.set_relay_up(up)
         if node.membership.has_urgent:
             self._gossip.send(node.membership.tick(now))
 
     def _check_standby(self, up: bool, now: float) -> None:
-        """Has the ports read until the relay has them again.
+        """Keeps the standby active until the relay has opened its ports.
 
-        A relay that has just started reports before it has a manifest, and
-        without one it opens no port.
+        A relay that has just started reports before it has a manifest, and it
+        opens no port without one.
         """
         relay = self._node.relay
         if up and relay.has_manifest:
--- a/src/pollenmast/agent/_list_loop.py
+++ b/src/pollenmast/agent/_list_loop.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of VMs: whom to greet, whom to forget."""
+"""Reads the platform's list of VMs, to discover and remove members."""
 
 import anyio
 from result import Err
@@ -9,15 +9,18 @@
 from pollenmast.decisions import _readers
 
 ALONE_S = 2.0
-"""Between two reads while no other VM is known, in seconds."""
+"""Interval between reads while no other VM is known, in seconds."""
 
 START_WAIT_S = 2.0
-"""A starting VM asks its peers before it follows the platform; it waits so
-long for the list that names them, in seconds."""
+"""Maximum wait for the first list of VMs, in seconds.
+
+A starting VM asks its peers before it follows the platform, and the list names
+the peers.
+"""
 
 
 class ListLoop:
-    """Introduces listed VMs to membership."""
+    """Passes the listed VMs to the membership protocol."""
 
     def __init__(self, node: Node, platform: Platform, gossip: GossipLoop):
         self._node = node
@@ -31,7 +34,7 @@
             await anyio.sleep(self._interval())
 
     async def start(self) -> None:
-        """Reads the list first, so that the first refresh can ask peers."""
+        """Reads the list once, so that the first refresh knows the peers."""
         with anyio.move_on_after(START_WAIT_S):
             await self._read()
 
--- a/src/pollenmast/agent/_manifest_loop.py
+++ b/src/pollenmast/agent/_manifest_loop.py
@@ -1,4 +1,7 @@
-"""Brings the greatest manifest into force, from the platform and peers."""
+"""Puts the manifest with the greatest key in force.
+
+Manifests come from the platform and from peers.
+"""
 
 import anyio
 from result import Err
@@ -13,34 +16,37 @@
 from pollenmast.peers._fetch import Fetcher
 
 ROLE_CHECK_S = 1.0
-"""How soon a VM notices that it has become a watcher, in seconds."""
+"""Interval between checks whether this VM is a watcher, in seconds."""
 
 BACKOFF_S = (0.5, 5.0)
-"""Shortest and longest wait after a failed read, in seconds. Two watchers a
-zone that ask every five seconds cost a platform that starts again nothing."""
+"""Shortest and longest wait after a failed read, in seconds.
+
+Two watchers per zone that retry every five seconds are no load for a platform
+that is restarting.
+"""
 
 MOST_SOURCES = 4
-"""Peers remembered as having the wanted manifest."""
+"""Maximum number of peers remembered as sources of the wanted manifest."""
 
 FETCH_RETRY_S = 0.2
-"""Wait between two fetches that failed, in seconds."""
+"""Delay after a failed fetch, in seconds."""
 
 _MOST_LOGGED_FAULTS = 5
 
 
 class ManifestLoop:
-    """Watches, fetches and accepts."""
+    """Watches the platform, fetches from peers and accepts manifests."""
 
     def __init__(
         self, node: Node, platform: Platform, fetcher: Fetcher, accepted
     ):
-        """Wires the loop.
+        """Initializes the loop.
 
         Args:
-            node: The VM.
-            platform: Read and watched.
-            fetcher: Asks peers.
-            accepted: Called after a manifest came into force.
+            node: State of this VM's agent.
+            platform: Client of the platform, which publishes manifests.
+            fetcher: Fetches manifests from peers.
+            accepted: Called after a manifest has come into force.
         """
         self._node = node
         self._platform = platform
@@ -52,7 +58,12 @@
         self._backoff = 0.0
 
     def wanted(self, key: ManifestKey, vm: Vm) -> None:
-        """Notes that a peer has a greater manifest than this VM."""
+        """Records that a peer has a manifest with a greater key.
+
+        Args:
+            key: The manifest's key.
+            vm: The peer.
+        """
         if key < self._wanted:
             return
         if key > self._wanted:
@@ -90,8 +101,8 @@
     # The platform.
 
     async def _follow_platform(self) -> None:
-        # A platform that is stale would otherwise put an old manifest in
-        # force on a VM that restarts; its peers know better.
+        # Refresh from the peers first. A platform that is stale would
+        # otherwise put an old manifest in force on a restarted VM.
         while not self._node.membership.fresh:
             await anyio.sleep(0.02)
         await self._read()
@@ -110,13 +121,16 @@
         version = self._node.acceptance.key.version
         found = await self._take(version, _readers.WATCH_S)
         if found:
-            # A watch only shows greater versions; this shows whether the
-            # known one was published again with another content.
+            # A watch only returns newer versions. This read detects that the
+            # known version was published again with different content.
             version = self._node.acceptance.key.version
             await self._take(max(0, version - 1), 0.0)
 
     async def _pause(self) -> None:
-        """Waits for the next fallback read, or to become a watcher."""
+        """Makes the next fallback read when it is due.
+
+        Returns early, without a read, if this VM becomes a watcher.
+        """
         fleet = len(self._node.membership.vms())
         interval = _readers.fallback_interval(fleet, self._node.rng)
         until = anyio.current_time() + interval
@@ -130,7 +144,16 @@
         await self._take(0, 0.0)
 
     async def _take(self, after: int, wait_s: float) -> bool:
-        """Reads the platform; returns whether it answered."""
+        """Reads the platform's manifest and offers it.
+
+        Args:
+            after: Ask only for versions greater than this.
+            wait_s: How long the platform may wait for such a version, in
+                seconds.
+
+        Returns:
+            Whether the platform answered.
+        """
         answer = await self._platform.manifest(after, wait_s)
         self._note_platform(not isinstance(answer, Err))
         if isinstance(answer, Err):
@@ -154,10 +177,18 @@
             node.platform_up = up
             node.log.write(events.PLATFORM_BACK if up else events.PLATFORM_LOST)
 
-    # Offers.
+    # Accepting manifests.
 
     def _offer(self, text: bytes, source: str) -> bool:
-        """Takes a text into force if it is valid and greater."""
+        """Puts a manifest in force if it is valid and has a greater key.
+
+        Args:
+            text: The manifest's text.
+            source: Where it came from, for the log: `platform` or a VM's name.
+
+        Returns:
+            Whether the text is valid.
+        """
         node = self._node
         in_force = node.acceptance.in_force
         if in_force is not None and text == in_force.text:
--- a/src/pollenmast/agent/_node.py
+++ b/src/pollenmast/agent/_node.py
@@ -1,4 +1,4 @@
-"""What the agent's loops share: one VM's knowledge and its tools."""
+"""State shared by the agent's loops."""
 
 import random
 import time
@@ -20,22 +20,24 @@
 
 @attrs.define
 class Node:
-    """One VM's agent.
+    """State and collaborators of one VM's agent.
 
     Attributes:
         settings: The VM's settings.
-        counters: This process's counters.
-        log: This process's events.
-        rng: Randomness.
-        membership: What is believed of the other VMs.
-        acceptance: The manifest in force.
-        reports: The endpoints' load.
-        relay: What the relay of this VM last said.
-        sealer: Seals all that this process sends.
-        started_s: When this process started, by the runtime's clock.
+        counters: Counters of this process.
+        log: Event log of this process.
+        rng: Random number generator shared by the loops.
+        membership: This VM's view of the fleet.
+        acceptance: Tracks the manifest in force.
+        reports: Health and load reports of the upstream endpoints.
+        relay: Last known state of this VM's relay.
+        sealer: Seals every message that this process sends.
+        started_s: Start time of this process on the event loop's clock, in
+            seconds.
         stopping: Whether a graceful shutdown has begun.
-        platform_up: Whether the platform's last answer came.
-        platform_heard_s: When the platform last answered, or None.
+        platform_up: Whether the last call to the platform succeeded.
+        platform_heard_s: Time of the platform's last answer on the event
+            loop's clock, in seconds, or None if it has not answered yet.
     """
 
     settings: Settings
@@ -60,15 +62,20 @@
         return self.settings.vm.name
 
     def opener(self) -> Opener:
-        """Returns a new opener; each port has its own, as replays are by it."""
+        """Returns a new opener.
+
+        Each port needs its own, because an opener keeps the state that
+        detects replayed messages.
+        """
         fleet = self.settings.fleet
         return Opener(fleet.key, fleet.previous_key)
 
     def notify(self, at_once: bool = False) -> None:
-        """Notes a change of the view.
+        """Records that the view sent to the relay has changed.
 
         Args:
-            at_once: Whether flows go wrong until the relay knows.
+            at_once: Whether the change is urgent: flows are misrouted until
+                the relay has it.
         """
         self._changed.set()
         if at_once:
@@ -77,13 +84,13 @@
     async def changed(
         self, least_s: float, spacing_s: float, most_s: float
     ) -> None:
-        """Waits until the relay should be told.
+        """Waits until the next view should be sent to the relay.
 
         Args:
-            least_s: Changes that come so soon after an urgent one are told
-                with it.
-            spacing_s: Wait at least so long, unless a change is urgent.
-            most_s: Wait so long at the most.
+            least_s: Delay after an urgent change, in seconds; changes within
+                it are sent in the same view.
+            spacing_s: Minimum wait without an urgent change, in seconds.
+            most_s: Maximum wait, in seconds.
         """
         with anyio.move_on_after(spacing_s):
             await self._urgent.wait()
@@ -96,12 +103,18 @@
 
 
 def new_node(settings: Settings, log: events.EventLog, now: float) -> Node:
-    """Returns the node of a starting agent."""
+    """Returns the initial state of an agent.
+
+    Args:
+        settings: The VM's settings.
+        log: Event log of this process.
+        now: Current time on the event loop's clock, in seconds.
+    """
     vm = settings.vm
     agent = settings.agent
-    # A restarted VM must be believed over its life before, and has no disk
-    # to remember it: seconds of the wall clock grow faster than a VM's
-    # incarnation does.
+    # The incarnation of a restarted VM must exceed the one that its peers
+    # remember, and the VM keeps no state on disk. Wall-clock seconds work,
+    # since they grow faster than the incarnation of a running VM.
     wall_s = int(time.time())
     own = Vm(
         name=vm.name,
--- a/src/pollenmast/agent/_probe_loop.py
+++ b/src/pollenmast/agent/_probe_loop.py
@@ -1,4 +1,4 @@
-"""Probes the endpoints that fall to this VM, and tells the fleet."""
+"""Probes the endpoints assigned to this VM and reports them to the fleet."""
 
 import anyio
 import anyio.abc
@@ -13,16 +13,20 @@
 from pollenmast.upstreams._probe import Load, Probe, ProbeFault
 
 ASSIGN_S = 0.5
-"""How soon a VM notices that an endpoint's probes fall to it, in seconds."""
+"""Interval between checks for changed assignments, in seconds."""
 
 LONGEST_UPTIME_S = 65_535
-"""An endpoint this old is warm; more digits would only cost bytes."""
+"""Largest uptime reported, in seconds.
+
+An endpoint this old has warmed up, and greater values would only make reports
+longer.
+"""
 
 _Key = tuple[int, str, str, int]
 
 
 class ProbeLoop:
-    """One task for each endpoint that falls to this VM."""
+    """Runs one task for each endpoint assigned to this VM."""
 
     def __init__(self, node: Node, gossip: GossipLoop):
         self._node = node
@@ -79,20 +83,22 @@
         self, scope: anyio.CancelScope, number: int, endpoint: Endpoint
     ) -> None:
         timeout_s = self._node.settings.agent.probe_s
-        # The setting is the time between two probes of one endpoint, by
-        # whichever of its probers.
+        # The setting is the time between two probes of one endpoint by any of
+        # its probers, so each of them waits longer.
         interval = timeout_s * _probing.PROBERS
         probe = Probe(endpoint.address, endpoint.load_port, self._node.counters)
         with scope:
-            # Two VMs that learn of a manifest together would otherwise probe
-            # together for good, and one of the two probes would say nothing.
+            # Start at a random time. Two VMs that learn of a manifest at the
+            # same time would otherwise always probe at the same time, and one
+            # of the two probes would be redundant.
             await anyio.sleep(self._node.rng.uniform(0, interval))
             try:
                 while True:
                     began = anyio.current_time()
                     load = await probe.load(timeout_s)
                     self._take(number, endpoint.name, load)
-                    # One lost answer is doubted, so ask again sooner.
+                    # One failed probe does not make an endpoint unhealthy, so
+                    # confirm it sooner.
                     wait = interval if load.is_ok() else timeout_s
                     await anyio.sleep_until(began + wait)
             finally:
@@ -109,12 +115,16 @@
             self._gossip.tell(news)
             if self._note(news.report):
                 # An endpoint that leaves must get no new work after a few
-                # seconds, and heartbeats may take longer to tell every VM.
+                # seconds, and heartbeats may take longer to reach every VM.
                 self._gossip.send(self._node.membership.push())
         self._node.notify()
 
     def _note(self, report: EndpointReport) -> bool:
-        """Logs a change of health; returns whether there was one."""
+        """Logs a change of an endpoint's health.
+
+        Returns:
+            Whether its health has changed.
+        """
         key = (report.service, report.endpoint)
         before = self._healthy.get(key, True)
         self._healthy[key] = report.healthy
--- a/src/pollenmast/agent/_program.py
+++ b/src/pollenmast/agent/_program.py
@@ -1,4 +1,4 @@
-"""Joins the agent's parts and runs them."""
+"""Assembles the agent's components and runs them."""
 
 import sys
 
@@ -23,11 +23,15 @@
 from pollenmast.settings import Settings
 
 EXIT_FAILED = 1
-"""Exit code when a port cannot be had."""
+"""Exit code when a port cannot be bound."""
 
 
 def run(settings: Settings) -> int:
-    """Runs the agent until a signal ends it; returns the exit code."""
+    """Runs the agent until a signal stops it.
+
+    Returns:
+        The exit code.
+    """
     events.write_to(sys.stderr)
     log = events.EventLog("agent", settings.vm.name)
     try:
@@ -73,7 +77,7 @@
 
 
 class _Agent:
-    """The loops of one agent, and who wakes whom."""
+    """The loops of one agent and the callbacks between them."""
 
     def __init__(self, node: Node, socket: GossipSocket, link: Link):
         platform = HttpPlatform(
@@ -94,7 +98,15 @@
     async def run(
         self, server: FetchServer, listener: anyio.abc.Listener
     ) -> int:
-        """Runs every loop until a signal; returns the exit code."""
+        """Runs every loop until a signal stops the agent.
+
+        Args:
+            server: Serves the manifest in force to peers.
+            listener: Accepts the operators' HTTP connections.
+
+        Returns:
+            The exit code.
+        """
         knowledge = NodeKnowledge(self._node, self._link)
         metrics = operators.Metrics(knowledge.counter_values, knowledge.gauges)
         site = operators.Site(knowledge, metrics)
@@ -115,7 +127,7 @@
         return code
 
     async def _join(self) -> None:
-        """Meets the peers first, then follows the platform."""
+        """Refreshes from the peers, then starts to follow the platform."""
         await self._list.start()
         now = anyio.current_time()
         self._gossip.send(self._node.membership.stale(now))
@@ -124,7 +136,7 @@
             tasks.start_soon(self._manifests.run)
 
     def _accepted(self) -> None:
-        """Tells the relay and a few peers of a manifest now in force."""
+        """Notifies the relay and a few peers of a manifest now in force."""
         membership = self._node.membership
         membership.set_in_force(self._node.acceptance.key)
         self._node.notify(at_once=True)
--- a/src/pollenmast/agent/_refusing.py
+++ b/src/pollenmast/agent/_refusing.py
@@ -1,4 +1,4 @@
-"""What an agent answers a caller when no VM has a relay."""
+"""Refuses callers' new flows while no VM has a relay."""
 
 from result import Err, Ok, Result
 
@@ -13,17 +13,20 @@
 
 
 def answer(data: bytes, retry_after_ms: int) -> Result[bytes, DropReason]:
-    """Returns the refusal of a caller's new flow, or why there is none.
+    """Returns a datagram that refuses a caller's new flow.
 
-    Only a first Initial can be answered so: once the upstream has answered
-    one, its caller's Initials are under keys that this VM does not have, and
-    a refusal under others is no packet to the caller. So nobody is told "not
-    run" whose request may have run. 0-RTT may have been carried before the
-    relay went, and is not refused.
+    Only a caller's first Initial packet can be refused. Once the upstream has
+    answered one, the caller protects its Initials with keys that this VM does
+    not have, and discards a refusal under other keys. A caller whose request
+    may have run is therefore never told that it has not. 0-RTT data may have
+    been forwarded before the relay was lost, so it is not refused either.
 
     Args:
         data: The caller's datagram.
-        retry_after_ms: When the caller may come back, in milliseconds.
+        retry_after_ms: Time after which the caller may retry, in milliseconds.
+
+    Returns:
+        The refusal, or the reason to drop the datagram instead.
     """
     packet = read_packet(data)
     if packet.is_err():
--- a/src/pollenmast/agent/_relay_state.py
+++ b/src/pollenmast/agent/_relay_state.py
@@ -1,20 +1,26 @@
-"""What the agent knows of the relay of its own VM."""
+"""Last known state of this VM's relay."""
 
 import attrs
 
 from pollenmast.peers._messages import RelayReport
 
 SILENT_S = 1.5
-"""A relay unheard for so long does not carry packets, in seconds: it missed
-three reports. Its agent then says so, and its flows get other owners."""
+"""Time without a report after which the relay is considered down, in seconds.
+
+The relay has then missed three reports and is assumed not to forward packets.
+Its agent announces this, and the relay's flows are assigned to other owners.
+"""
 
 
 @attrs.define
 class RelayState:
-    """The relay's last report.
+    """The relay's last report and whether the next one is overdue.
 
     Attributes:
-        heard_s: When the last report came, or the agent started.
+        heard_s: When the last report came, or when the agent started, in
+            seconds on the event loop's clock. It is -inf after the link was
+            closed, and later than the last report after this process was
+            suspended.
         report: The last report, or None before the first.
     """
 
@@ -22,7 +28,13 @@
     report: RelayReport | None = None
 
     def hear(self, report: RelayReport, now: float) -> None:
-        """Takes a report; endpoints that it leaves out stay as they were."""
+        """Records a report.
+
+        Args:
+            report: The report. If it omits the endpoints, those of the last
+                report are kept.
+            now: Current time on the event loop's clock, in seconds.
+        """
         if report.endpoints is None:
             known = self.report.endpoints if self.report else ()
             report = attrs.evolve(report, endpoints=known)
@@ -30,26 +42,33 @@
         self.heard_s = now
 
     def lose(self) -> None:
-        """Notes that the relay has closed the link, as one that ends does."""
+        """Records that the link was closed, as it is when the relay exits."""
         self.heard_s = float("-inf")
 
     def excuse(self, late_s: float) -> None:
-        """Gives the relay the time for which this process stood still.
+        """Extends the relay's deadline after this process was suspended.
 
-        Its reports wait in the link meanwhile. Without this, an agent that
-        wakes would tell the fleet that its relay is gone and take its ports.
+        The relay's reports wait in the link during that time. Without the
+        extension, an agent that resumes would announce to the fleet that its
+        relay is down and take over the relay's ports.
+
+        Args:
+            late_s: How long this process was suspended, in seconds.
         """
         self.heard_s += late_s
 
     def up(self, now: float) -> bool:
-        """Returns whether the relay reports."""
+        """Returns whether the relay reports and no report is overdue."""
         return self.report is not None and not self.silent(now)
 
     def silent(self, now: float) -> bool:
-        """Returns whether the relay should have reported by now."""
+        """Returns whether the relay's next report is overdue."""
         return now - self.heard_s >= SILENT_S
 
     @property
     def has_manifest(self) -> bool:
-        """Whether the relay last said that it has a manifest, and so ports."""
+        """Whether the relay last reported a manifest.
+
+        It opens its ports only once it has one.
+        """
         return self.report is not None and self.report.version > 0
--- a/src/pollenmast/agent/_shutdown.py
+++ b/src/pollenmast/agent/_shutdown.py
@@ -1,4 +1,8 @@
-"""Signals: the first stops gracefully, the second at once."""
+"""Stops the agent on signals.
+
+The first signal starts a graceful shutdown, the second one ends the program
+immediately.
+"""
 
 import signal
 
@@ -10,20 +14,23 @@
 from pollenmast.agent._node import Node
 
 EXIT_CUT = 3
-"""Exit code after a second signal."""
+"""Exit code after a second signal, which ends a graceful shutdown."""
 
 CHECK_S = 0.05
-"""Between two looks at whether the relay has drained, in seconds."""
+"""Interval between checks whether the relay has drained, in seconds."""
 
 ORDER_AGAIN_S = 1.0
-"""A relay that does not report draining is ordered again, in seconds."""
+"""Interval between drain orders, in seconds.
+
+The order is repeated until the relay reports that it is draining.
+"""
 
 FAREWELL_S = 0.2
-"""Time for the last messages to leave, in seconds."""
+"""Time left for the last messages to be sent, in seconds."""
 
 
 class Shutdown:
-    """Waits for signals and ends the program."""
+    """Waits for a signal and shuts the agent down."""
 
     def __init__(self, node: Node, gossip: GossipLoop, link: LinkLoop):
         self._node = node
@@ -31,7 +38,11 @@
         self._link = link
 
     async def run(self) -> int:
-        """Returns the exit code once the program shall end."""
+        """Waits for a signal, then for the end of the shutdown.
+
+        Returns:
+            The program's exit code.
+        """
         with anyio.open_signal_receiver(
             signal.SIGTERM, signal.SIGINT
         ) as signals:
@@ -72,7 +83,7 @@
         await anyio.sleep(FAREWELL_S)
 
     async def _drain_relay(self, grace_s: float) -> None:
-        """Returns once the relay has nothing left to hand over."""
+        """Waits until the relay has handed over its flows or is down."""
         node = self._node
         ordered_s = None
         until = anyio.current_time() + grace_s
--- a/src/pollenmast/agent/_standby.py
+++ b/src/pollenmast/agent/_standby.py
@@ -1,11 +1,11 @@
-"""Passes callers' datagrams on while this VM's relay does not.
-
-The fabric hands a VM its share of all datagrams for as long as the platform's
-list has it, and the list knows VMs, not programs. Were the ports of a relay
-that has died or hangs left to themselves, callers would see that share of
-their packets lost: handshakes of whole seconds, and some that never end. So
-the agent binds the ports as well, and sends each datagram to the relay that
-owns its flow, as any relay does with a flow that it does not know.
+"""Forwards callers' datagrams while this VM's relay is down.
+
+The fabric sends a VM its share of all datagrams as long as the platform lists
+the VM, and the list holds VMs, not programs. If nothing read the ports of a
+relay that has crashed or hangs, callers would lose that share of their
+packets: handshakes would take seconds, and some would never complete. The
+agent therefore binds the ports as well and sends each datagram to the relay
+that owns its flow, as a relay does with a flow that it does not know.
 """
 
 import select
@@ -26,28 +26,37 @@
 from pollenmast.peers._udp import service_socket
 
 TEND_S = 0.2
-"""Between two looks at the manifest, the fleet and the relay, in seconds: no
-more than heartbeats take to change them."""
+"""Interval between checks of the manifest, fleet and relay, in seconds.
+
+It is no longer than heartbeats take to change them.
+"""
 
 BATCH = 64
-"""Datagrams read from one port in a row. Passing one on takes some tens of
-microseconds, so that heartbeats wait for a few milliseconds at the most."""
+"""Maximum number of datagrams read from one port in a row.
+
+Forwarding one takes some tens of microseconds, so a batch delays heartbeats
+by a few milliseconds at most.
+"""
 
 COME_BACK_MS = 1_000
-"""Told to a caller while no VM has a relay: programs restart within that."""
+"""Time after which a refused caller may retry, in milliseconds.
+
+Callers are refused while no VM has a relay, and programs restart within this
+time.
+"""
 
 _MOST_DATAGRAM_BYTES = 9_216
 _Address = tuple[str, int]
 
 
 class Standby:
-    """Stands in for the relay at the services' ports."""
+    """Reads the services' ports in place of this VM's relay."""
 
     def __init__(self, node: Node):
-        """Opens nothing yet.
+        """Initializes the standby without opening any port.
 
         Args:
-            node: The VM.
+            node: State of this VM's agent.
         """
         self._node = node
         vm = node.settings.vm
@@ -65,16 +74,20 @@
 
     @property
     def needed(self) -> bool:
-        """Whether the relay's ports are to be read here."""
+        """Whether the standby should read the relay's ports."""
         return self._needed
 
     @property
     def ports(self) -> tuple[int, ...]:
-        """The ports that are read now."""
+        """The ports that are open."""
         return tuple(self._ports)
 
     def set_needed(self, needed: bool) -> None:
-        """Tells whether the relay leaves its callers' packets unread."""
+        """Activates or deactivates the standby.
+
+        Args:
+            needed: Whether the relay does not read its callers' packets.
+        """
         if needed and not self._needed:
             self._passed_on = 0
             self._refused_ports.clear()
@@ -101,7 +114,8 @@
                 await anyio.wait_readable(self._epoll.fileno())
             self.pass_on()
             await anyio.sleep(0)
-        # What came before the relay had its ports back is not lost with them.
+        # Forward what arrived before the relay reopened its ports; closing
+        # them would discard it.
         self.pass_on()
         self._close_ports()
         node.log.write(events.STANDBY_ENDED, passed_on=self._passed_on)
@@ -138,7 +152,10 @@
         self._epoll.register(port.fileno(), select.EPOLLIN)
 
     def _note_refused(self, service: Service, error: OSError) -> None:
-        """Logs a port that cannot be had, once; it is tried again."""
+        """Logs that a port cannot be bound, once until the next activation.
+
+        Binding is retried at every check.
+        """
         if service.port not in self._refused_ports:
             self._refused_ports.add(service.port)
             self._node.log.write(
@@ -159,7 +176,7 @@
         sock.close()
 
     def pass_on(self) -> None:
-        """Reads a batch from each port that has something."""
+        """Forwards a batch of datagrams from each readable port."""
         for number, _ in self._epoll.poll(0):
             port = self._services[number]
             self._read(self._ports[port], port)
@@ -199,8 +216,9 @@
     def _refuse(
         self, sock: socket.socket, data: bytes, caller: _Address
     ) -> None:
-        # Loaded only now: QUIC's library would stay in memory for the agent's
-        # whole life, and is needed only while no VM has a relay.
+        # Imported late, because it loads the QUIC library, which would stay in
+        # memory for the agent's lifetime and is only needed while no VM has a
+        # relay.
         from pollenmast.agent import _refusing
 
         counters = self._node.counters
--- a/tests/agent_gossip_test.py
+++ b/tests/agent_gossip_test.py
@@ -1,4 +1,4 @@
-"""Tests of agent._gossip_loop: which news goes on which message."""
+"""Tests of agent._gossip_loop: updates piggybacked on gossip messages."""
 
 import attrs
 import trio
@@ -26,19 +26,19 @@
 
 
 class FakeSocket:
-    """Gives the loop what comes, and keeps what it sends."""
+    """Delivers queued messages and records those sent."""
 
     def __init__(self):
         self.sent = []
         self.came, self._in = trio.open_memory_channel(9)
 
     def send(self, message, to) -> int:
-        """Keeps a message; returns its size."""
+        """Records a message and returns its size."""
         self.sent.append((message, to))
         return len(_gossip.encode(message)) + 30
 
     async def receive(self):
-        """Returns what came."""
+        """Returns the next queued message."""
         return [await self._in.receive()]
 
 
@@ -63,13 +63,13 @@
 
 
 class NewsTest(TestCase):
-    """News goes where it is news, within the budget."""
+    """Updates go to peers that lack them, within the byte budget."""
 
     def test_no_echo(self):
-        """An ack does not carry back what its ping has just brought.
+        """An ack does not carry its ping's reports back to their sender.
 
-        It did once: half of all news of endpoints went to whom it came from,
-        and load was a quarter older everywhere.
+        When it did, half of all endpoint reports went back to their sender,
+        and load was a quarter older on every VM.
         """
 
         async def script(loop, socket):
@@ -86,7 +86,7 @@
         self.assertEqual([(NEWS,)], probes[Act.PING])
 
     def test_known_is_not_told_again(self):
-        """News that comes by two ways is passed on for one of them."""
+        """A report that is received repeatedly is forwarded as one."""
 
         async def script(loop, socket):
             for sequence in range(9):
@@ -97,13 +97,13 @@
 
         sent, _, _ = _run(script)
         told = sum(len(message.probes) for message, _ in sent)
-        self.assertEqual(2, told)  # Once log2 of this fleet of two.
+        self.assertEqual(2, told)  # Once per log2 of the fleet (2 VMs).
 
     def test_budget(self):
-        """A burst of news is cut off; heartbeats still go, without news.
+        """A burst of updates is limited; heartbeats are sent without them.
 
-        Without the bound, a cut that kills half a large fleet's members
-        would cost each of the others a burst of megabytes.
+        Without the limit, a network cut that removes half the members of a
+        large fleet would cause a burst of megabytes from each of the others.
         """
 
         async def script(loop, socket):
@@ -119,7 +119,7 @@
         self.assertEqual((Act.PING, ()), (sent[-1][0].act, sent[-1][0].probes))
 
     def test_newer_manifest_is_wanted(self):
-        """Any message of a peer tells that it has a greater manifest."""
+        """Any message from a peer shows that it has a greater manifest."""
 
         async def script(loop, socket):
             _take(socket, attrs.evolve(PING, version=3, digest=b"d" * 16))
@@ -131,10 +131,10 @@
 
     @parameterized.expand([("usual", 4), ("longest", 63)])
     def test_full_message_fits(self, _, length):
-        """A message with all the news that it may carry is one datagram.
+        """A message with the maximum of updates fits in one datagram.
 
-        With long names it once was more; whoever got it dropped it whole,
-        and a VM whose heartbeats are dropped is declared dead.
+        With long names it was once too long. Its receivers dropped it, and a
+        VM whose heartbeats are dropped is declared dead.
         """
 
         def long_vm(number: int):
@@ -161,7 +161,7 @@
         self.assertGreater(size, _gossip.MOST_BODY_BYTES / 2)
 
     def test_full_page_fits(self):
-        """A page of members with the longest names is one datagram."""
+        """A page of members with the longest names fits in one datagram."""
         members = Members()
         for number in range(40):
             name = f"vm-{number}".ljust(63, "x")
--- a/tests/agent_group.py
+++ b/tests/agent_group.py
@@ -1,4 +1,4 @@
-"""An agent's link and its relay in memory, for tests of the loops."""
+"""Test harness: an agent with an in-memory link and relay."""
 
 import math
 
@@ -27,21 +27,21 @@
 
 
 class NoWire:
-    """A system's socket that loses everything."""
+    """A UDP socket that discards every datagram."""
 
     def sendto(self, data, to):
-        """Loses a datagram."""
+        """Discards a datagram."""
         return len(data)
 
 
 class FakeRelay:
-    """The link, and the relay at its other end.
+    """An in-memory link with a relay at its other end.
 
     Attributes:
-        report: What it reports twice a second, or None while it is silent.
-        taken: The messages that it took, with their times.
-        explains: Whether it answers queries.
-        connected: Whether there is a connection to it.
+        report: Report sent twice a second, or None to send none.
+        taken: Messages received from the agent, with their times.
+        explains: Whether the relay answers explanation queries.
+        connected: Whether the link is connected.
     """
 
     def __init__(self):
@@ -53,7 +53,7 @@
         self._out, self._in = trio.open_memory_channel(math.inf)
 
     async def send(self, message) -> bool:
-        """Takes a message of the agent."""
+        """Receives a message from the agent."""
         self.taken.append((trio.current_time(), message))
         if isinstance(message, ExplainQuery) and self.explains:
             answer = ExplainAnswer(message.identifier, ("why",))
@@ -67,36 +67,36 @@
         return await self._in.receive()
 
     async def changed(self) -> None:
-        """Returns once the connection has come or gone."""
+        """Waits until the link connects or disconnects."""
         await self._changed.wait()
         self._changed = trio.Event()
 
     def die(self) -> None:
-        """Ends as a killed process does: its connections are closed."""
+        """Stops as a killed process does: its connections are closed."""
         self.report = None
         self.connected = False
         self._changed.set()
 
     def restart(self) -> None:
-        """Comes back without a manifest."""
+        """Reconnects without a manifest."""
         self.report = attrs.evolve(REPORT, version=0)
         self.connected = True
         self._changed.set()
 
     async def run(self) -> None:
-        """Reports until cancelled."""
+        """Sends reports until cancelled."""
         while True:
             if self.report is not None:
                 self._out.send_nowait(self.report)
             await trio.sleep(0.5)
 
     def views(self) -> list[tuple[float, FleetView]]:
-        """Returns the views taken, with their times."""
+        """Returns the views received, with their times."""
         return [each for each in self.taken if isinstance(each[1], FleetView)]
 
 
 class Agent:
-    """A node with its link, without peers."""
+    """An agent with a relay but without peers."""
 
     def __init__(self):
         settings = attrs.evolve(
@@ -115,14 +115,14 @@
         )
 
     async def beat(self) -> None:
-        """Runs membership without a network."""
+        """Runs the membership protocol without a network."""
         while True:
             now = trio.current_time()
             self.gossip.send(self.node.membership.tick(now))
             await trio.sleep(0.1)
 
     def accept(self, data: bytes) -> None:
-        """Takes a manifest into force."""
+        """Puts a manifest in force."""
         now = trio.current_time()
         self.node.acceptance.offer(parse(data).unwrap(), data, now)
         self.node.membership.set_in_force(self.node.acceptance.key)
@@ -130,7 +130,14 @@
 
 
 def run(script):
-    """Runs a script beside an agent, with the clock paused between steps."""
+    """Runs a script next to an agent, on a simulated clock.
+
+    Args:
+        script: Async function that is called with the agent.
+
+    Returns:
+        The agent.
+    """
 
     async def main():
         agent = Agent()
--- a/tests/agent_link_test.py
+++ b/tests/agent_link_test.py
@@ -1,4 +1,4 @@
-"""Tests of agent._link_loop, with a relay in memory."""
+"""Tests of agent._link_loop, with an in-memory relay."""
 
 import attrs
 import trio
@@ -12,10 +12,10 @@
 
 
 class ViewTest(TestCase):
-    """What the relay is told, and how often."""
+    """Content and timing of the views sent to the relay."""
 
     def test_each_second(self):
-        """Nothing changes; the relay's lease on its view is renewed."""
+        """Views are sent without changes, to renew the relay's lease."""
 
         async def script(agent):
             await trio.sleep(20.0)
@@ -26,7 +26,7 @@
         self.assertGreater(min(gaps), 0.9)
 
     def test_load_is_coalesced(self):
-        """Reports of load come a hundred a second; views go four a second."""
+        """100 load changes a second cause about four views a second."""
 
         async def script(agent):
             await trio.sleep(2.0)
@@ -38,9 +38,9 @@
         self.assertLess(len(run(script).relay.views()), 45)
 
     def test_urgent_is_told_at_once(self):
-        """A VM dies; each moment until the relay knows loses packets.
+        """A change that moves flows does not wait for the minimum interval.
 
-        What moves flows does not wait for the spacing of load reports.
+        When a VM dies, packets are lost until the relay has the new view.
         """
         spent = []
 
@@ -56,7 +56,7 @@
         self.assertLess(spent[0], 0.05)
 
     def test_manifest_until_in_force(self):
-        """The text goes to the relay until its report shows it, then not."""
+        """The manifest is not sent again once the relay reports it."""
 
         async def script(agent):
             await trio.sleep(1.0)
@@ -73,7 +73,7 @@
         self.assertEqual([text(3)], [view.manifest for view in sent])
 
     def test_new_relay_gets_the_manifest(self):
-        """The relay restarts and reports no manifest; it is sent again."""
+        """The manifest is sent again to a relay that reports none."""
 
         async def script(agent):
             await trio.sleep(1.0)
@@ -85,9 +85,10 @@
         self.assertGreaterEqual(len(sent), 2)
 
     def test_stale_after_a_pause(self):
-        """The whole VM freezes; the first view after it must not be fresh.
+        """The first view after the VM was suspended is not marked fresh.
 
-        Else the relay would open flows by what was true before the freeze.
+        Otherwise the relay would open flows based on the state from before
+        the suspension.
         """
 
         async def main():
@@ -108,10 +109,10 @@
 
 
 class RelayTest(TestCase):
-    """What this VM tells the fleet of its relay."""
+    """How the agent tracks and announces the state of its relay."""
 
     def test_silent_relay(self):
-        """The relay dies or hangs; its VM says so, and flows move on."""
+        """A relay that stops reporting is announced as down."""
         seen = []
 
         async def script(agent):
@@ -128,9 +129,9 @@
         self.assertEqual([True, False, True], seen)
 
     def test_killed_relay(self):
-        """The relay is killed; the fleet hears of it before a report is due.
+        """A killed relay is announced as down before its report is overdue.
 
-        Its flows would stand still for as long as its agent waits.
+        Its flows would stall for as long as its agent waits.
         """
         seen = []
 
@@ -145,10 +146,11 @@
         self.assertEqual([False, True], seen)
 
     def test_restarted_relay(self):
-        """A new relay reports before it has a manifest, and so before ports.
+        """The standby stays active until a restarted relay has a manifest.
 
-        Were the ports given back with its first report, what the fabric sends
-        until it has opened them would be lost.
+        The relay reports before it has a manifest, and opens its ports only
+        with one. If the standby stopped at the first report, datagrams that
+        arrive before the relay opens its ports would be lost.
         """
         seen = []
 
@@ -167,10 +169,10 @@
         self.assertEqual([True, False], seen)
 
     def test_agent_starts_alone(self):
-        """An agent is restarted after its relay has died.
+        """An agent that starts without a relay activates the standby.
 
-        It never hears a report; it waits as long for the first as for any,
-        since a relay that lives reports within that.
+        It waits for the first report as long as for any other, since a
+        running relay reports within that time.
         """
         seen = []
 
@@ -185,11 +187,11 @@
         self.assertEqual([False, True], seen)
 
     def test_paused_agent(self):
-        """The agent stands still for seconds while its relay goes on.
+        """An agent that was suspended does not consider its relay down.
 
-        The reports wait in the link. An agent that found its relay silent
-        then would take the ports of a relay that carries flows, and callers
-        would see their sessions pulled to and fro.
+        The relay's reports wait in the link during that time. An agent that
+        took the relay for silent would take over the ports of a relay that
+        carries flows, and callers' sessions would move back and forth.
         """
         seen = []
 
@@ -210,7 +212,7 @@
         self.assertEqual([True, False], seen)
 
     def test_draining_relay(self):
-        """The relay alone is stopped, and replaced by a new one."""
+        """The VM leaves while its relay drains and returns with a new one."""
         seen = []
 
         async def script(agent):
@@ -226,7 +228,7 @@
 
     @parameterized.expand([("answers", True, ("why",)), ("mute", False, None)])
     def test_explain(self, _, explains, expected):
-        """An operator's question has an answer, or none in bounded time."""
+        """A query returns an answer, or none after a bounded time."""
         lines = []
 
         async def script(agent):
--- a/tests/agent_manifest_test.py
+++ b/tests/agent_manifest_test.py
@@ -1,4 +1,4 @@
-"""Tests of agent._manifest_loop: which manifest comes into force, and when."""
+"""Tests of agent._manifest_loop: which manifest comes into force and when."""
 
 import json
 
@@ -33,7 +33,7 @@
 
 
 def text(version: int, endpoint: str = "e-1") -> bytes:
-    """Returns a manifest's text."""
+    """Returns the text of a manifest with one service and one endpoint."""
     endpoints = [
         {
             "name": endpoint,
@@ -64,14 +64,19 @@
 
 
 class FakePlatform(Platform):
-    """Holds one text; may be down."""
+    """A platform that holds one manifest.
+
+    Attributes:
+        data: Text of the manifest, or None while the platform is down.
+        calls: Number of manifest reads.
+    """
 
     def __init__(self, data: bytes | None):
         self.data = data
         self.calls = 0
 
     async def manifest(self, after, wait_s):
-        """Returns the text where it is newer, else waits."""
+        """Returns the manifest once it is newer than `after`."""
         self.calls += 1
         until = trio.current_time() + wait_s
         while True:
@@ -85,19 +90,24 @@
             await trio.sleep(0.05)
 
     async def vms(self):
-        """Lists nobody."""
+        """Returns an empty list."""
         return Ok(())
 
 
 class FakeFetcher:
-    """Peers by their names, and what they have in force."""
+    """Serves the manifests that peers have in force.
+
+    Attributes:
+        texts: Manifest texts by address, with underscores for the dots.
+        fetched: Addresses of the peers asked, in order.
+    """
 
     def __init__(self, **texts: bytes | None):
         self.texts = texts
         self.fetched = []
 
     async def fetch(self, address, port, wanted):
-        """Returns what the peer at this address has."""
+        """Returns the manifest of the peer at this address."""
         self.fetched.append(address)
         await trio.sleep(0.01)
         return self.texts.get(address.replace(".", "_"))
@@ -108,7 +118,7 @@
 
 
 class ManifestLoopTest(TestCase):
-    """The greatest manifest is in force, wherever it comes from."""
+    """The greatest manifest comes into force, whatever its source."""
 
     def _run(self, platform, fetcher, script) -> Node:
         async def main():
@@ -125,16 +135,16 @@
         return trio.run(main, clock=clock)
 
     async def _beat(self, node: Node) -> None:
-        # Nobody answers, so the first refresh ends by its own time.
+        # No peer answers, so the first refresh ends by its timeout.
         while True:
             node.membership.tick(trio.current_time())
             await trio.sleep(0.1)
 
     def test_restart_against_a_stale_platform(self):
-        """A VM restarts while the platform is frozen at an old manifest.
+        """A restarted VM asks its peers before a stale platform.
 
-        Did it believe the platform first, callers of this one VM would be
-        sent to endpoints that left releases ago.
+        If it read the platform first, this VM's callers would be sent to
+        endpoints that were removed releases ago.
         """
         platform = FakePlatform(text(3))
         fetcher = FakeFetcher(**{PEER_KEY: text(7)})
@@ -150,7 +160,7 @@
         self.assertGreater(platform.calls, 0)
 
     def test_platform_down_peer_up(self):
-        """A VM restarts while the platform is down; a peer has it all."""
+        """A VM restarts while the platform is down; a peer has the manifest."""
         fetcher = FakeFetcher(**{PEER_KEY: text(7)})
 
         async def script(node, loop):
@@ -161,7 +171,7 @@
         self.assertEqual(7, node.acceptance.key.version)
 
     def test_first_source_fails(self):
-        """The first peer that has the manifest dies before it hands it out."""
+        """Another peer is asked if the first one fails to send the manifest."""
         fetcher = FakeFetcher(**{PEER_KEY: text(7), "127_0_1_6": None})
 
         async def script(node, loop):
@@ -174,7 +184,7 @@
         self.assertEqual(7, node.acceptance.key.version)
 
     def test_watch(self):
-        """A published manifest is in force within the watch's answer."""
+        """A published manifest comes into force with the watch's answer."""
         platform = FakePlatform(text(1))
         times = []
 
@@ -197,9 +207,9 @@
         ]
     )
     def test_refused_whole(self, _, offered, version, outcome):
-        """A pipeline publishes a manifest that must not be taken.
+        """An older or invalid manifest is rejected and counted.
 
-        The one in force stays, and the refusal is counted.
+        The one in force remains.
         """
 
         async def script(node, loop):
@@ -211,9 +221,10 @@
         self.assertEqual(1, node.counters.value(MANIFESTS, outcome))
 
     def test_published_again_with_other_content(self):
-        """Two pipelines publish version 5; a watch does not show the second.
+        """A version is published twice with different content.
 
-        Every VM must end with the same content, whichever it saw first.
+        A watch does not return the second manifest. Every VM must end up with
+        the same content, whichever it saw first.
         """
         first, second = sorted((text(5, "e-1"), text(5, "e-2")), key=key)
         platform = FakePlatform(first)
@@ -229,10 +240,10 @@
         self.assertEqual(1, conflicts)
 
     def test_platform_restored(self):
-        """The platform comes back from a copy that has an older manifest.
+        """The platform is restored from a backup with an older manifest.
 
-        Callers would be sent to endpoints that have left, or a release
-        published after the return would not come into force.
+        It must not come into force, or callers would be sent to endpoints that
+        were removed. The next release must come into force.
         """
         platform = FakePlatform(text(5))
         seen = []
@@ -252,9 +263,9 @@
         self.assertEqual([5, 6], seen)
 
     def test_dead_platform_is_asked_rarely(self):
-        """A platform that is down is not asked more often than a few seconds.
+        """Retries against a platform that is down are seconds apart.
 
-        A fleet that asks without pause would keep it down.
+        A fleet that retried without delay would keep it down.
         """
         platform = FakePlatform(None)
 
--- a/tests/agent_probe_test.py
+++ b/tests/agent_probe_test.py
@@ -1,4 +1,4 @@
-"""Tests of agent._probe_loop: which endpoints are asked, and when."""
+"""Tests of agent._probe_loop: which endpoints are probed and when."""
 
 import json
 
@@ -21,24 +21,24 @@
 
 
 class FakeGossip:
-    """Keeps what peers should hear."""
+    """Records the reports queued for peers."""
 
     def __init__(self):
         self.told = []
 
     def tell(self, news) -> None:
-        """Keeps news."""
+        """Records a report."""
         self.told.append(news)
 
     def send(self, sends) -> None:
-        """Takes messages for which there is no network here."""
+        """Discards messages."""
 
 
 class ProbeLoopTest(TestCase):
-    """Each endpoint that falls to this VM is asked at its pace."""
+    """Each endpoint assigned to this VM is probed at its interval."""
 
     def setUp(self):
-        """Answers every probe from `self.answer`."""
+        """Patches the HTTP client to answer every probe with `self.answer`."""
         super().setUp()
         self.asked = []
         self.answer = WELL
@@ -68,17 +68,17 @@
         return {round(b - a, 3) for a, b in pairs}
 
     def test_pace(self):
-        """A well endpoint is asked each second, its other prober between."""
+        """A healthy endpoint is probed every second by each of two probers."""
 
         async def script(node):
             await trio.sleep(20)
 
         _, told = self._run(script)
         self.assertEqual({1.0}, self._gaps())
-        self.assertLess(len(told), 12)  # Unchanged: every two seconds.
+        self.assertLess(len(told), 12)  # Every 2 s while nothing changes.
 
     def test_failure(self):
-        """An endpoint dies; two failures in half a second tell it."""
+        """An endpoint is unhealthy after two failures half a second apart."""
 
         async def script(node):
             await trio.sleep(5)
@@ -91,7 +91,7 @@
         self.assertFalse(told[-1].report.healthy)
 
     def test_given_away(self):
-        """VMs join, and the endpoint's probes fall to two of them."""
+        """Probes stop when the endpoint is reassigned to VMs that joined."""
 
         async def script(node):
             await trio.sleep(3)
@@ -106,7 +106,7 @@
         self.assertEqual([], self.asked)
 
     def test_gone_from_the_manifest(self):
-        """An endpoint leaves the manifest; it is asked no more."""
+        """An endpoint removed from the manifest is no longer probed."""
 
         async def script(node):
             await trio.sleep(3)
--- a/tests/agent_refusing_test.py
+++ b/tests/agent_refusing_test.py
@@ -1,4 +1,4 @@
-"""Tests of agent._refusing, against a QUIC library's own connections."""
+"""Tests of agent._refusing, against connections of a QUIC library."""
 
 from aioquic.quic import connection, events
 from testtools import TestCase
@@ -28,10 +28,10 @@
 
 
 class AnswerTest(TestCase):
-    """A caller believes a refusal just where nothing of it has run."""
+    """A caller accepts a refusal only if none of its requests may have run."""
 
     def test_first_flight(self):
-        """A new caller is told at once, and when to come back."""
+        """A new caller is refused at once and told when to retry."""
         client = _client()
         (first,) = _sent(client)
         answer = _refusing.answer(first, _MS).unwrap()
@@ -39,10 +39,10 @@
         self.assertIn("retry after 1000 ms", _ending(client).reason_phrase)
 
     def test_second_flight(self):
-        """A relay dies between the flights of a handshake, with all others.
+        """All relays fail between the two flights of a caller's handshake.
 
-        The caller's second flight is an Initial as well, and its request may
-        already be on its way. The caller must not be told that nothing ran.
+        The second flight has an Initial as well, and the caller's request may
+        already be in transit. The caller must not be told that nothing ran.
         """
         client = _client()
         server = connection.QuicConnection(
--- a/tests/agent_shutdown_test.py
+++ b/tests/agent_shutdown_test.py
@@ -1,4 +1,4 @@
-"""Tests of agent._shutdown, with a relay in memory."""
+"""Tests of agent._shutdown, with an in-memory relay."""
 
 import anyio
 import attrs
@@ -12,7 +12,7 @@
 
 
 class ShutdownTest(TestCase):
-    """A graceful stop waits for the relay, but not for ever."""
+    """A graceful shutdown waits for the relay, up to the grace period."""
 
     def _stop(self, drains_after_s: float | None) -> tuple:
         outcome = []
@@ -44,13 +44,13 @@
         return (*outcome, len(orders))
 
     def test_drained(self):
-        """The agent ends soon after its relay has handed over all flows."""
+        """The agent exits soon after its relay has handed over all flows."""
         spent, state, orders = self._stop(2.0)
         self.assertTrue(2.0 < spent < 3.0, spent)
         self.assertEqual((VmState.DEAD, 1), (state, orders))
 
     def test_never_drained(self):
-        """A flow never moves; the VM ends after the grace all the same."""
+        """The agent exits after the grace period if a flow never moves."""
         spent, state, _ = self._stop(None)
         self.assertTrue(5.0 < spent < 5.5, spent)
         self.assertEqual(VmState.DEAD, state)
--- a/tests/agent_standby_test.py
+++ b/tests/agent_standby_test.py
@@ -1,4 +1,4 @@
-"""Tests of agent._standby: callers' packets while this VM's relay is gone."""
+"""Tests of agent._standby: callers' packets while the relay is down."""
 
 import anyio
 import attrs
@@ -26,7 +26,7 @@
 
 
 def _node(address: str, peers: tuple[Vm, ...]) -> Node:
-    """Returns the node of a VM with a manifest and these peers."""
+    """Returns the agent state of a VM with a manifest and these peers."""
     at = attrs.evolve(SETTINGS.vm, address=address)
     node = new_node(attrs.evolve(SETTINGS, vm=at), LOG, anyio.current_time())
     data = text(1)
@@ -38,7 +38,7 @@
 
 
 class _Place:
-    """The VM's agent, the port of another VM's relay, and a caller."""
+    """A VM's standby and relay port, another VM's relay, and a caller."""
 
     def __init__(self, alone: bool = False):
         self._reservation = Reservation()
@@ -63,18 +63,18 @@
         self.caller.sendto(data, (self.address, _PORT))
 
     async def at_peer(self):
-        """Returns the next envelope that the other VM's relay was sent."""
+        """Returns the next envelope sent to the other VM's relay."""
         data = await _received(self.peer)
         return self.opener.open(data, anyio.current_time()).unwrap()
 
     async def begun(self) -> None:
-        """Waits until the ports are read."""
+        """Activates the standby and waits until its ports are open."""
         self.standby.set_needed(True)
         while not self.standby.ports:
             await anyio.sleep(0.01)
 
     async def ended(self) -> None:
-        """Waits until the ports are given back."""
+        """Deactivates the standby and waits until its ports are closed."""
         self.standby.set_needed(False)
         while self.standby.ports:
             await anyio.sleep(0.01)
@@ -102,16 +102,17 @@
 
 
 class PassOnTest(TestCase):
-    """No datagram of the fabric goes unread while an agent lives."""
+    """Every datagram of the fabric is read while the agent runs."""
 
     @parameterized.expand(
         [("first", initial("c1")), ("in_session", short("c1", "text"))]
     )
     def test_relay_hangs(self, _, data):
-        """A relay is frozen; its socket goes on taking what the fabric sends.
+        """The agent reads the port of a hung relay and forwards to the owner.
 
-        Callers would wait for it: one packet in three of every session and
-        handshake. The agent gets the port, and the owner gets the packet.
+        The hung relay's socket would continue to receive datagrams from the
+        fabric, and callers would lose one packet in three of every session
+        and handshake.
         """
 
         async def script(place):
@@ -138,7 +139,7 @@
         self.assertEqual(1, node.counters.value(c.FORWARDS, reason))
 
     def test_relay_wakes(self):
-        """The relay runs again; it gets its port back, with its flows."""
+        """A relay that resumes receives its flows' packets again."""
 
         async def script(place):
             await place.begun()
@@ -149,10 +150,10 @@
         _play(script)
 
     def test_relay_restarts(self):
-        """A new relay opens the port while the agent still has it.
+        """A new relay can open the port while the agent still has it open.
 
-        The new one gets the packets at once; were it to wait for the agent,
-        or fail to open the port, the VM would stay without a relay.
+        The new relay gets the packets at once. If it had to wait for the
+        agent, or failed to open the port, the VM would stay without a relay.
         """
 
         async def script(place):
@@ -165,9 +166,10 @@
         _play(script)
 
     def test_port_in_use(self):
-        """Another program holds a service's port and shares it with nobody.
+        """The agent binds a port later if another program has it open.
 
-        The agent goes on; it takes the port as soon as it is free.
+        The other program does not share the port. The agent continues to run
+        and opens the port as soon as it is free.
         """
 
         async def script(place):
@@ -183,12 +185,12 @@
 
 
 class RefuseTest(TestCase):
-    """No VM has a relay: callers are told so, and only what is true."""
+    """Callers are refused while no VM has a relay, if nothing has run."""
 
     def test_new_flow(self):
-        """Every relay is down; a new caller is refused at once.
+        """A new caller is refused at once while every relay is down.
 
-        It would else send its Initial until its library gives up.
+        Otherwise it would send its Initial again until its library gives up.
         """
 
         async def script(place):
@@ -214,9 +216,10 @@
         ]
     )
     def test_may_have_run(self, _, data, reason):
-        """What may carry a request, or is no first packet, is not refused.
+        """A datagram is not refused if its flow's request may have run.
 
-        A caller told that nothing was run would send its submission again.
+        A caller that is told that nothing ran would submit it again. Datagrams
+        that are not a valid first packet are not refused either.
         """
 
         async def script(place):
--- a/tests/standby_process_test.py
+++ b/tests/standby_process_test.py
@@ -1,8 +1,8 @@
-"""Tests of real processes of which one VM has lost its relay.
+"""Tests with real processes, in which one VM loses its relay.
 
-The platform lists VMs, so the fabric goes on handing that VM its share of all
-datagrams. No verdict rests on how long something took: what the fabric handed
-over is compared with what the VM's agent passed on.
+The platform lists VMs, so the fabric continues to send that VM its share of
+all datagrams. The tests don't depend on timing: they compare the number of
+datagrams sent by the fabric with the number forwarded by the VM's agent.
 """
 
 import pathlib
@@ -21,7 +21,7 @@
 _DEADLINE_S = 40.0
 _CALM_S = 3.0
 _NOTICED_S = 5.0
-"""By then the fleet should know of any program that is gone."""
+"""Time for the fleet to detect a program that is down, in seconds."""
 
 _WATCHED_S = 4.0
 
@@ -38,7 +38,7 @@
 
 
 class LostRelayTest(TestCase):
-    """A VM without its relay loses no packet of a caller."""
+    """A VM without its relay loses no caller's packet."""
 
     def _judge(self, script) -> None:
         outcome = anyio.run(_play, script)
@@ -51,12 +51,12 @@
         [("killed", signal.SIGKILL), ("frozen", signal.SIGSTOP)]
     )
     def test_every_datagram_goes_on(self, _, number):
-        """A relay dies or hangs while the platform lists its VM.
+        """The agent forwards every datagram after its relay crashes or hangs.
 
-        A third of all datagrams went unread for as long as that lasted: one
-        new flow in a hundred took 3 s and more to open, and of some every
-        repeat of a packet met the same VM, so that they ended unanswered
-        after 15 s.
+        Before it did, a third of all datagrams went unread while the platform
+        listed the VM. One new flow in a hundred took 3 s or more to open. For
+        some flows every retransmission reached the same VM, and they ended
+        unanswered after 15 s.
         """
 
         async def script(world: World) -> None:
@@ -69,10 +69,10 @@
         self._judge(script)
 
     def test_relay_comes_back(self):
-        """The relay is started again; its agent gives the ports back.
+        """The agent releases the ports once a restarted relay has them open.
 
-        Were they kept, the VM would never carry a flow again; were they given
-        back before the relay has them, packets would be lost once more.
+        If it kept them, the VM would never carry a flow again. If it released
+        them before the relay had opened them, packets would be lost again.
         """
 
         async def script(world: World) -> None:
