--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -22,7 +22,7 @@
 from pollenmast.peers._gossip import Act, Gossip, ProbeNews
 from pollenmast.peers._gossip_socket import GossipSocket
 
-BYTES_PER_S = 2_300
+GOSSIP_BYTES_PER_S = 2_300
 """Gossip budget of one VM, in bytes per second.
 
 Control traffic of one VM may take 4 KB/s. This budget leaves 1.4 KB/s for
@@ -31,13 +31,13 @@
 of 2,000 as well as of 2,600; with eighteen VMs they were 1.8 s and 1.2 s old.
 """
 
-BURST_BYTES = 12_000
+GOSSIP_BURST_BYTES = 12_000
 """Size of the largest gossip burst, in bytes.
 
 The failure of one VM in a fleet of nine takes a tenth of it.
 """
 
-MEMBER_BYTES = 500
+MAX_MEMBER_BYTES = 500
 """Maximum size of the member updates added to one message, in bytes."""
 
 PROBE_SENDS_PER_LOG = 1
@@ -52,12 +52,12 @@
     VmState.LEAVING: events.VM_LEAVING,
     VmState.ALIVE: events.VM_UPDATED,
 }
-_WHY_EVENTS = {
+_REASON_EVENTS = {
     Why.JOINED: events.VM_JOINED,
     Why.RETURNED: events.VM_RETURNED,
 }
 
-Wanted = Callable[[ManifestKey, Vm], None]
+NewerManifestCallback = Callable[[ManifestKey, Vm], None]
 
 
 class GossipLoop:
@@ -67,26 +67,31 @@
     updates to them, and applies the messages received.
     """
 
-    def __init__(self, node: Node, socket: GossipSocket, wanted: Wanted):
+    def __init__(
+        self,
+        node: Node,
+        socket: GossipSocket,
+        on_newer_manifest: NewerManifestCallback,
+    ):
         """Initializes the loop.
 
         Args:
             node: State of this VM's agent.
             socket: Sends and receives gossip messages.
-            wanted: Called with the key of a manifest that this VM lacks and
-                the peer that has it.
+            on_newer_manifest: Called when a peer has a manifest that this VM
+                lacks, with the manifest's key and the peer.
         """
         self._node = node
         self._socket = socket
-        self._wanted = wanted
+        self._on_newer_manifest = on_newer_manifest
         self._members: Dissemination[Vm] = Dissemination()
         self._probes: Dissemination[ProbeNews] = Dissemination(
             PROBE_SENDS_PER_LOG
         )
         now = anyio.current_time()
-        self._budget = ByteBudget(BYTES_PER_S, BURST_BYTES, now)
-        self._fresh = False
-        self._earlier = anyio.Event()
+        self._budget = ByteBudget(GOSSIP_BYTES_PER_S, GOSSIP_BURST_BYTES, now)
+        self._was_fresh = False
+        self._rescheduled = anyio.Event()
 
     async def run(self) -> None:
         """Runs until cancelled."""
@@ -96,15 +101,15 @@
 
     def send(self, sends: list[Send]) -> None:
         """Sends messages, each with as many updates as it may carry."""
-        changed = self._collect()
+        changed = self._queue_changes()
         for send in sends:
-            self._send(send)
+            self._send_message(send)
         if changed or any(send.act is Act.PING for send in sends):
             # The next deadline may now be earlier than the one that `_tick`
             # waits for.
-            self._earlier.set()
+            self._rescheduled.set()
 
-    def tell(self, news: ProbeNews) -> None:
+    def queue_report(self, news: ProbeNews) -> None:
         """Queues an endpoint's report for the peers.
 
         A report that an endpoint is down or leaving must reach every VM,
@@ -120,39 +125,41 @@
         while True:
             now = anyio.current_time()
             self.send(membership.tick(now))
-            self._earlier = anyio.Event()
+            self._rescheduled = anyio.Event()
             with anyio.move_on_at(membership.due()):
-                await self._earlier.wait()
+                await self._rescheduled.wait()
 
     async def _receive(self) -> None:
         while True:
             for message, source in await self._socket.receive():
                 now = anyio.current_time()
-                heard = self._take_news(message, now)
+                new_reports = self._apply_updates(message, now)
                 sends = self._node.membership.receive(message, source, now)
                 self.send(sends)
                 # Queue the reports after the answer has been sent. The
                 # least-sent updates go first, so an ack would otherwise
                 # carry the ping's reports back to their sender.
-                for news in heard:
-                    self.tell(news)
+                for news in new_reports:
+                    self.queue_report(news)
 
-    def _take_news(self, message: Gossip, now: float) -> list[ProbeNews]:
+    def _apply_updates(self, message: Gossip, now: float) -> list[ProbeNews]:
         """Applies the updates in a message.
 
         Returns:
             The endpoint reports that were new to this VM.
         """
         reports = self._node.reports
-        heard = [news for news in message.probes if reports.heard(news, now)]
-        if heard:
-            self._node.notify()
+        new_reports = [
+            news for news in message.probes if reports.heard(news, now)
+        ]
+        if new_reports:
+            self._node.notify_changed()
         key = ManifestKey(message.version, message.digest.hex())
         if self._node.acceptance.wants(key):
-            self._wanted(key, message.sender)
-        return heard
+            self._on_newer_manifest(key, message.sender)
+        return new_reports
 
-    def _collect(self) -> bool:
+    def _queue_changes(self) -> bool:
         """Queues and logs changes of the membership.
 
         Returns:
@@ -161,23 +168,23 @@
         membership = self._node.membership
         changes = membership.take_changes()
         for change in changes:
-            told = membership.told(change.vm.name)
-            self._members.add(told.name, told, _gossip.member_size(told))
-            self._write(change)
-        if membership.fresh != self._fresh:
-            self._fresh = membership.fresh
-            if self._fresh:
+            update = membership.told(change.vm.name)
+            self._members.add(update.name, update, _gossip.member_size(update))
+            self._log_change(change)
+        if membership.fresh != self._was_fresh:
+            self._was_fresh = membership.fresh
+            if self._was_fresh:
                 alone = membership.alone
                 self._node.log.write(events.REFRESH_ENDED, alone=alone)
             else:
                 self._node.log.write(events.REFRESH_BEGAN)
-            self._node.notify(at_once=True)
+            self._node.notify_changed(at_once=True)
         if changes:
-            self._node.notify(at_once=True)
+            self._node.notify_changed(at_once=True)
         return bool(changes)
 
-    def _write(self, change: Change) -> None:
-        event = _WHY_EVENTS.get(change.why, _STATE_EVENTS[change.vm.state])
+    def _log_change(self, change: Change) -> None:
+        event = _REASON_EVENTS.get(change.why, _STATE_EVENTS[change.vm.state])
         self._node.log.write(
             event,
             member=change.vm.name,
@@ -188,25 +195,25 @@
             relay_up=change.vm.relay_up,
         )
 
-    def _send(self, send: Send) -> None:
+    def _send_message(self, send: Send) -> None:
         left = self._budget.left(anyio.current_time())
         if send.act is Act.NEWS and not left:
             # The same updates are sent with the next heartbeats. Without
             # this limit, a network cut of many VMs would cause a burst from
             # each of the others.
             return
-        message = self._compose(send, left)
+        message = self._build_message(send, left)
         sent = self._socket.send(message, send.to)
         self._budget.spend(sent)
 
-    def _compose(self, send: Send, left: int) -> Gossip:
+    def _build_message(self, send: Send, left: int) -> Gossip:
         node = self._node
         own = node.membership.own
         fleet = len(node.membership.vms())
         members, probes = send.members, ()
         if send.act in (Act.PING, Act.ACK, Act.NEWS):
             room = min(left, _gossip.room(own, send.target, members))
-            news = self._members.pick(min(room, MEMBER_BYTES), fleet)
+            news = self._members.pick(min(room, MAX_MEMBER_BYTES), fleet)
             members += news
             room -= sum(map(_gossip.member_size, news))
             probes = self._probes.pick(room, fleet)
--- a/src/pollenmast/agent/_knowledge.py
+++ b/src/pollenmast/agent/_knowledge.py
@@ -47,7 +47,7 @@
             return "no manifest yet"
         if not node.membership.fresh:
             return "asking peers for what was missed"
-        if not node.relay.up(anyio.current_time()):
+        if not node.relay.is_up(anyio.current_time()):
             return "the relay does not report"
         if node.relay.report.draining:
             return "the relay hands over its flows"
@@ -70,10 +70,12 @@
         """Returns the counters of the agent and of the relay."""
         own = self._node.counters.items()
         report = self._node.relay.report
-        told = report.counters if report else ()
+        relay_counters = report.counters if report else ()
         return {
             "agent": {(name, reason): value for name, reason, value in own},
-            "relay": {(each.name, each.reason): each.value for each in told},
+            "relay": {
+                (each.name, each.reason): each.value for each in relay_counters
+            },
         }
 
     def gauges(self) -> operators.Gauges:
@@ -120,7 +122,7 @@
 
     def _relay(self) -> operators.RelayStatus:
         relay = self._node.relay
-        if relay.report is None or not relay.up(anyio.current_time()):
+        if relay.report is None or not relay.is_up(anyio.current_time()):
             return operators.RelayStatus(False, False, 0, 0, 0)
         report = relay.report
         return operators.RelayStatus(
@@ -128,7 +130,7 @@
         )
 
     def _platform(self) -> operators.PlatformStatus:
-        heard_s = self._node.platform_heard_s
+        heard_s = self._node.platform_answered_s
         ago = None
         if heard_s is not None:
             ago = round(anyio.current_time() - heard_s, 1)
--- a/src/pollenmast/agent/_link_loop.py
+++ b/src/pollenmast/agent/_link_loop.py
@@ -19,33 +19,33 @@
     RelayReport,
 )
 
-VIEW_S = 1.0
+MAX_VIEW_INTERVAL_S = 1.0
 """Maximum time between two views, in seconds.
 
 The relay's lease on a view is longer.
 """
 
-SPACING_S = 0.4
+MIN_VIEW_INTERVAL_S = 0.4
 """Minimum time between two views that only update load, in seconds.
 
 Load is probed twice a second. A view for every probe, which made ten views a
 second, took a fifth of the agent's processor time.
 """
 
-GATHER_S = 0.02
+URGENT_DELAY_S = 0.02
 """Delay before a view with urgent changes, in seconds.
 
 Changes that move flows come in bursts, and the delay puts them in one view.
 """
 
-MANIFEST_AGAIN_S = 1.0
+MANIFEST_RESEND_S = 1.0
 """Time after which an unconfirmed manifest is sent again, in seconds.
 
 The relay confirms a manifest by reporting it in force, and two reports are due
 in this time.
 """
 
-ALL_REPORTS_S = 10.0
+FULL_REPORTS_INTERVAL_S = 10.0
 """Interval between views that hold the reports of all endpoints, in seconds.
 
 The views between them hold only the reports that have changed: with 11,000
@@ -53,13 +53,13 @@
 run capacity`). Changes in a lost view are repeated by the next full one.
 """
 
-EXPLAIN_S = 2.0
+EXPLAIN_TIMEOUT_S = 2.0
 """Timeout for the relay's explanation, in seconds."""
 
-MOST_QUERIES = 16
+MAX_PENDING_QUERIES = 16
 """Maximum number of concurrent explanation queries."""
 
-WATCH_RELAY_S = 0.5
+RELAY_CHECK_INTERVAL_S = 0.5
 """Interval between checks whether the relay still reports, in seconds."""
 
 
@@ -82,13 +82,13 @@
         self._gossip = gossip
         self._standby = standby
         self._sequences = itertools.count(1)
-        self._sent = (ManifestKey(), 0.0)
-        self._told: dict[tuple[int, str], EndpointReport] = {}
-        self._told_wake = 0
-        self._told_all_s = 0.0
+        self._manifest_sent = (ManifestKey(), 0.0)
+        self._sent_reports: dict[tuple[int, str], EndpointReport] = {}
+        self._last_wake = 0
+        self._full_reports_s = 0.0
         self._answers: dict[int, ExplainAnswer | None] = {}
         self._answered = anyio.Event()
-        self._relay_up = False
+        self._relay_was_up = False
 
     async def run(self) -> None:
         """Runs until cancelled."""
@@ -116,12 +116,12 @@
             Lines of text, or None if the relay did not answer in time or too
             many queries are pending.
         """
-        if len(self._answers) >= MOST_QUERIES:
+        if len(self._answers) >= MAX_PENDING_QUERIES:
             return None
         identifier = next(self._sequences)
         self._answers[identifier] = None
         try:
-            with anyio.move_on_after(EXPLAIN_S):
+            with anyio.move_on_after(EXPLAIN_TIMEOUT_S):
                 await self._link.send(ExplainQuery(identifier, subject))
                 while self._answers[identifier] is None:
                     await self._answered.wait()
@@ -134,25 +134,27 @@
         while True:
             now = anyio.current_time()
             self._gossip.send(self._node.membership.look(now))
-            await self._link.send(self._view(now))
-            await self._node.changed(GATHER_S, SPACING_S, VIEW_S)
+            await self._link.send(self._build_view(now))
+            await self._node.wait_for_change(
+                URGENT_DELAY_S, MIN_VIEW_INTERVAL_S, MAX_VIEW_INTERVAL_S
+            )
 
-    def _view(self, now: float) -> FleetView:
+    def _build_view(self, now: float) -> FleetView:
         node = self._node
         key = node.acceptance.key
         report = node.relay.report
         return FleetView(
             sequence=next(self._sequences),
-            manifest=self._manifest(now),
+            manifest=self._manifest_to_send(now),
             version=key.version,
             digest=key.digest,
             vms=node.membership.vms(),
-            reports=self._reports(now),
+            reports=self._reports_to_send(now),
             fresh=node.membership.fresh,
             wake_seen=report.wake if report else 0,
         )
 
-    def _reports(self, now: float) -> tuple[EndpointReport, ...]:
+    def _reports_to_send(self, now: float) -> tuple[EndpointReport, ...]:
         """Returns the reports that changed since the last view.
 
         All reports are returned at regular intervals, while the relay has no
@@ -161,31 +163,33 @@
         report = self._node.relay.report
         wake = report.wake if report else 0
         new_relay = report is None or report.version == 0
-        overdue = now - self._told_all_s >= ALL_REPORTS_S
-        if new_relay or overdue or wake != self._told_wake:
-            self._told = {}
-            self._told_all_s = now
-        self._told_wake = wake
-        every = self._node.reports.view(now)
+        overdue = now - self._full_reports_s >= FULL_REPORTS_INTERVAL_S
+        if new_relay or overdue or wake != self._last_wake:
+            self._sent_reports = {}
+            self._full_reports_s = now
+        self._last_wake = wake
+        reports = self._node.reports.view(now)
         changed = tuple(
             each
-            for each in every
-            if self._told.get((each.service, each.endpoint)) != each
+            for each in reports
+            if self._sent_reports.get((each.service, each.endpoint)) != each
         )
-        self._told = {(each.service, each.endpoint): each for each in every}
+        self._sent_reports = {
+            (each.service, each.endpoint): each for each in reports
+        }
         return changed
 
-    def _manifest(self, now: float) -> bytes | None:
+    def _manifest_to_send(self, now: float) -> bytes | None:
         in_force = self._node.acceptance.in_force
         report = self._node.relay.report
         if in_force is None or report is None:
             return None
         if ManifestKey(report.version, report.digest) == in_force.key:
             return None
-        sent_key, sent_s = self._sent
-        if sent_key == in_force.key and now - sent_s < MANIFEST_AGAIN_S:
+        sent_key, sent_s = self._manifest_sent
+        if sent_key == in_force.key and now - sent_s < MANIFEST_RESEND_S:
             return None
-        self._sent = (in_force.key, now)
+        self._manifest_sent = (in_force.key, now)
         return in_force.text
 
     async def _receive(self) -> None:
@@ -196,19 +200,19 @@
                 # after its link has closed. Accepting them would mark the
                 # relay as up again.
                 if self._link.connected:
-                    await self._take(message)
+                    await self._handle_report(message)
             elif isinstance(message, ExplainAnswer):
                 if message.identifier in self._answers:
                     self._answers[message.identifier] = message
                 answered, self._answered = self._answered, anyio.Event()
                 answered.set()
 
-    async def _take(self, report: RelayReport) -> None:
+    async def _handle_report(self, report: RelayReport) -> None:
         node = self._node
         first = node.relay.report is None
-        node.relay.hear(report, anyio.current_time())
+        node.relay.record_report(report, anyio.current_time())
         if first:
-            node.notify(at_once=True)
+            node.notify_changed(at_once=True)
         if not node.stopping:
             if report.draining:
                 node.membership.leave()
@@ -218,11 +222,11 @@
 
     async def _watch_relay(self) -> None:
         while True:
-            due = anyio.current_time() + WATCH_RELAY_S
-            await anyio.sleep(WATCH_RELAY_S)
-            late_s = anyio.current_time() - due
-            if late_s > WATCH_RELAY_S:
-                self._node.relay.excuse(late_s)
+            due = anyio.current_time() + RELAY_CHECK_INTERVAL_S
+            await anyio.sleep(RELAY_CHECK_INTERVAL_S)
+            late_by_s = anyio.current_time() - due
+            if late_by_s > RELAY_CHECK_INTERVAL_S:
+                self._node.relay.extend_deadline(late_by_s)
             await self._check_relay()
 
     async def _watch_link(self) -> None:
@@ -234,20 +238,20 @@
         while True:
             await self._link.changed()
             if not self._link.connected:
-                self._node.relay.lose()
+                self._node.relay.mark_lost()
                 await self._check_relay()
 
     async def _check_relay(self) -> None:
         node = self._node
         now = anyio.current_time()
-        up = node.relay.up(now)
+        up = node.relay.is_up(now)
         self._check_standby(up, now)
-        if up != self._relay_up:
-            self._relay_up = up
+        if up != self._relay_was_up:
+            self._relay_was_up = up
             node.log.write(events.RELAY_HEARD if up else events.RELAY_SILENT)
             if not up:
                 # A restarted relay has no manifest.
-                self._sent = (ManifestKey(), 0.0)
+                self._manifest_sent = (ManifestKey(), 0.0)
         node.membership.set_relay_up(up)
         if node.membership.has_urgent:
             self._gossip.send(node.membership.tick(now))
@@ -261,5 +265,5 @@
         relay = self._node.relay
         if up and relay.has_manifest:
             self._standby.set_needed(False)
-        elif relay.silent(now):
+        elif relay.is_overdue(now):
             self._standby.set_needed(True)
--- a/src/pollenmast/agent/_manifest_loop.py
+++ b/src/pollenmast/agent/_manifest_loop.py
@@ -15,30 +15,30 @@
 from pollenmast.manifest import ManifestKey
 from pollenmast.peers._fetch import Fetcher
 
-ROLE_CHECK_S = 1.0
+ROLE_CHECK_INTERVAL_S = 1.0
 """Interval between checks whether this VM is a watcher, in seconds."""
 
-BACKOFF_S = (0.5, 5.0)
+BACKOFF_RANGE_S = (0.5, 5.0)
 """Shortest and longest wait after a failed read, in seconds.
 
 Two watchers per zone that retry every five seconds are no load for a platform
 that is restarting.
 """
 
-MOST_SOURCES = 4
+MAX_SOURCES = 4
 """Maximum number of peers remembered as sources of the wanted manifest."""
 
-FETCH_RETRY_S = 0.2
+FETCH_RETRY_DELAY_S = 0.2
 """Delay after a failed fetch, in seconds."""
 
-_MOST_LOGGED_FAULTS = 5
+_MAX_LOGGED_FAULTS = 5
 
 
 class ManifestLoop:
     """Watches the platform, fetches from peers and accepts manifests."""
 
     def __init__(
-        self, node: Node, platform: Platform, fetcher: Fetcher, accepted
+        self, node: Node, platform: Platform, fetcher: Fetcher, on_accepted
     ):
         """Initializes the loop.
 
@@ -46,18 +46,18 @@
             node: State of this VM's agent.
             platform: Client of the platform, which publishes manifests.
             fetcher: Fetches manifests from peers.
-            accepted: Called after a manifest has come into force.
+            on_accepted: Called after a manifest has come into force.
         """
         self._node = node
         self._platform = platform
         self._fetcher = fetcher
-        self._accepted = accepted
+        self._on_accepted = on_accepted
         self._wanted = ManifestKey()
         self._sources: dict[str, Vm] = {}
         self._wake = anyio.Event()
-        self._backoff = 0.0
+        self._backoff_s = 0.0
 
-    def wanted(self, key: ManifestKey, vm: Vm) -> None:
+    def note_available(self, key: ManifestKey, vm: Vm) -> None:
         """Records that a peer has a manifest with a greater key.
 
         Args:
@@ -69,7 +69,7 @@
         if key > self._wanted:
             self._sources.clear()
         self._wanted = key
-        if len(self._sources) < MOST_SOURCES:
+        if len(self._sources) < MAX_SOURCES:
             self._sources[vm.name] = vm
         self._wake.set()
 
@@ -93,7 +93,7 @@
     async def _fetch_from(self, vm: Vm, key: ManifestKey) -> None:
         text = await self._fetcher.fetch(vm.address, vm.fetch_port, key)
         if text is None:
-            await anyio.sleep(FETCH_RETRY_S)
+            await anyio.sleep(FETCH_RETRY_DELAY_S)
             return
         if not self._offer(text, vm.name):
             self._node.acceptance.refuse(key)
@@ -105,28 +105,28 @@
         # otherwise put an old manifest in force on a restarted VM.
         while not self._node.membership.fresh:
             await anyio.sleep(0.02)
-        await self._read()
+        await self._read_current()
         while True:
-            if self._watches():
+            if self._is_watcher():
                 await self._watch()
             else:
-                await self._pause()
+                await self._fallback_read()
 
-    def _watches(self) -> bool:
+    def _is_watcher(self) -> bool:
         vms = self._node.membership.vms()
         zone = self._node.settings.vm.zone
         return self._node.name in _readers.watchers(zone, vms)
 
     async def _watch(self) -> None:
         version = self._node.acceptance.key.version
-        found = await self._take(version, _readers.WATCH_S)
+        found = await self._read_platform(version, _readers.WATCH_S)
         if found:
             # A watch only returns newer versions. This read detects that the
             # known version was published again with different content.
             version = self._node.acceptance.key.version
-            await self._take(max(0, version - 1), 0.0)
+            await self._read_platform(max(0, version - 1), 0.0)
 
-    async def _pause(self) -> None:
+    async def _fallback_read(self) -> None:
         """Makes the next fallback read when it is due.
 
         Returns early, without a read, if this VM becomes a watcher.
@@ -135,15 +135,15 @@
         interval = _readers.fallback_interval(fleet, self._node.rng)
         until = anyio.current_time() + interval
         while anyio.current_time() < until:
-            await anyio.sleep(ROLE_CHECK_S)
-            if self._watches():
+            await anyio.sleep(ROLE_CHECK_INTERVAL_S)
+            if self._is_watcher():
                 return
-        await self._read()
+        await self._read_current()
 
-    async def _read(self) -> None:
-        await self._take(0, 0.0)
+    async def _read_current(self) -> None:
+        await self._read_platform(0, 0.0)
 
-    async def _take(self, after: int, wait_s: float) -> bool:
+    async def _read_platform(self, after: int, wait_s: float) -> bool:
         """Reads the platform's manifest and offers it.
 
         Args:
@@ -155,24 +155,24 @@
             Whether the platform answered.
         """
         answer = await self._platform.manifest(after, wait_s)
-        self._note_platform(not isinstance(answer, Err))
+        self._set_platform_up(not isinstance(answer, Err))
         if isinstance(answer, Err):
             await self._back_off()
             return False
-        self._backoff = 0.0
+        self._backoff_s = 0.0
         if answer.ok_value is not None:
             self._offer(answer.ok_value, "platform")
         return True
 
     async def _back_off(self) -> None:
-        least, most = BACKOFF_S
-        self._backoff = min(most, max(least, self._backoff * 2))
-        await anyio.sleep(self._backoff * self._node.rng.uniform(0.7, 1.3))
+        shortest, longest = BACKOFF_RANGE_S
+        self._backoff_s = min(longest, max(shortest, self._backoff_s * 2))
+        await anyio.sleep(self._backoff_s * self._node.rng.uniform(0.7, 1.3))
 
-    def _note_platform(self, up: bool) -> None:
+    def _set_platform_up(self, up: bool) -> None:
         node = self._node
         if up:
-            node.platform_heard_s = anyio.current_time()
+            node.platform_answered_s = anyio.current_time()
         if up != node.platform_up:
             node.platform_up = up
             node.log.write(events.PLATFORM_BACK if up else events.PLATFORM_LOST)
@@ -197,17 +197,17 @@
         parsed = manifest.parse(text)
         if isinstance(parsed, Err):
             node.counters.add(MANIFESTS, ManifestOutcome.INVALID)
-            faults = parsed.err_value[:_MOST_LOGGED_FAULTS]
+            faults = parsed.err_value[:_MAX_LOGGED_FAULTS]
             node.log.write(
                 events.MANIFEST_INVALID,
                 source=source,
                 faults=[str(fault) for fault in faults],
             )
             return False
-        self._decide(parsed.ok_value, text, source)
+        self._offer_parsed(parsed.ok_value, text, source)
         return True
 
-    def _decide(
+    def _offer_parsed(
         self, offered: manifest.Manifest, text: bytes, source: str
     ) -> None:
         node = self._node
@@ -229,4 +229,4 @@
             node.log.write(events.MANIFEST_OLDER, **fields)
         if offer.outcome is ManifestOutcome.ACCEPTED:
             node.log.write(events.MANIFEST_IN_FORCE, **fields)
-            self._accepted()
+            self._on_accepted()
--- a/src/pollenmast/agent/_node.py
+++ b/src/pollenmast/agent/_node.py
@@ -36,7 +36,7 @@
             seconds.
         stopping: Whether a graceful shutdown has begun.
         platform_up: Whether the last call to the platform succeeded.
-        platform_heard_s: Time of the platform's last answer on the event
+        platform_answered_s: Time of the platform's last answer on the event
             loop's clock, in seconds, or None if it has not answered yet.
     """
 
@@ -52,7 +52,7 @@
     started_s: float
     stopping: bool = False
     platform_up: bool = True
-    platform_heard_s: float | None = None
+    platform_answered_s: float | None = None
     _changed: anyio.Event = attrs.field(factory=anyio.Event)
     _urgent: anyio.Event = attrs.field(factory=anyio.Event)
 
@@ -61,7 +61,7 @@
         """This VM's name."""
         return self.settings.vm.name
 
-    def opener(self) -> Opener:
+    def new_opener(self) -> Opener:
         """Returns a new opener.
 
         Each port needs its own, because an opener keeps the state that
@@ -70,7 +70,7 @@
         fleet = self.settings.fleet
         return Opener(fleet.key, fleet.previous_key)
 
-    def notify(self, at_once: bool = False) -> None:
+    def notify_changed(self, at_once: bool = False) -> None:
         """Records that the view sent to the relay has changed.
 
         Args:
@@ -81,22 +81,22 @@
         if at_once:
             self._urgent.set()
 
-    async def changed(
-        self, least_s: float, spacing_s: float, most_s: float
+    async def wait_for_change(
+        self, gather_s: float, min_interval_s: float, max_interval_s: float
     ) -> None:
         """Waits until the next view should be sent to the relay.
 
         Args:
-            least_s: Delay after an urgent change, in seconds; changes within
+            gather_s: Delay after an urgent change, in seconds; changes within
                 it are sent in the same view.
-            spacing_s: Minimum wait without an urgent change, in seconds.
-            most_s: Maximum wait, in seconds.
+            min_interval_s: Minimum wait without an urgent change, in seconds.
+            max_interval_s: Maximum wait, in seconds.
         """
-        with anyio.move_on_after(spacing_s):
+        with anyio.move_on_after(min_interval_s):
             await self._urgent.wait()
-            await anyio.sleep(least_s)
+            await anyio.sleep(gather_s)
         if not self._changed.is_set():
-            with anyio.move_on_after(most_s - spacing_s):
+            with anyio.move_on_after(max_interval_s - min_interval_s):
                 await self._changed.wait()
         self._changed = anyio.Event()
         self._urgent = anyio.Event()
--- a/src/pollenmast/agent/_probe_loop.py
+++ b/src/pollenmast/agent/_probe_loop.py
@@ -12,17 +12,17 @@
 from pollenmast.manifest import Endpoint
 from pollenmast.upstreams._probe import Load, Probe, ProbeFault
 
-ASSIGN_S = 0.5
+ASSIGN_INTERVAL_S = 0.5
 """Interval between checks for changed assignments, in seconds."""
 
-LONGEST_UPTIME_S = 65_535
+MAX_UPTIME_S = 65_535
 """Largest uptime reported, in seconds.
 
 An endpoint this old has warmed up, and greater values would only make reports
 longer.
 """
 
-_Key = tuple[int, str, str, int]
+_ProbeKey = tuple[int, str, str, int]
 
 
 class ProbeLoop:
@@ -31,42 +31,42 @@
     def __init__(self, node: Node, gossip: GossipLoop):
         self._node = node
         self._gossip = gossip
-        self._running: dict[_Key, anyio.CancelScope] = {}
+        self._running: dict[_ProbeKey, anyio.CancelScope] = {}
         self._healthy: dict[tuple[int, str], bool] = {}
-        self._assigned_for: object = None
+        self._assignment_basis: object = None
 
     async def run(self) -> None:
         """Runs until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                self._assign(tasks)
-                await anyio.sleep(ASSIGN_S)
+                self._update_assignments(tasks)
+                await anyio.sleep(ASSIGN_INTERVAL_S)
 
-    def _assign(self, tasks: anyio.abc.TaskGroup) -> None:
+    def _update_assignments(self, tasks: anyio.abc.TaskGroup) -> None:
         vms = self._node.membership.vms()
         in_force = self._node.acceptance.in_force
         basis = (vms, in_force.key if in_force else None)
-        if basis == self._assigned_for:
+        if basis == self._assignment_basis:
             return
-        self._assigned_for = basis
-        due = self._due(vms)
-        for key in [key for key in self._running if key not in due]:
+        self._assignment_basis = basis
+        assigned = self._assigned_endpoints(vms)
+        for key in [key for key in self._running if key not in assigned]:
             self._running.pop(key).cancel()
             self._node.reports.forget_own(key[0], key[1])
-        for key, (number, endpoint) in due.items():
+        for key, (number, endpoint) in assigned.items():
             if key not in self._running:
                 scope = self._running[key] = anyio.CancelScope()
                 tasks.start_soon(self._probe, scope, number, endpoint)
 
-    def _due(self, vms) -> dict[_Key, tuple[int, Endpoint]]:
+    def _assigned_endpoints(self, vms) -> dict[_ProbeKey, tuple[int, Endpoint]]:
         in_force = self._node.acceptance.in_force
         services = in_force.manifest.services if in_force else ()
-        named = {
+        endpoints = {
             (service.number, endpoint.name): endpoint
             for service in services
             for endpoint in service.endpoints
         }
-        self._node.reports.keep_only(set(named))
+        self._node.reports.keep_only(set(endpoints))
         assigned = _probing.assignments(
             services, vms, self._node.settings.vm.zone
         )
@@ -75,7 +75,7 @@
                 number,
                 endpoint,
             )
-            for (number, name), endpoint in named.items()
+            for (number, name), endpoint in endpoints.items()
             if self._node.name in assigned.get((number, name), ())
         }
 
@@ -96,7 +96,7 @@
                 while True:
                     began = anyio.current_time()
                     load = await probe.load(timeout_s)
-                    self._take(number, endpoint.name, load)
+                    self._record(number, endpoint.name, load)
                     # One failed probe does not make an endpoint unhealthy, so
                     # confirm it sooner.
                     wait = interval if load.is_ok() else timeout_s
@@ -104,7 +104,7 @@
             finally:
                 await probe.aclose()
 
-    def _take(
+    def _record(
         self, number: int, name: str, load: Result[Load, ProbeFault]
     ) -> None:
         reports = self._node.reports
@@ -112,14 +112,14 @@
         report = _report(number, name, sequence, load)
         news = reports.own(report, anyio.current_time(), load.is_ok())
         if news is not None:
-            self._gossip.tell(news)
-            if self._note(news.report):
+            self._gossip.queue_report(news)
+            if self._log_health_change(news.report):
                 # An endpoint that leaves must get no new work after a few
                 # seconds, and heartbeats may take longer to reach every VM.
                 self._gossip.send(self._node.membership.push())
-        self._node.notify()
+        self._node.notify_changed()
 
-    def _note(self, report: EndpointReport) -> bool:
+    def _log_health_change(self, report: EndpointReport) -> bool:
         """Logs a change of an endpoint's health.
 
         Returns:
@@ -130,8 +130,10 @@
         self._healthy[key] = report.healthy
         if before == report.healthy:
             return False
-        well = report.healthy
-        event = events.UPSTREAM_HEALTHY if well else events.UPSTREAM_UNHEALTHY
+        healthy = report.healthy
+        event = (
+            events.UPSTREAM_HEALTHY if healthy else events.UPSTREAM_UNHEALTHY
+        )
         self._node.log.write(
             event, service=report.service, endpoint=report.endpoint
         )
@@ -143,15 +145,15 @@
 ) -> EndpointReport:
     if isinstance(load, Err):
         return EndpointReport(number, name, sequence, healthy=False)
-    told = load.ok_value
+    answer = load.ok_value
     return EndpointReport(
         service=number,
         endpoint=name,
         sequence=sequence,
-        healthy=told.accepting,
-        running=told.running,
-        queued=told.queued,
-        connections=told.connections,
-        finished=told.finished,
-        uptime_s=min(int(told.uptime_s), LONGEST_UPTIME_S),
+        healthy=answer.accepting,
+        running=answer.running,
+        queued=answer.queued,
+        connections=answer.connections,
+        finished=answer.finished,
+        uptime_s=min(int(answer.uptime_s), MAX_UPTIME_S),
     )
--- a/src/pollenmast/agent/_program.py
+++ b/src/pollenmast/agent/_program.py
@@ -10,12 +10,12 @@
 from pollenmast.agent._gossip_loop import GossipLoop
 from pollenmast.agent._knowledge import NodeKnowledge
 from pollenmast.agent._link_loop import LinkLoop
-from pollenmast.agent._list_loop import ListLoop
 from pollenmast.agent._manifest_loop import ManifestLoop
 from pollenmast.agent._node import Node, new_node
 from pollenmast.agent._probe_loop import ProbeLoop
 from pollenmast.agent._shutdown import Shutdown
 from pollenmast.agent._standby import Standby
+from pollenmast.agent._vm_list_loop import VmListLoop
 from pollenmast.configuration import HttpPlatform
 from pollenmast.peers._fetch import Fetcher, FetchServer
 from pollenmast.peers._gossip_socket import GossipSocket, bind
@@ -52,16 +52,18 @@
     )
     async with listener:
         udp = bind(vm.address, agent.gossip_port)
-        socket = GossipSocket(udp, node.sealer, node.opener(), node.counters)
+        socket = GossipSocket(
+            udp, node.sealer, node.new_opener(), node.counters
+        )
         server = FetchServer(
             vm.address,
             agent.fetch_port,
             node.sealer,
-            node.opener(),
+            node.new_opener(),
             node.counters,
-            lambda: _text(node),
+            lambda: _manifest_in_force(node),
         )
-        link = Link(node.sealer, node.opener(), node.counters)
+        link = Link(node.sealer, node.new_opener(), node.counters)
         link.dial(vm.address, settings.relay.link_port)
         try:
             return await _Agent(node, socket, link).run(server, listener)
@@ -71,7 +73,7 @@
             udp.close()
 
 
-def _text(node: Node) -> bytes | None:
+def _manifest_in_force(node: Node) -> bytes | None:
     in_force = node.acceptance.in_force
     return in_force.text if in_force else None
 
@@ -85,11 +87,13 @@
             node.settings.platform.port,
             node.counters,
         )
-        fetcher = Fetcher(node.sealer, node.opener(), node.counters)
+        fetcher = Fetcher(node.sealer, node.new_opener(), node.counters)
         self._node = node
-        self._manifests = ManifestLoop(node, platform, fetcher, self._accepted)
-        self._gossip = GossipLoop(node, socket, self._manifests.wanted)
-        self._list = ListLoop(node, platform, self._gossip)
+        self._manifests = ManifestLoop(
+            node, platform, fetcher, self._on_manifest_accepted
+        )
+        self._gossip = GossipLoop(node, socket, self._manifests.note_available)
+        self._list = VmListLoop(node, platform, self._gossip)
         self._probes = ProbeLoop(node, self._gossip)
         self._standby = Standby(node)
         self._link = LinkLoop(node, link, self._gossip, self._standby)
@@ -115,7 +119,7 @@
             for loop in (
                 server.serve,
                 self._gossip.run,
-                self._join,
+                self._join_fleet,
                 self._probes.run,
                 self._link.run,
                 self._standby.run,
@@ -126,18 +130,18 @@
             tasks.cancel_scope.cancel()
         return code
 
-    async def _join(self) -> None:
+    async def _join_fleet(self) -> None:
         """Refreshes from the peers, then starts to follow the platform."""
-        await self._list.start()
+        await self._list.read_first()
         now = anyio.current_time()
         self._gossip.send(self._node.membership.stale(now))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._list.run)
             tasks.start_soon(self._manifests.run)
 
-    def _accepted(self) -> None:
+    def _on_manifest_accepted(self) -> None:
         """Notifies the relay and a few peers of a manifest now in force."""
         membership = self._node.membership
         membership.set_in_force(self._node.acceptance.key)
-        self._node.notify(at_once=True)
+        self._node.notify_changed(at_once=True)
         self._gossip.send(membership.push())
--- a/src/pollenmast/agent/_relay_state.py
+++ b/src/pollenmast/agent/_relay_state.py
@@ -4,7 +4,7 @@
 
 from pollenmast.peers._messages import RelayReport
 
-SILENT_S = 1.5
+REPORT_TIMEOUT_S = 1.5
 """Time without a report after which the relay is considered down, in seconds.
 
 The relay has then missed three reports and is assumed not to forward packets.
@@ -27,7 +27,7 @@
     heard_s: float
     report: RelayReport | None = None
 
-    def hear(self, report: RelayReport, now: float) -> None:
+    def record_report(self, report: RelayReport, now: float) -> None:
         """Records a report.
 
         Args:
@@ -41,11 +41,11 @@
         self.report = report
         self.heard_s = now
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """Records that the link was closed, as it is when the relay exits."""
         self.heard_s = float("-inf")
 
-    def excuse(self, late_s: float) -> None:
+    def extend_deadline(self, suspended_s: float) -> None:
         """Extends the relay's deadline after this process was suspended.
 
         The relay's reports wait in the link during that time. Without the
@@ -53,17 +53,17 @@
         relay is down and take over the relay's ports.
 
         Args:
-            late_s: How long this process was suspended, in seconds.
+            suspended_s: How long this process was suspended, in seconds.
         """
-        self.heard_s += late_s
+        self.heard_s += suspended_s
 
-    def up(self, now: float) -> bool:
+    def is_up(self, now: float) -> bool:
         """Returns whether the relay reports and no report is overdue."""
-        return self.report is not None and not self.silent(now)
+        return self.report is not None and not self.is_overdue(now)
 
-    def silent(self, now: float) -> bool:
+    def is_overdue(self, now: float) -> bool:
         """Returns whether the relay's next report is overdue."""
-        return now - self.heard_s >= SILENT_S
+        return now - self.heard_s >= REPORT_TIMEOUT_S
 
     @property
     def has_manifest(self) -> bool:
--- a/src/pollenmast/agent/_shutdown.py
+++ b/src/pollenmast/agent/_shutdown.py
@@ -16,16 +16,16 @@
 EXIT_CUT = 3
 """Exit code after a second signal, which ends a graceful shutdown."""
 
-CHECK_S = 0.05
+DRAIN_CHECK_INTERVAL_S = 0.05
 """Interval between checks whether the relay has drained, in seconds."""
 
-ORDER_AGAIN_S = 1.0
+DRAIN_RESEND_S = 1.0
 """Interval between drain orders, in seconds.
 
 The order is repeated until the relay reports that it is draining.
 """
 
-FAREWELL_S = 0.2
+FINAL_SEND_S = 0.2
 """Time left for the last messages to be sent, in seconds."""
 
 
@@ -47,19 +47,19 @@
             signal.SIGTERM, signal.SIGINT
         ) as signals:
             await anext(signals)
-            return await self._stop(signals)
+            return await self._shut_down(signals)
 
-    async def _stop(self, signals) -> int:
+    async def _shut_down(self, signals) -> int:
         code = 0
         async with anyio.create_task_group() as tasks:
 
-            async def cut() -> None:
+            async def force_exit() -> None:
                 nonlocal code
                 await anext(signals)
                 code = EXIT_CUT
                 tasks.cancel_scope.cancel()
 
-            tasks.start_soon(cut)
+            tasks.start_soon(force_exit)
             await self._drain()
             tasks.cancel_scope.cancel()
         if code == EXIT_CUT:
@@ -80,20 +80,20 @@
         with anyio.move_on_after(grace_s):
             await self._drain_relay(grace_s)
         self._gossip.send(node.membership.gone())
-        await anyio.sleep(FAREWELL_S)
+        await anyio.sleep(FINAL_SEND_S)
 
     async def _drain_relay(self, grace_s: float) -> None:
         """Waits until the relay has handed over its flows or is down."""
         node = self._node
         ordered_s = None
         until = anyio.current_time() + grace_s
-        while node.relay.up(anyio.current_time()):
+        while node.relay.is_up(anyio.current_time()):
             report = node.relay.report
             if report.draining and report.drained:
                 return
             now = anyio.current_time()
-            overdue = ordered_s is None or now - ordered_s > ORDER_AGAIN_S
+            overdue = ordered_s is None or now - ordered_s > DRAIN_RESEND_S
             if overdue and not report.draining:
                 ordered_s = now
                 await self._link.order_drain(until - now)
-            await anyio.sleep(CHECK_S)
+            await anyio.sleep(DRAIN_CHECK_INTERVAL_S)
--- a/src/pollenmast/agent/_standby.py
+++ b/src/pollenmast/agent/_standby.py
@@ -25,27 +25,27 @@
 from pollenmast.peers._records import Forwarded, pack_forwarded
 from pollenmast.peers._udp import service_socket
 
-TEND_S = 0.2
+CHECK_INTERVAL_S = 0.2
 """Interval between checks of the manifest, fleet and relay, in seconds.
 
 It is no longer than heartbeats take to change them.
 """
 
-BATCH = 64
+BATCH_SIZE = 64
 """Maximum number of datagrams read from one port in a row.
 
 Forwarding one takes some tens of microseconds, so a batch delays heartbeats
 by a few milliseconds at most.
 """
 
-COME_BACK_MS = 1_000
+RETRY_AFTER_MS = 1_000
 """Time after which a refused caller may retry, in milliseconds.
 
 Callers are refused while no VM has a relay, and programs restart within this
 time.
 """
 
-_MOST_DATAGRAM_BYTES = 9_216
+_MAX_DATAGRAM_BYTES = 9_216
 _Address = tuple[str, int]
 
 
@@ -66,11 +66,11 @@
         self._epoll = select.epoll()
         self._ports: dict[int, socket.socket] = {}
         self._services: dict[int, int] = {}
-        self._refused_ports: set[int] = set()
+        self._failed_ports: set[int] = set()
         self._needed = False
-        self._wanted = anyio.Event()
-        self._passed_on = 0
-        self._tended_s = 0.0
+        self._activated = anyio.Event()
+        self._forwarded = 0
+        self._checked_s = 0.0
 
     @property
     def needed(self) -> bool:
@@ -89,75 +89,75 @@
             needed: Whether the relay does not read its callers' packets.
         """
         if needed and not self._needed:
-            self._passed_on = 0
-            self._refused_ports.clear()
-            self._wanted.set()
+            self._forwarded = 0
+            self._failed_ports.clear()
+            self._activated.set()
         self._needed = needed
 
     async def run(self) -> None:
         """Runs until cancelled."""
         try:
             while True:
-                await self._wanted.wait()
-                await self._stand_in()
-                self._wanted = anyio.Event()
+                await self._activated.wait()
+                await self._serve()
+                self._activated = anyio.Event()
         finally:
             self._close_ports()
             self._epoll.close()
 
-    async def _stand_in(self) -> None:
+    async def _serve(self) -> None:
         node = self._node
         node.log.write(events.STANDBY_BEGAN)
         while self._needed:
-            self._tend()
-            with anyio.move_on_after(TEND_S):
+            self._update()
+            with anyio.move_on_after(CHECK_INTERVAL_S):
                 await anyio.wait_readable(self._epoll.fileno())
-            self.pass_on()
+            self.forward_pending()
             await anyio.sleep(0)
         # Forward what arrived before the relay reopened its ports; closing
         # them would discard it.
-        self.pass_on()
+        self.forward_pending()
         self._close_ports()
-        node.log.write(events.STANDBY_ENDED, passed_on=self._passed_on)
+        node.log.write(events.STANDBY_ENDED, passed_on=self._forwarded)
 
-    def _tend(self) -> None:
+    def _update(self) -> None:
         now = anyio.current_time()
-        if self._ports and now - self._tended_s < TEND_S:
+        if self._ports and now - self._checked_s < CHECK_INTERVAL_S:
             return
-        self._tended_s = now
-        self._follow_fleet(now)
+        self._checked_s = now
+        self._update_fleet(now)
         in_force = self._node.acceptance.in_force
         services = in_force.manifest.services if in_force else ()
         for service in services:
             if service.port not in self._ports:
-                self._open(service)
+                self._open_port(service)
         for port in set(self._ports) - {each.port for each in services}:
-            self._close(port)
+            self._close_port(port)
 
-    def _follow_fleet(self, now: float) -> None:
+    def _update_fleet(self, now: float) -> None:
         vms = self._node.membership.vms()
         if vms != self._vms:
             self._vms = vms
             self._fleet.update(vms, now)
 
-    def _open(self, service: Service) -> None:
+    def _open_port(self, service: Service) -> None:
         address = self._node.settings.vm.address
         try:
             port = service_socket(address, service.port)
         except OSError as error:
-            self._note_refused(service, error)
+            self._log_bind_failure(service, error)
             return
         self._ports[service.port] = port
         self._services[port.fileno()] = service.port
         self._epoll.register(port.fileno(), select.EPOLLIN)
 
-    def _note_refused(self, service: Service, error: OSError) -> None:
+    def _log_bind_failure(self, service: Service, error: OSError) -> None:
         """Logs that a port cannot be bound, once until the next activation.
 
         Binding is retried at every check.
         """
-        if service.port not in self._refused_ports:
-            self._refused_ports.add(service.port)
+        if service.port not in self._failed_ports:
+            self._failed_ports.add(service.port)
             self._node.log.write(
                 events.STANDBY_FAILED,
                 service=service.name,
@@ -167,29 +167,29 @@
 
     def _close_ports(self) -> None:
         for port in list(self._ports):
-            self._close(port)
+            self._close_port(port)
 
-    def _close(self, port: int) -> None:
+    def _close_port(self, port: int) -> None:
         sock = self._ports.pop(port)
         del self._services[sock.fileno()]
         self._epoll.unregister(sock.fileno())
         sock.close()
 
-    def pass_on(self) -> None:
+    def forward_pending(self) -> None:
         """Forwards a batch of datagrams from each readable port."""
         for number, _ in self._epoll.poll(0):
             port = self._services[number]
-            self._read(self._ports[port], port)
+            self._read_batch(self._ports[port], port)
 
-    def _read(self, sock: socket.socket, port: int) -> None:
-        for _ in range(BATCH):
+    def _read_batch(self, sock: socket.socket, port: int) -> None:
+        for _ in range(BATCH_SIZE):
             try:
-                data, caller = sock.recvfrom(_MOST_DATAGRAM_BYTES)
+                data, caller = sock.recvfrom(_MAX_DATAGRAM_BYTES)
             except OSError:
                 return
-            self._take(sock, port, data, caller)
+            self._route(sock, port, data, caller)
 
-    def _take(
+    def _route(
         self, sock: socket.socket, port: int, data: bytes, caller: _Address
     ) -> None:
         ip, source_port = caller[:2]
@@ -210,7 +210,7 @@
         except OSError:
             counters.add(c.DROPS, c.DropReason.SEND_FAILED)
             return
-        self._passed_on += 1
+        self._forwarded += 1
         counters.add(c.FORWARDS, c.ForwardReason.STANDBY)
 
     def _refuse(
@@ -222,7 +222,7 @@
         from pollenmast.agent import _refusing
 
         counters = self._node.counters
-        answer = _refusing.answer(data, COME_BACK_MS)
+        answer = _refusing.refuse(data, RETRY_AFTER_MS)
         if answer.is_err():
             counters.add(c.DROPS, answer.unwrap_err())
             return
--- a/src/pollenmast/agent/_list_loop.py
+++ b/src/pollenmast/agent/_vm_list_loop.py
@@ -8,10 +8,10 @@
 from pollenmast.configuration import Platform
 from pollenmast.decisions import _readers
 
-ALONE_S = 2.0
+ALONE_INTERVAL_S = 2.0
 """Interval between reads while no other VM is known, in seconds."""
 
-START_WAIT_S = 2.0
+FIRST_READ_TIMEOUT_S = 2.0
 """Maximum wait for the first list of VMs, in seconds.
 
 A starting VM asks its peers before it follows the platform, and the list names
@@ -19,7 +19,7 @@
 """
 
 
-class ListLoop:
+class VmListLoop:
     """Passes the listed VMs to the membership protocol."""
 
     def __init__(self, node: Node, platform: Platform, gossip: GossipLoop):
@@ -33,9 +33,9 @@
             await self._read()
             await anyio.sleep(self._interval())
 
-    async def start(self) -> None:
+    async def read_first(self) -> None:
         """Reads the list once, so that the first refresh knows the peers."""
-        with anyio.move_on_after(START_WAIT_S):
+        with anyio.move_on_after(FIRST_READ_TIMEOUT_S):
             await self._read()
 
     async def _read(self) -> None:
@@ -49,5 +49,5 @@
     def _interval(self) -> float:
         fleet = len(self._node.membership.vms())
         if fleet == 1:
-            return ALONE_S
+            return ALONE_INTERVAL_S
         return _readers.fallback_interval(fleet, self._node.rng)
--- a/tests/agent_gossip_test.py
+++ b/tests/agent_gossip_test.py
@@ -6,7 +6,7 @@
 from parameterized import parameterized
 from testtools import TestCase
 
-from pollenmast.agent._gossip_loop import BURST_BYTES, GossipLoop
+from pollenmast.agent._gossip_loop import GOSSIP_BURST_BYTES, GossipLoop
 from pollenmast.agent._node import new_node
 from pollenmast.counters import CONTROL_BYTES
 from pollenmast.decisions._heartbeats import Send
@@ -21,8 +21,8 @@
 
 PEER = vm(4)
 SOURCE = (PEER.address, PEER.gossip_port)
-NEWS = ProbeNews(7, EndpointReport(1, "registry-1", 9, True))
-PING = Gossip(Act.PING, 1, PEER, "vm-0", probes=(NEWS,))
+PROBE_NEWS = ProbeNews(7, EndpointReport(1, "registry-1", 9, True))
+PING = Gossip(Act.PING, 1, PEER, "vm-0", probes=(PROBE_NEWS,))
 
 
 class FakeSocket:
@@ -30,7 +30,7 @@
 
     def __init__(self):
         self.sent = []
-        self.came, self._in = trio.open_memory_channel(9)
+        self._incoming, self._in = trio.open_memory_channel(9)
 
     def send(self, message, to) -> int:
         """Records a message and returns its size."""
@@ -58,14 +58,14 @@
     return trio.run(main, clock=clock)
 
 
-def _take(socket, message) -> None:
-    socket.came.send_nowait((message, SOURCE))
+def _deliver(socket, message) -> None:
+    socket._incoming.send_nowait((message, SOURCE))
 
 
-class NewsTest(TestCase):
+class UpdatesTest(TestCase):
     """Updates go to peers that lack them, within the byte budget."""
 
-    def test_no_echo(self):
+    def test_ack_does_not_return_reports(self):
         """An ack does not carry its ping's reports back to their sender.
 
         When it did, half of all endpoint reports went back to their sender,
@@ -73,7 +73,7 @@
         """
 
         async def script(loop, socket):
-            _take(socket, PING)
+            _deliver(socket, PING)
             await trio.sleep(0.01)
             loop.send([Send(SOURCE, Act.PING, 2, "vm-4")])
 
@@ -83,23 +83,23 @@
             for act in (Act.ACK, Act.PING)
         }
         self.assertEqual([()], probes[Act.ACK])
-        self.assertEqual([(NEWS,)], probes[Act.PING])
+        self.assertEqual([(PROBE_NEWS,)], probes[Act.PING])
 
-    def test_known_is_not_told_again(self):
+    def test_known_report_is_not_forwarded_again(self):
         """A report that is received repeatedly is forwarded as one."""
 
         async def script(loop, socket):
             for sequence in range(9):
-                _take(socket, attrs.evolve(PING, sequence=sequence))
+                _deliver(socket, attrs.evolve(PING, sequence=sequence))
                 await trio.sleep(0.01)
             for sequence in range(9):
                 loop.send([Send(SOURCE, Act.PING, sequence, "vm-4")])
 
         sent, _, _ = _run(script)
-        told = sum(len(message.probes) for message, _ in sent)
-        self.assertEqual(2, told)  # Once per log2 of the fleet (2 VMs).
+        report_count = sum(len(message.probes) for message, _ in sent)
+        self.assertEqual(2, report_count)  # Once per log2 of the fleet (2 VMs).
 
-    def test_budget(self):
+    def test_burst_is_limited(self):
         """A burst of updates is limited; heartbeats are sent without them.
 
         Without the limit, a network cut that removes half the members of a
@@ -110,19 +110,19 @@
             push = Send(SOURCE, Act.NEWS, members=tuple(map(vm, range(8))))
             for _ in range(200):
                 loop.send([push])
-            loop.tell(NEWS)
+            loop.queue_report(PROBE_NEWS)
             loop.send([Send(SOURCE, Act.PING, 2, "vm-4")])
 
         sent, _, _ = _run(script)
         size = sum(len(_gossip.encode(message)) + 30 for message, _ in sent)
-        self.assertLess(size, BURST_BYTES + 1200)
+        self.assertLess(size, GOSSIP_BURST_BYTES + 1200)
         self.assertEqual((Act.PING, ()), (sent[-1][0].act, sent[-1][0].probes))
 
-    def test_newer_manifest_is_wanted(self):
+    def test_newer_manifest_is_requested(self):
         """Any message from a peer shows that it has a greater manifest."""
 
         async def script(loop, socket):
-            _take(socket, attrs.evolve(PING, version=3, digest=b"d" * 16))
+            _deliver(socket, attrs.evolve(PING, version=3, digest=b"d" * 16))
             await trio.sleep(0.01)
 
         _, wanted, node = _run(script)
@@ -146,14 +146,14 @@
             loop._node.membership._own = long_vm(1)
             for number in range(60):
                 name = f"e-{number}".ljust(length, "x")
-                report = attrs.evolve(NEWS.report, endpoint=name)
-                loop.tell(ProbeNews(number, report))
+                report = attrs.evolve(PROBE_NEWS.report, endpoint=name)
+                loop.queue_report(ProbeNews(number, report))
                 member = long_vm(number + 10)
                 size = _gossip.member_size(member)
                 loop._members.add(member.name, member, size)
             target = long_vm(9)
-            told = (target,)
-            loop.send([Send(SOURCE, Act.PING, 2, target.name, told)])
+            members = (target,)
+            loop.send([Send(SOURCE, Act.PING, 2, target.name, members)])
 
         sent, _, _ = _run(script)
         size = len(_gossip.encode(sent[0][0]))
--- a/tests/agent_group.py
+++ b/tests/agent_group.py
@@ -26,7 +26,7 @@
 REPORT = RelayReport(0, "", True, False, False, 5, 0, 0, (), ())
 
 
-class NoWire:
+class DiscardingSocket:
     """A UDP socket that discards every datagram."""
 
     def sendto(self, data, to):
@@ -39,14 +39,14 @@
 
     Attributes:
         report: Report sent twice a second, or None to send none.
-        taken: Messages received from the agent, with their times.
+        received: Messages received from the agent, with their times.
         explains: Whether the relay answers explanation queries.
         connected: Whether the link is connected.
     """
 
     def __init__(self):
         self.report = REPORT
-        self.taken = []
+        self.received = []
         self.explains = True
         self.connected = True
         self._changed = trio.Event()
@@ -54,7 +54,7 @@
 
     async def send(self, message) -> bool:
         """Receives a message from the agent."""
-        self.taken.append((trio.current_time(), message))
+        self.received.append((trio.current_time(), message))
         if isinstance(message, ExplainQuery) and self.explains:
             answer = ExplainAnswer(message.identifier, ("why",))
             self._out.send_nowait(answer)
@@ -71,7 +71,7 @@
         await self._changed.wait()
         self._changed = trio.Event()
 
-    def die(self) -> None:
+    def kill(self) -> None:
         """Stops as a killed process does: its connections are closed."""
         self.report = None
         self.connected = False
@@ -92,7 +92,9 @@
 
     def views(self) -> list[tuple[float, FleetView]]:
         """Returns the views received, with their times."""
-        return [each for each in self.taken if isinstance(each[1], FleetView)]
+        return [
+            each for each in self.received if isinstance(each[1], FleetView)
+        ]
 
 
 class Agent:
@@ -105,7 +107,7 @@
         self.node = new_node(settings, LOG, trio.current_time())
         key = settings.fleet.key
         socket = GossipSocket(
-            NoWire(), Sealer("vm-0", key), Opener(key), Counters()
+            DiscardingSocket(), Sealer("vm-0", key), Opener(key), Counters()
         )
         self.gossip = GossipLoop(self.node, socket, lambda key, vm: None)
         self.relay = FakeRelay()
@@ -114,7 +116,7 @@
             self.node, self.relay, self.gossip, self.standby
         )
 
-    async def beat(self) -> None:
+    async def tick_membership(self) -> None:
         """Runs the membership protocol without a network."""
         while True:
             now = trio.current_time()
@@ -126,7 +128,7 @@
         now = trio.current_time()
         self.node.acceptance.offer(parse(data).unwrap(), data, now)
         self.node.membership.set_in_force(self.node.acceptance.key)
-        self.node.notify(at_once=True)
+        self.node.notify_changed(at_once=True)
 
 
 def run(script):
@@ -142,7 +144,11 @@
     async def main():
         agent = Agent()
         async with trio.open_nursery() as nursery:
-            for task in (agent.relay.run, agent.link.run, agent.beat):
+            for task in (
+                agent.relay.run,
+                agent.link.run,
+                agent.tick_membership,
+            ):
                 nursery.start_soon(task)
             await script(agent)
             nursery.cancel_scope.cancel()
--- a/tests/agent_link_test.py
+++ b/tests/agent_link_test.py
@@ -14,7 +14,7 @@
 class ViewTest(TestCase):
     """Content and timing of the views sent to the relay."""
 
-    def test_each_second(self):
+    def test_lease_renewal(self):
         """Views are sent without changes, to renew the relay's lease."""
 
         async def script(agent):
@@ -25,19 +25,19 @@
         self.assertLessEqual(max(gaps), 1.1)
         self.assertGreater(min(gaps), 0.9)
 
-    def test_load_is_coalesced(self):
+    def test_load_changes_are_coalesced(self):
         """100 load changes a second cause about four views a second."""
 
         async def script(agent):
             await trio.sleep(2.0)
-            agent.relay.taken.clear()
+            agent.relay.received.clear()
             for _ in range(1000):
-                agent.node.notify()
+                agent.node.notify_changed()
                 await trio.sleep(0.01)
 
         self.assertLess(len(run(script).relay.views()), 45)
 
-    def test_urgent_is_told_at_once(self):
+    def test_urgent_change_is_sent_at_once(self):
         """A change that moves flows does not wait for the minimum interval.
 
         When a VM dies, packets are lost until the relay has the new view.
@@ -47,15 +47,15 @@
         async def script(agent):
             await trio.sleep(2.0)
             now = trio.current_time()
-            agent.relay.taken.clear()
-            agent.node.notify(at_once=True)
+            agent.relay.received.clear()
+            agent.node.notify_changed(at_once=True)
             await trio.sleep(0.2)
             spent.append(agent.relay.views()[0][0] - now)
 
         run(script)
         self.assertLess(spent[0], 0.05)
 
-    def test_manifest_until_in_force(self):
+    def test_manifest_is_sent_until_in_force(self):
         """The manifest is not sent again once the relay reports it."""
 
         async def script(agent):
@@ -72,7 +72,7 @@
         sent = [view for _, view in views if view.manifest is not None]
         self.assertEqual([text(3)], [view.manifest for view in sent])
 
-    def test_new_relay_gets_the_manifest(self):
+    def test_manifest_is_sent_again_to_new_relay(self):
         """The manifest is sent again to a relay that reports none."""
 
         async def script(agent):
@@ -84,7 +84,7 @@
         sent = [at for at, view in views if view.manifest is not None]
         self.assertGreaterEqual(len(sent), 2)
 
-    def test_stale_after_a_pause(self):
+    def test_view_after_suspension_is_not_fresh(self):
         """The first view after the VM was suspended is not marked fresh.
 
         Otherwise the relay would open flows based on the state from before
@@ -137,7 +137,7 @@
 
         async def script(agent):
             await trio.sleep(2.0)
-            agent.relay.die()
+            agent.relay.kill()
             await trio.sleep(0.05)
             seen.append(agent.node.membership.own.relay_up)
             seen.append(agent.standby.needed)
@@ -156,7 +156,7 @@
 
         async def script(agent):
             await trio.sleep(2.0)
-            agent.relay.die()
+            agent.relay.kill()
             await trio.sleep(1.0)
             agent.relay.restart()
             await trio.sleep(1.0)
@@ -168,7 +168,7 @@
         run(script)
         self.assertEqual([True, False], seen)
 
-    def test_agent_starts_alone(self):
+    def test_agent_starts_without_relay(self):
         """An agent that starts without a relay activates the standby.
 
         It waits for the first report as long as for any other, since a
@@ -186,7 +186,7 @@
         run(script)
         self.assertEqual([False, True], seen)
 
-    def test_paused_agent(self):
+    def test_suspended_agent(self):
         """An agent that was suspended does not consider its relay down.
 
         The relay's reports wait in the link during that time. An agent that
--- a/tests/agent_manifest_test.py
+++ b/tests/agent_manifest_test.py
@@ -126,7 +126,7 @@
             loop = ManifestLoop(node, platform, fetcher, lambda: None)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(loop.run)
-                nursery.start_soon(self._beat, node)
+                nursery.start_soon(self._tick_membership, node)
                 await script(node, loop)
                 nursery.cancel_scope.cancel()
             return node
@@ -134,7 +134,7 @@
         clock = trio.testing.MockClock(autojump_threshold=0)
         return trio.run(main, clock=clock)
 
-    async def _beat(self, node: Node) -> None:
+    async def _tick_membership(self, node: Node) -> None:
         # No peer answers, so the first refresh ends by its timeout.
         while True:
             node.membership.tick(trio.current_time())
@@ -152,7 +152,7 @@
         async def script(node, loop):
             await trio.sleep(0.2)
             self.assertEqual(0, platform.calls)
-            loop.wanted(key(text(7)), PEER)
+            loop.note_available(key(text(7)), PEER)
             await trio.sleep(4.0)
 
         node = self._run(platform, fetcher, script)
@@ -164,7 +164,7 @@
         fetcher = FakeFetcher(**{PEER_KEY: text(7)})
 
         async def script(node, loop):
-            loop.wanted(key(text(7)), PEER)
+            loop.note_available(key(text(7)), PEER)
             await trio.sleep(0.1)
 
         node = self._run(FakePlatform(None), fetcher, script)
@@ -175,8 +175,8 @@
         fetcher = FakeFetcher(**{PEER_KEY: text(7), "127_0_1_6": None})
 
         async def script(node, loop):
-            loop.wanted(key(text(7)), PEER)
-            loop.wanted(key(text(7)), vm(5))
+            loop.note_available(key(text(7)), PEER)
+            loop.note_available(key(text(7)), vm(5))
             await trio.sleep(1.0)
 
         node = self._run(FakePlatform(None), fetcher, script)
@@ -206,7 +206,7 @@
             ("no_json", b"\xff\x00", 5, ManifestOutcome.INVALID),
         ]
     )
-    def test_refused_whole(self, _, offered, version, outcome):
+    def test_rejected_manifest(self, _, offered, version, outcome):
         """An older or invalid manifest is rejected and counted.
 
         The one in force remains.
@@ -220,8 +220,8 @@
         self.assertEqual(version, node.acceptance.key.version)
         self.assertEqual(1, node.counters.value(MANIFESTS, outcome))
 
-    def test_published_again_with_other_content(self):
-        """A version is published twice with different content.
+    def test_republished_with_different_content(self):
+        """Two pipelines publish version 5 with different content.
 
         A watch does not return the second manifest. Every VM must end up with
         the same content, whichever it saw first.
@@ -262,7 +262,7 @@
         self._run(platform, FakeFetcher(), script)
         self.assertEqual([5, 6], seen)
 
-    def test_dead_platform_is_asked_rarely(self):
+    def test_retries_to_failed_platform_are_spaced(self):
         """Retries against a platform that is down are seconds apart.
 
         A fleet that retried without delay would keep it down.
--- a/tests/agent_probe_test.py
+++ b/tests/agent_probe_test.py
@@ -16,19 +16,19 @@
 from tests.membership_group import vm
 from tests.upstreams_probe_test import LOAD
 
-WELL = Ok(Response(200, json.dumps(LOAD).encode()))
-DOWN = Err(HttpFault.UNREACHABLE)
+HEALTHY = Ok(Response(200, json.dumps(LOAD).encode()))
+UNREACHABLE = Err(HttpFault.UNREACHABLE)
 
 
 class FakeGossip:
     """Records the reports queued for peers."""
 
     def __init__(self):
-        self.told = []
+        self.queued = []
 
-    def tell(self, news) -> None:
+    def queue_report(self, news) -> None:
         """Records a report."""
-        self.told.append(news)
+        self.queued.append(news)
 
     def send(self, sends) -> None:
         """Discards messages."""
@@ -40,11 +40,11 @@
     def setUp(self):
         """Patches the HTTP client to answer every probe with `self.answer`."""
         super().setUp()
-        self.asked = []
-        self.answer = WELL
+        self.probed_at = []
+        self.answer = HEALTHY
 
         async def get(connection, target, timeout_s):
-            self.asked.append(trio.current_time())
+            self.probed_at.append(trio.current_time())
             return self.answer
 
         self.patch(Connection, "get", get)
@@ -58,39 +58,39 @@
                 nursery.start_soon(ProbeLoop(node, gossip).run)
                 await script(node)
                 nursery.cancel_scope.cancel()
-            return node, gossip.told
+            return node, gossip.queued
 
         clock = trio.testing.MockClock(autojump_threshold=0)
         return trio.run(main, clock=clock)
 
     def _gaps(self) -> set[float]:
-        pairs = zip(self.asked, self.asked[1:], strict=False)
+        pairs = zip(self.probed_at, self.probed_at[1:], strict=False)
         return {round(b - a, 3) for a, b in pairs}
 
-    def test_pace(self):
+    def test_probe_interval(self):
         """A healthy endpoint is probed every second by each of two probers."""
 
         async def script(node):
             await trio.sleep(20)
 
-        _, told = self._run(script)
+        _, queued = self._run(script)
         self.assertEqual({1.0}, self._gaps())
-        self.assertLess(len(told), 12)  # Every 2 s while nothing changes.
+        self.assertLess(len(queued), 12)  # Every 2 s while nothing changes.
 
-    def test_failure(self):
+    def test_failed_endpoint(self):
         """An endpoint is unhealthy after two failures half a second apart."""
 
         async def script(node):
             await trio.sleep(5)
-            self.asked.clear()
-            self.answer = DOWN
+            self.probed_at.clear()
+            self.answer = UNREACHABLE
             await trio.sleep(1.6)
 
-        node, told = self._run(script)
+        node, queued = self._run(script)
         self.assertEqual({0.5}, self._gaps())
-        self.assertFalse(told[-1].report.healthy)
+        self.assertFalse(queued[-1].report.healthy)
 
-    def test_given_away(self):
+    def test_reassigned_endpoint(self):
         """Probes stop when the endpoint is reassigned to VMs that joined."""
 
         async def script(node):
@@ -99,13 +99,13 @@
             for number in range(3, 90, 3):
                 node.membership._merge(vm(number), now, Why.JOINED)
             await trio.sleep(1)
-            self.asked.clear()
+            self.probed_at.clear()
             await trio.sleep(10)
 
         self._run(script)
-        self.assertEqual([], self.asked)
+        self.assertEqual([], self.probed_at)
 
-    def test_gone_from_the_manifest(self):
+    def test_endpoint_removed_from_manifest(self):
         """An endpoint removed from the manifest is no longer probed."""
 
         async def script(node):
@@ -113,9 +113,9 @@
             _accept(node, text(2, "e-2"))
             await trio.sleep(3)
 
-        node, told = self._run(script)
-        self.assertEqual("e-2", told[-1].report.endpoint)
-        (report,) = node.reports.view(self.asked[-1])
+        node, queued = self._run(script)
+        self.assertEqual("e-2", queued[-1].report.endpoint)
+        (report,) = node.reports.view(self.probed_at[-1])
         self.assertEqual("e-2", report.endpoint)
 
 
--- a/tests/agent_refusing_test.py
+++ b/tests/agent_refusing_test.py
@@ -6,37 +6,37 @@
 from pollenmast.agent import _refusing
 from standins import _quic
 
-_TO = ("127.0.0.1", 1)
-_FROM = ("127.0.0.1", 2)
-_MS = 1_000
+_SERVER_ADDRESS = ("127.0.0.1", 1)
+_CLIENT_ADDRESS = ("127.0.0.1", 2)
+_RETRY_AFTER_MS = 1_000
 
 
 def _client() -> connection.QuicConnection:
     client = connection.QuicConnection(
         configuration=_quic.client_configuration()
     )
-    client.connect(_TO, now=0.0)
+    client.connect(_SERVER_ADDRESS, now=0.0)
     return client
 
 
-def _sent(end: connection.QuicConnection) -> list[bytes]:
+def _datagrams_to_send(end: connection.QuicConnection) -> list[bytes]:
     return [data for data, _ in end.datagrams_to_send(now=0.0)]
 
 
-def _ending(end: connection.QuicConnection) -> events.ConnectionTerminated:
+def _termination(end: connection.QuicConnection) -> events.ConnectionTerminated:
     return end._close_event
 
 
-class AnswerTest(TestCase):
+class RefusalTest(TestCase):
     """A caller accepts a refusal only if none of its requests may have run."""
 
     def test_first_flight(self):
         """A new caller is refused at once and told when to retry."""
         client = _client()
-        (first,) = _sent(client)
-        answer = _refusing.answer(first, _MS).unwrap()
-        client.receive_datagram(answer, _TO, now=0.0)
-        self.assertIn("retry after 1000 ms", _ending(client).reason_phrase)
+        (first,) = _datagrams_to_send(client)
+        answer = _refusing.refuse(first, _RETRY_AFTER_MS).unwrap()
+        client.receive_datagram(answer, _SERVER_ADDRESS, now=0.0)
+        self.assertIn("retry after 1000 ms", _termination(client).reason_phrase)
 
     def test_second_flight(self):
         """All relays fail between the two flights of a caller's handshake.
@@ -51,12 +51,12 @@
                 client.original_destination_connection_id
             ),
         )
-        for data in _sent(client):
-            server.receive_datagram(data, _FROM, now=0.0)
-        for data in _sent(server):
-            client.receive_datagram(data, _TO, now=0.0)
-        second = _sent(client)[0]
-        answer = _refusing.answer(second, _MS)
+        for data in _datagrams_to_send(client):
+            server.receive_datagram(data, _CLIENT_ADDRESS, now=0.0)
+        for data in _datagrams_to_send(server):
+            client.receive_datagram(data, _SERVER_ADDRESS, now=0.0)
+        second = _datagrams_to_send(client)[0]
+        answer = _refusing.refuse(second, _RETRY_AFTER_MS)
         if answer.is_ok():
-            client.receive_datagram(answer.unwrap(), _TO, now=0.0)
-        self.assertIsNone(_ending(client))
+            client.receive_datagram(answer.unwrap(), _SERVER_ADDRESS, now=0.0)
+        self.assertIsNone(_termination(client))
--- a/tests/agent_shutdown_test.py
+++ b/tests/agent_shutdown_test.py
@@ -14,7 +14,7 @@
 class ShutdownTest(TestCase):
     """A graceful shutdown waits for the relay, up to the grace period."""
 
-    def _stop(self, drains_after_s: float | None) -> tuple:
+    def _run_shutdown(self, drains_after_s: float | None) -> tuple:
         outcome = []
 
         async def script(agent):
@@ -38,19 +38,19 @@
         agent = run(script)
         orders = [
             message
-            for _, message in agent.relay.taken
+            for _, message in agent.relay.received
             if isinstance(message, DrainOrder)
         ]
         return (*outcome, len(orders))
 
     def test_drained(self):
         """The agent exits soon after its relay has handed over all flows."""
-        spent, state, orders = self._stop(2.0)
+        spent, state, orders = self._run_shutdown(2.0)
         self.assertTrue(2.0 < spent < 3.0, spent)
         self.assertEqual((VmState.DEAD, 1), (state, orders))
 
     def test_never_drained(self):
         """The agent exits after the grace period if a flow never moves."""
-        spent, state, _ = self._stop(None)
+        spent, state, _ = self._run_shutdown(None)
         self.assertTrue(5.0 < spent < 5.5, spent)
         self.assertEqual(VmState.DEAD, state)
--- a/tests/agent_standby_test.py
+++ b/tests/agent_standby_test.py
@@ -21,7 +21,7 @@
 from tests.agent_manifest_test import LOG, SETTINGS, text
 
 _PORT = 4001
-_ENOUGH_S = 10
+_TIMEOUT_S = 10
 _KEY = SETTINGS.fleet.key
 
 
@@ -37,7 +37,7 @@
     return node
 
 
-class _Place:
+class _Environment:
     """A VM's standby and relay port, another VM's relay, and a caller."""
 
     def __init__(self, alone: bool = False):
@@ -62,46 +62,46 @@
         """Sends a caller's datagram to the service's port."""
         self.caller.sendto(data, (self.address, _PORT))
 
-    async def at_peer(self):
+    async def received_by_peer(self):
         """Returns the next envelope sent to the other VM's relay."""
-        data = await _received(self.peer)
+        data = await _receive(self.peer)
         return self.opener.open(data, anyio.current_time()).unwrap()
 
-    async def begun(self) -> None:
+    async def activate(self) -> None:
         """Activates the standby and waits until its ports are open."""
         self.standby.set_needed(True)
         while not self.standby.ports:
             await anyio.sleep(0.01)
 
-    async def ended(self) -> None:
+    async def deactivate(self) -> None:
         """Deactivates the standby and waits until its ports are closed."""
         self.standby.set_needed(False)
         while self.standby.ports:
             await anyio.sleep(0.01)
 
 
-async def _received(sock) -> bytes:
-    with anyio.fail_after(_ENOUGH_S):
+async def _receive(sock) -> bytes:
+    with anyio.fail_after(_TIMEOUT_S):
         await anyio.wait_readable(sock)
     return sock.recv(9216)
 
 
-def _play(script, alone: bool = False) -> Node:
+def _run(script, alone: bool = False) -> Node:
     async def main() -> Node:
-        place = _Place(alone)
+        env = _Environment(alone)
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(place.standby.run)
-                await script(place)
+                tasks.start_soon(env.standby.run)
+                await script(env)
                 tasks.cancel_scope.cancel()
         finally:
-            place.close()
-        return place.node
+            env.close()
+        return env.node
 
     return anyio.run(main)
 
 
-class PassOnTest(TestCase):
+class ForwardingTest(TestCase):
     """Every datagram of the fabric is read while the agent runs."""
 
     @parameterized.expand(
@@ -115,15 +115,15 @@
         and handshake.
         """
 
-        async def script(place):
-            await place.begun()
-            place.send(data)
-            envelope = await place.at_peer()
+        async def script(env):
+            await env.activate()
+            env.send(data)
+            envelope = await env.received_by_peer()
             forwarded = unpack_forwarded(envelope.body).unwrap()
             self.assertEqual(Kind.FORWARD, envelope.kind)
             self.assertEqual(sender_id(standby_name("vm-0")), envelope.sender)
             self.assertEqual(
-                (_PORT, *place.caller.getsockname(), 1, data),
+                (_PORT, *env.caller.getsockname(), 1, data),
                 (
                     forwarded.service_port,
                     forwarded.ip,
@@ -132,22 +132,22 @@
                     forwarded.data,
                 ),
             )
-            self.assertRaises(BlockingIOError, place.relay.recv, 1)
+            self.assertRaises(BlockingIOError, env.relay.recv, 1)
 
-        node = _play(script)
+        node = _run(script)
         reason = c.ForwardReason.STANDBY
         self.assertEqual(1, node.counters.value(c.FORWARDS, reason))
 
-    def test_relay_wakes(self):
+    def test_relay_resumes(self):
         """A relay that resumes receives its flows' packets again."""
 
-        async def script(place):
-            await place.begun()
-            await place.ended()
-            place.send(b"after")
-            self.assertEqual(b"after", await _received(place.relay))
+        async def script(env):
+            await env.activate()
+            await env.deactivate()
+            env.send(b"after")
+            self.assertEqual(b"after", await _receive(env.relay))
 
-        _play(script)
+        _run(script)
 
     def test_relay_restarts(self):
         """A new relay can open the port while the agent still has it open.
@@ -156,35 +156,35 @@
         agent, or failed to open the port, the VM would stay without a relay.
         """
 
-        async def script(place):
-            await place.begun()
-            place.relay.close()
-            place.relay = service_socket(place.address, _PORT)
-            place.send(b"to the new one")
-            self.assertEqual(b"to the new one", await _received(place.relay))
+        async def script(env):
+            await env.activate()
+            env.relay.close()
+            env.relay = service_socket(env.address, _PORT)
+            env.send(b"to the new one")
+            self.assertEqual(b"to the new one", await _receive(env.relay))
 
-        _play(script)
+        _run(script)
 
-    def test_port_in_use(self):
+    def test_port_bound_by_other_program(self):
         """The agent binds a port later if another program has it open.
 
         The other program does not share the port. The agent continues to run
         and opens the port as soon as it is free.
         """
 
-        async def script(place):
-            place.relay.close()
-            place.relay = udp_socket(place.address, _PORT)
-            place.standby.set_needed(True)
+        async def script(env):
+            env.relay.close()
+            env.relay = udp_socket(env.address, _PORT)
+            env.standby.set_needed(True)
             await anyio.sleep(0.05)
-            self.assertEqual((), place.standby.ports)
-            place.relay.close()
-            await place.begun()
+            self.assertEqual((), env.standby.ports)
+            env.relay.close()
+            await env.activate()
 
-        _play(script)
+        _run(script)
 
 
-class RefuseTest(TestCase):
+class RefusalTest(TestCase):
     """Callers are refused while no VM has a relay, if nothing has run."""
 
     def test_new_flow(self):
@@ -193,13 +193,13 @@
         Otherwise it would send its Initial again until its library gives up.
         """
 
-        async def script(place):
-            await place.begun()
-            place.send(initial("c1"))
-            answer = read_packet(await _received(place.caller)).unwrap()
+        async def script(env):
+            await env.activate()
+            env.send(initial("c1"))
+            answer = read_packet(await _receive(env.caller)).unwrap()
             self.assertEqual(PacketType.INITIAL, answer.type)
 
-        node = _play(script, alone=True)
+        node = _run(script, alone=True)
         reason = c.RefusalReason.NO_RELAY
         self.assertEqual(1, node.counters.value(c.REFUSALS, reason))
 
@@ -215,20 +215,20 @@
             ("empty", b"", c.DropReason.EMPTY),
         ]
     )
-    def test_may_have_run(self, _, data, reason):
+    def test_not_refused_if_it_may_have_run(self, _, data, reason):
         """A datagram is not refused if its flow's request may have run.
 
         A caller that is told that nothing ran would submit it again. Datagrams
         that are not a valid first packet are not refused either.
         """
 
-        async def script(place):
-            await place.begun()
-            place.send(data)
-            counters = place.node.counters
-            with anyio.fail_after(_ENOUGH_S):
+        async def script(env):
+            await env.activate()
+            env.send(data)
+            counters = env.node.counters
+            with anyio.fail_after(_TIMEOUT_S):
                 while not counters.value(c.DROPS, reason):
                     await anyio.sleep(0.01)
-            self.assertRaises(BlockingIOError, place.caller.recv, 1)
+            self.assertRaises(BlockingIOError, env.caller.recv, 1)
 
-        _play(script, alone=True)
+        _run(script, alone=True)
--- a/tests/standby_process_test.py
+++ b/tests/standby_process_test.py
@@ -19,19 +19,19 @@
 _SESSIONS = 10
 _IMAGES_PER_S = 20.0
 _DEADLINE_S = 40.0
-_CALM_S = 3.0
-_NOTICED_S = 5.0
+_WARM_UP_S = 3.0
+_DETECTION_S = 5.0
 """Time for the fleet to detect a program that is down, in seconds."""
 
-_WATCHED_S = 4.0
+_OBSERVATION_S = 4.0
 
 
-async def _play(script) -> Outcome:
+async def _run(script) -> Outcome:
     with tempfile.TemporaryDirectory(prefix="pollenmast-test-") as folder:
         world = World(pathlib.Path(folder))
         async with world.running(_VMS):
             world.start_usual_callers(_SESSIONS, _IMAGES_PER_S, _DEADLINE_S)
-            await anyio.sleep(_CALM_S)
+            await anyio.sleep(_WARM_UP_S)
             world.mark_loss()
             await script(world)
             return await world.end_callers()
@@ -40,8 +40,8 @@
 class LostRelayTest(TestCase):
     """A VM without its relay loses no caller's packet."""
 
-    def _judge(self, script) -> None:
-        outcome = anyio.run(_play, script)
+    def _assert_no_loss(self, script) -> None:
+        outcome = anyio.run(_run, script)
         promised = outcome.ledger.promised
         self.assertGreater(promised.answered, _IMAGES_PER_S)
         self.assertEqual(0, promised.faults())
@@ -50,7 +50,7 @@
     @parameterized.expand(
         [("killed", signal.SIGKILL), ("frozen", signal.SIGSTOP)]
     )
-    def test_every_datagram_goes_on(self, _, number):
+    def test_every_datagram_is_forwarded(self, _, number):
         """The agent forwards every datagram after its relay crashes or hangs.
 
         Before it did, a third of all datagrams went unread while the platform
@@ -61,14 +61,14 @@
 
         async def script(world: World) -> None:
             world.vms[2].programs["relay"].signal(number)
-            await anyio.sleep(_NOTICED_S)
-            counted = await world.unread(2, _WATCHED_S)
+            await anyio.sleep(_DETECTION_S)
+            counted = await world.unread(2, _OBSERVATION_S)
             self.assertGreater(counted.handed, _IMAGES_PER_S)
             self.assertGreaterEqual(counted.passed_on, counted.handed)
 
-        self._judge(script)
+        self._assert_no_loss(script)
 
-    def test_relay_comes_back(self):
+    def test_relay_restarts(self):
         """The agent releases the ports once a restarted relay has them open.
 
         If it kept them, the VM would never carry a flow again. If it released
@@ -78,12 +78,12 @@
         async def script(world: World) -> None:
             vm = world.vms[2]
             vm.programs["relay"].signal(signal.SIGKILL)
-            await anyio.sleep(_NOTICED_S)
+            await anyio.sleep(_DETECTION_S)
             vm.start_program("relay")
             await world.until_ready(2)
             await anyio.sleep(ON_THE_WAY_S)
-            counted = await world.unread(2, _WATCHED_S)
+            counted = await world.unread(2, _OBSERVATION_S)
             self.assertGreater(counted.handed, _IMAGES_PER_S)
             self.assertEqual(0, counted.passed_on)
 
-        self._judge(script)
+        self._assert_no_loss(script)
