--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -196,26 +196,26 @@
         )
 
     def _send_message(self, send: Send) -> None:
-        left = self._budget.left(anyio.current_time())
-        if send.act is Act.NEWS and not left:
+        bytes_left = self._budget.left(anyio.current_time())
+        if send.act is Act.NEWS and not bytes_left:
             # The same updates are sent with the next heartbeats. Without
             # this limit, a network cut of many VMs would cause a burst from
             # each of the others.
             return
-        message = self._build_message(send, left)
+        message = self._build_message(send, bytes_left)
         sent = self._socket.send(message, send.to)
         self._budget.spend(sent)
 
-    def _build_message(self, send: Send, left: int) -> Gossip:
+    def _build_message(self, send: Send, bytes_left: int) -> Gossip:
         node = self._node
         own = node.membership.own
         fleet = len(node.membership.vms())
         members, probes = send.members, ()
         if send.act in (Act.PING, Act.ACK, Act.NEWS):
-            room = min(left, _gossip.room(own, send.target, members))
-            news = self._members.pick(min(room, MAX_MEMBER_BYTES), fleet)
-            members += news
-            room -= sum(map(_gossip.member_size, news))
+            room = min(bytes_left, _gossip.room(own, send.target, members))
+            updates = self._members.pick(min(room, MAX_MEMBER_BYTES), fleet)
+            members += updates
+            room -= sum(map(_gossip.member_size, updates))
             probes = self._probes.pick(room, fleet)
         key = node.acceptance.key
         return Gossip(
--- a/src/pollenmast/agent/_knowledge.py
+++ b/src/pollenmast/agent/_knowledge.py
@@ -130,10 +130,10 @@
         )
 
     def _platform(self) -> operators.PlatformStatus:
-        heard_s = self._node.platform_answered_s
+        answered_s = self._node.platform_answered_s
         ago = None
-        if heard_s is not None:
-            ago = round(anyio.current_time() - heard_s, 1)
+        if answered_s is not None:
+            ago = round(anyio.current_time() - answered_s, 1)
         return operators.PlatformStatus(self._node.platform_up, ago)
 
     def _members(self) -> tuple[operators.MemberStatus, ...]:
--- a/src/pollenmast/agent/_link_loop.py
+++ b/src/pollenmast/agent/_link_loop.py
@@ -85,7 +85,7 @@
         self._manifest_sent = (ManifestKey(), 0.0)
         self._sent_reports: dict[tuple[int, str], EndpointReport] = {}
         self._last_wake = 0
-        self._full_reports_s = 0.0
+        self._full_reports_sent_s = 0.0
         self._answers: dict[int, ExplainAnswer | None] = {}
         self._answered = anyio.Event()
         self._relay_was_up = False
@@ -163,10 +163,10 @@
         report = self._node.relay.report
         wake = report.wake if report else 0
         new_relay = report is None or report.version == 0
-        overdue = now - self._full_reports_s >= FULL_REPORTS_INTERVAL_S
+        overdue = now - self._full_reports_sent_s >= FULL_REPORTS_INTERVAL_S
         if new_relay or overdue or wake != self._last_wake:
             self._sent_reports = {}
-            self._full_reports_s = now
+            self._full_reports_sent_s = now
         self._last_wake = wake
         reports = self._node.reports.view(now)
         changed = tuple(
--- a/src/pollenmast/agent/_refusing.py
+++ b/src/pollenmast/agent/_refusing.py
@@ -12,7 +12,7 @@
 from pollenmast.counters import DropReason
 
 
-def refuse(data: bytes, retry_after_ms: int) -> Result[bytes, DropReason]:
+def refusal_for(data: bytes, retry_after_ms: int) -> Result[bytes, DropReason]:
     """Returns a datagram that refuses a caller's new flow.
 
     Only a caller's first Initial packet can be refused. Once the upstream has
--- a/src/pollenmast/agent/_standby.py
+++ b/src/pollenmast/agent/_standby.py
@@ -64,8 +64,8 @@
         self._sealer = Sealer(standby_name(vm.name), node.settings.fleet.key)
         self._vms: tuple[Vm, ...] = ()
         self._epoll = select.epoll()
-        self._ports: dict[int, socket.socket] = {}
-        self._services: dict[int, int] = {}
+        self._sockets: dict[int, socket.socket] = {}
+        self._port_by_fd: dict[int, int] = {}
         self._failed_ports: set[int] = set()
         self._needed = False
         self._activated = anyio.Event()
@@ -80,7 +80,7 @@
     @property
     def ports(self) -> tuple[int, ...]:
         """The ports that are open."""
-        return tuple(self._ports)
+        return tuple(self._sockets)
 
     def set_needed(self, needed: bool) -> None:
         """Activates or deactivates the standby.
@@ -109,7 +109,7 @@
         node = self._node
         node.log.write(events.STANDBY_BEGAN)
         while self._needed:
-            self._update()
+            self._refresh()
             with anyio.move_on_after(CHECK_INTERVAL_S):
                 await anyio.wait_readable(self._epoll.fileno())
             self.forward_pending()
@@ -120,18 +120,18 @@
         self._close_ports()
         node.log.write(events.STANDBY_ENDED, passed_on=self._forwarded)
 
-    def _update(self) -> None:
+    def _refresh(self) -> None:
         now = anyio.current_time()
-        if self._ports and now - self._checked_s < CHECK_INTERVAL_S:
+        if self._sockets and now - self._checked_s < CHECK_INTERVAL_S:
             return
         self._checked_s = now
         self._update_fleet(now)
         in_force = self._node.acceptance.in_force
         services = in_force.manifest.services if in_force else ()
         for service in services:
-            if service.port not in self._ports:
+            if service.port not in self._sockets:
                 self._open_port(service)
-        for port in set(self._ports) - {each.port for each in services}:
+        for port in set(self._sockets) - {each.port for each in services}:
             self._close_port(port)
 
     def _update_fleet(self, now: float) -> None:
@@ -143,13 +143,13 @@
     def _open_port(self, service: Service) -> None:
         address = self._node.settings.vm.address
         try:
-            port = service_socket(address, service.port)
+            sock = service_socket(address, service.port)
         except OSError as error:
             self._log_bind_failure(service, error)
             return
-        self._ports[service.port] = port
-        self._services[port.fileno()] = service.port
-        self._epoll.register(port.fileno(), select.EPOLLIN)
+        self._sockets[service.port] = sock
+        self._port_by_fd[sock.fileno()] = service.port
+        self._epoll.register(sock.fileno(), select.EPOLLIN)
 
     def _log_bind_failure(self, service: Service, error: OSError) -> None:
         """Logs that a port cannot be bound, once until the next activation.
@@ -166,20 +166,20 @@
             )
 
     def _close_ports(self) -> None:
-        for port in list(self._ports):
+        for port in list(self._sockets):
             self._close_port(port)
 
     def _close_port(self, port: int) -> None:
-        sock = self._ports.pop(port)
-        del self._services[sock.fileno()]
+        sock = self._sockets.pop(port)
+        del self._port_by_fd[sock.fileno()]
         self._epoll.unregister(sock.fileno())
         sock.close()
 
     def forward_pending(self) -> None:
         """Forwards a batch of datagrams from each readable port."""
-        for number, _ in self._epoll.poll(0):
-            port = self._services[number]
-            self._read_batch(self._ports[port], port)
+        for fd, _ in self._epoll.poll(0):
+            port = self._port_by_fd[fd]
+            self._read_batch(self._sockets[port], port)
 
     def _read_batch(self, sock: socket.socket, port: int) -> None:
         for _ in range(BATCH_SIZE):
@@ -222,7 +222,7 @@
         from pollenmast.agent import _refusing
 
         counters = self._node.counters
-        answer = _refusing.refuse(data, RETRY_AFTER_MS)
+        answer = _refusing.refusal_for(data, RETRY_AFTER_MS)
         if answer.is_err():
             counters.add(c.DROPS, answer.unwrap_err())
             return
--- a/tests/agent_gossip_test.py
+++ b/tests/agent_gossip_test.py
@@ -30,7 +30,7 @@
 
     def __init__(self):
         self.sent = []
-        self._incoming, self._in = trio.open_memory_channel(9)
+        self.incoming, self._in = trio.open_memory_channel(9)
 
     def send(self, message, to) -> int:
         """Records a message and returns its size."""
@@ -59,7 +59,7 @@
 
 
 def _deliver(socket, message) -> None:
-    socket._incoming.send_nowait((message, SOURCE))
+    socket.incoming.send_nowait((message, SOURCE))
 
 
 class UpdatesTest(TestCase):
--- a/tests/agent_link_test.py
+++ b/tests/agent_link_test.py
@@ -42,7 +42,7 @@
 
         When a VM dies, packets are lost until the relay has the new view.
         """
-        spent = []
+        delays = []
 
         async def script(agent):
             await trio.sleep(2.0)
@@ -50,10 +50,10 @@
             agent.relay.received.clear()
             agent.node.notify_changed(at_once=True)
             await trio.sleep(0.2)
-            spent.append(agent.relay.views()[0][0] - now)
+            delays.append(agent.relay.views()[0][0] - now)
 
         run(script)
-        self.assertLess(spent[0], 0.05)
+        self.assertLess(delays[0], 0.05)
 
     def test_manifest_is_sent_until_in_force(self):
         """The manifest is not sent again once the relay reports it."""
--- a/tests/agent_probe_test.py
+++ b/tests/agent_probe_test.py
@@ -63,7 +63,7 @@
         clock = trio.testing.MockClock(autojump_threshold=0)
         return trio.run(main, clock=clock)
 
-    def _gaps(self) -> set[float]:
+    def _intervals(self) -> set[float]:
         pairs = zip(self.probed_at, self.probed_at[1:], strict=False)
         return {round(b - a, 3) for a, b in pairs}
 
@@ -74,7 +74,7 @@
             await trio.sleep(20)
 
         _, queued = self._run(script)
-        self.assertEqual({1.0}, self._gaps())
+        self.assertEqual({1.0}, self._intervals())
         self.assertLess(len(queued), 12)  # Every 2 s while nothing changes.
 
     def test_failed_endpoint(self):
@@ -87,7 +87,7 @@
             await trio.sleep(1.6)
 
         node, queued = self._run(script)
-        self.assertEqual({0.5}, self._gaps())
+        self.assertEqual({0.5}, self._intervals())
         self.assertFalse(queued[-1].report.healthy)
 
     def test_reassigned_endpoint(self):
--- a/tests/agent_refusing_test.py
+++ b/tests/agent_refusing_test.py
@@ -34,7 +34,7 @@
         """A new caller is refused at once and told when to retry."""
         client = _client()
         (first,) = _datagrams_to_send(client)
-        answer = _refusing.refuse(first, _RETRY_AFTER_MS).unwrap()
+        answer = _refusing.refusal_for(first, _RETRY_AFTER_MS).unwrap()
         client.receive_datagram(answer, _SERVER_ADDRESS, now=0.0)
         self.assertIn("retry after 1000 ms", _termination(client).reason_phrase)
 
@@ -56,7 +56,7 @@
         for data in _datagrams_to_send(server):
             client.receive_datagram(data, _SERVER_ADDRESS, now=0.0)
         second = _datagrams_to_send(client)[0]
-        answer = _refusing.refuse(second, _RETRY_AFTER_MS)
+        answer = _refusing.refusal_for(second, _RETRY_AFTER_MS)
         if answer.is_ok():
             client.receive_datagram(answer.unwrap(), _SERVER_ADDRESS, now=0.0)
         self.assertIsNone(_termination(client))
--- a/tests/agent_shutdown_test.py
+++ b/tests/agent_shutdown_test.py
@@ -45,12 +45,12 @@
 
     def test_drained(self):
         """The agent exits soon after its relay has handed over all flows."""
-        spent, state, orders = self._run_shutdown(2.0)
-        self.assertTrue(2.0 < spent < 3.0, spent)
+        duration, state, orders = self._run_shutdown(2.0)
+        self.assertTrue(2.0 < duration < 3.0, duration)
         self.assertEqual((VmState.DEAD, 1), (state, orders))
 
     def test_never_drained(self):
         """The agent exits after the grace period if a flow never moves."""
-        spent, state, _ = self._run_shutdown(None)
-        self.assertTrue(5.0 < spent < 5.5, spent)
+        duration, state, _ = self._run_shutdown(None)
+        self.assertTrue(5.0 < duration < 5.5, duration)
         self.assertEqual(VmState.DEAD, state)
