--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -1,4 +1,7 @@
-"""Runs membership over the gossip socket and spreads news on its messages."""
+"""Runs the membership protocol over the gossip socket.
+
+Updates of members and of endpoints are piggybacked on its messages.
+"""
 
 from collections.abc import Callable
 
@@ -19,22 +22,29 @@
 from pollenmast.peers._gossip import Act, Gossip, ProbeNews
 from pollenmast.peers._gossip_socket import GossipSocket
 
-BYTES_PER_S = 2_300
-"""Gossip of one VM, in bytes a second. A VM's control may cost 4 KB/s; this
-leaves 1.4 KB/s for replication, besides probes and reads of the platform.
-Load in the views of nine VMs is 0.6 s old at 2,000 and at 2,600 alike; of
-eighteen, 1.8 s and 1.2 s (bench control, trials)."""
+GOSSIP_BYTES_PER_S = 2_300
+"""Gossip budget of one VM, in bytes per second.
+
+Control traffic of one VM may take 4 KB/s. This budget leaves 1.4 KB/s for
+replication, besides probes and reads of the platform. In trials with `bench
+control`, load reports in the views of nine VMs were 0.6 s old with a budget
+of 2,000 as well as of 2,600; with eighteen VMs they were 1.8 s and 1.2 s old.
+"""
+
+GOSSIP_BURST_BYTES = 12_000
+"""Size of the largest gossip burst, in bytes.
 
-BURST_BYTES = 12_000
-"""What a burst of news may take at once. A death in a fleet of nine takes a
-tenth of it."""
+The failure of one VM in a fleet of nine takes a tenth of it.
+"""
 
-MEMBER_BYTES = 500
-"""News of VMs in one message, at the most."""
+MAX_MEMBER_BYTES = 500
+"""Maximum size of the member updates added to one message, in bytes."""
 
 PROBE_SENDS_PER_LOG = 1
-"""Sends of one endpoint's report, times log2 of the fleet. A lost report is
-replaced by the next one within two seconds, so once is enough."""
+"""How often one endpoint's report is sent, per log2 of the fleet's size.
+
+One is enough, because the next report replaces a lost one within two seconds.
+"""
 
 _STATE_EVENTS = {
     VmState.SUSPECT: events.VM_SUSPECT,
@@ -42,36 +52,46 @@
     VmState.LEAVING: events.VM_LEAVING,
     VmState.ALIVE: events.VM_UPDATED,
 }
-_WHY_EVENTS = {
+_REASON_EVENTS = {
     Why.JOINED: events.VM_JOINED,
     Why.RETURNED: events.VM_RETURNED,
 }
 
-Wanted = Callable[[ManifestKey, Vm], None]
+NewerManifestCallback = Callable[[ManifestKey, Vm], None]
 
 
 class GossipLoop:
-    """Sends what membership decides, with news, and takes what comes."""
+    """Exchanges gossip messages with the peers.
+
+    It sends the messages that the membership protocol asks for, adds pending
+    updates to them, and applies the messages received.
+    """
 
-    def __init__(self, node: Node, socket: GossipSocket, wanted: Wanted):
-        """Wires the loop.
+    def __init__(
+        self,
+        node: Node,
+        socket: GossipSocket,
+        on_newer_manifest: NewerManifestCallback,
+    ):
+        """Initializes the loop.
 
         Args:
-            node: The VM.
-            socket: Where messages go and come.
-            wanted: Told of a manifest that a peer has and this VM lacks.
+            node: State of this VM's agent.
+            socket: Sends and receives gossip messages.
+            on_newer_manifest: Called when a peer has a manifest that this VM
+                lacks, with the manifest's key and the peer.
         """
         self._node = node
         self._socket = socket
-        self._wanted = wanted
+        self._on_newer_manifest = on_newer_manifest
         self._members: Dissemination[Vm] = Dissemination()
         self._probes: Dissemination[ProbeNews] = Dissemination(
             PROBE_SENDS_PER_LOG
         )
         now = anyio.current_time()
-        self._budget = ByteBudget(BYTES_PER_S, BURST_BYTES, now)
-        self._fresh = False
-        self._earlier = anyio.Event()
+        self._budget = ByteBudget(GOSSIP_BYTES_PER_S, GOSSIP_BURST_BYTES, now)
+        self._was_fresh = False
+        self._rescheduled = anyio.Event()
 
     async def run(self) -> None:
         """Runs until cancelled."""
@@ -80,19 +100,21 @@
             tasks.start_soon(self._tick)
 
     def send(self, sends: list[Send]) -> None:
-        """Sends messages, each with as much news as it may carry."""
-        changed = self._collect()
+        """Sends messages, each with as many updates as it may carry."""
+        changed = self._queue_changes()
         for send in sends:
-            self._send(send)
+            self._send_message(send)
         if changed or any(send.act is Act.PING for send in sends):
-            # There may be a deadline before the one that `_tick` waits for.
-            self._earlier.set()
+            # The next deadline may now be earlier than the one that `_tick`
+            # waits for.
+            self._rescheduled.set()
 
-    def tell(self, news: ProbeNews) -> None:
+    def queue_report(self, news: ProbeNews) -> None:
         """Queues an endpoint's report for the peers.
 
-        That an endpoint is down or leaves must reach every VM: one that
-        misses it goes on sending work there. Load may be missed.
+        A report that an endpoint is down or leaving must reach every VM,
+        because a VM that misses it continues to send work there. It is
+        therefore sent more often than a load report, which may be lost.
         """
         key = (news.report.service, news.report.endpoint, news.prober)
         sends = None if news.report.healthy else SENDS_PER_LOG
@@ -103,55 +125,66 @@
         while True:
             now = anyio.current_time()
             self.send(membership.tick(now))
-            self._earlier = anyio.Event()
+            self._rescheduled = anyio.Event()
             with anyio.move_on_at(membership.due()):
-                await self._earlier.wait()
+                await self._rescheduled.wait()
 
     async def _receive(self) -> None:
         while True:
             for message, source in await self._socket.receive():
                 now = anyio.current_time()
-                heard = self._take_news(message, now)
+                new_reports = self._apply_updates(message, now)
                 sends = self._node.membership.receive(message, source, now)
                 self.send(sends)
-                # Queued after the answer: the newest news goes first, and
-                # an ack would carry back what its ping has just brought.
-                for news in heard:
-                    self.tell(news)
+                # Queue the reports after the answer has been sent. The
+                # least-sent updates go first, so an ack would otherwise
+                # carry the ping's reports back to their sender.
+                for news in new_reports:
+                    self.queue_report(news)
 
-    def _take_news(self, message: Gossip, now: float) -> list[ProbeNews]:
-        """Takes what a message tells; returns what was new of endpoints."""
+    def _apply_updates(self, message: Gossip, now: float) -> list[ProbeNews]:
+        """Applies the updates in a message.
+
+        Returns:
+            The endpoint reports that were new to this VM.
+        """
         reports = self._node.reports
-        heard = [news for news in message.probes if reports.heard(news, now)]
-        if heard:
-            self._node.notify()
+        new_reports = [
+            news for news in message.probes if reports.heard(news, now)
+        ]
+        if new_reports:
+            self._node.notify_changed()
         key = ManifestKey(message.version, message.digest.hex())
         if self._node.acceptance.wants(key):
-            self._wanted(key, message.sender)
-        return heard
+            self._on_newer_manifest(key, message.sender)
+        return new_reports
 
-    def _collect(self) -> bool:
-        """Turns what membership changed into news and log lines."""
+    def _queue_changes(self) -> bool:
+        """Queues and logs changes of the membership.
+
+        Returns:
+            Whether any member changed.
+        """
         membership = self._node.membership
         changes = membership.take_changes()
         for change in changes:
-            told = membership.told(change.vm.name)
-            self._members.add(told.name, told, _gossip.member_size(told))
-            self._write(change)
-        if membership.fresh != self._fresh:
-            self._fresh = membership.fresh
-            if self._fresh:
+            update = membership.told(change.vm.name)
+            self._members.add(update.name, update, _gossip.member_size(update))
+            self._log_change(change)
+        if membership.fresh != self._was_fresh:
+            self._was_fresh = membership.fresh
+            if self._was_fresh:
                 alone = membership.alone
                 self._node.log.write(events.REFRESH_ENDED, alone=alone)
             else:
                 self._node.log.write(events.REFRESH_BEGAN)
-            self._node.notify(at_once=True)
+            self._node.notify_changed(at_once=True)
         if changes:
-            self._node.notify(at_once=True)
+            self._node.notify_changed(at_once=True)
         return bool(changes)
 
-    def _write(self, change: Change) -> None:
-        event = _WHY_EVENTS.get(change.why, _STATE_EVENTS[change.vm.state])
+    def _log_change(self, change: Change) -> None:
+        event = _REASON_EVENTS.get(change.why, _STATE_EVENTS[change.vm.state])
         self._node.log.write(
             event,
             member=change.vm.name,
@@ -162,26 +195,27 @@
             relay_up=change.vm.relay_up,
         )
 
-    def _send(self, send: Send) -> None:
-        left = self._budget.left(anyio.current_time())
-        if send.act is Act.NEWS and not left:
-            # The same news rides on the next heartbeats; without this bound
-            # a cut of many VMs would cost each of the others a burst.
+    def _send_message(self, send: Send) -> None:
+        bytes_left = self._budget.left(anyio.current_time())
+        if send.act is Act.NEWS and not bytes_left:
+            # The same updates are sent with the next heartbeats. Without
+            # this limit, a network cut of many VMs would cause a burst from
+            # each of the others.
             return
-        message = self._compose(send, left)
+        message = self._build_message(send, bytes_left)
         sent = self._socket.send(message, send.to)
         self._budget.spend(sent)
 
-    def _compose(self, send: Send, left: int) -> Gossip:
+    def _build_message(self, send: Send, bytes_left: int) -> Gossip:
         node = self._node
         own = node.membership.own
         fleet = len(node.membership.vms())
         members, probes = send.members, ()
         if send.act in (Act.PING, Act.ACK, Act.NEWS):
-            room = min(left, _gossip.room(own, send.target, members))
-            news = self._members.pick(min(room, MEMBER_BYTES), fleet)
-            members += news
-            room -= sum(map(_gossip.member_size, news))
+            room = min(bytes_left, _gossip.room(own, send.target, members))
+            updates = self._members.pick(min(room, MAX_MEMBER_BYTES), fleet)
+            members += updates
+            room -= sum(map(_gossip.member_size, updates))
             probes = self._probes.pick(room, fleet)
         key = node.acceptance.key
         return Gossip(
--- a/src/pollenmast/agent/_knowledge.py
+++ b/src/pollenmast/agent/_knowledge.py
@@ -1,4 +1,4 @@
-"""What the agent tells operators, gathered from its parts."""
+"""Collects the agent's state for the operators' HTTP endpoint."""
 
 import collections
 
@@ -14,14 +14,14 @@
 
 
 class NodeKnowledge(operators.Knowledge):
-    """Answers the operators' questions about one node."""
+    """Provides status, health, metrics and explanations of one VM."""
 
     def __init__(self, node: Node, link: LinkLoop):
         self._node = node
         self._link = link
 
     def status(self) -> operators.Status:
-        """Returns the status now."""
+        """Returns the current status."""
         return operators.Status(
             vm=self._vm(),
             manifest=self._manifest(),
@@ -33,13 +33,13 @@
         )
 
     def health(self) -> str | None:
-        """Returns what is wrong with this process, or None."""
-        # Whoever is answered here is answered by the loop that does all
-        # the work; there is nothing else that could hang.
+        """Returns why this process is unhealthy, or None if it is healthy."""
+        # The event loop that answers this request also does all the other
+        # work, so an answer shows that the process is not hung.
         return None
 
     def readiness(self) -> str | None:
-        """Returns why this VM takes no new flows, or None."""
+        """Returns why this VM takes no new flows, or None if it does."""
         node = self._node
         if node.stopping:
             return "stopping"
@@ -47,7 +47,7 @@
             return "no manifest yet"
         if not node.membership.fresh:
             return "asking peers for what was missed"
-        if not node.relay.up(anyio.current_time()):
+        if not node.relay.is_up(anyio.current_time()):
             return "the relay does not report"
         if node.relay.report.draining:
             return "the relay hands over its flows"
@@ -56,21 +56,30 @@
         return None
 
     async def explain(self, subject: str) -> tuple[str, ...] | None:
-        """Returns why something was decided, or None without an answer."""
+        """Returns the relay's explanation of a routing decision.
+
+        Args:
+            subject: What to explain, as the operator named it.
+
+        Returns:
+            Lines of text, or None if the relay did not answer.
+        """
         return await self._link.explain(subject)
 
     def counter_values(self) -> dict[str, dict[tuple[str, str], int]]:
-        """Returns the counters of both programs."""
+        """Returns the counters of the agent and of the relay."""
         own = self._node.counters.items()
         report = self._node.relay.report
-        told = report.counters if report else ()
+        relay_counters = report.counters if report else ()
         return {
             "agent": {(name, reason): value for name, reason, value in own},
-            "relay": {(each.name, each.reason): each.value for each in told},
+            "relay": {
+                (each.name, each.reason): each.value for each in relay_counters
+            },
         }
 
     def gauges(self) -> operators.Gauges:
-        """Returns the gauges now."""
+        """Returns the current gauges."""
         relay = self._relay()
         manifest = self._manifest()
         states = collections.Counter(
@@ -113,7 +122,7 @@
 
     def _relay(self) -> operators.RelayStatus:
         relay = self._node.relay
-        if relay.report is None or not relay.up(anyio.current_time()):
+        if relay.report is None or not relay.is_up(anyio.current_time()):
             return operators.RelayStatus(False, False, 0, 0, 0)
         report = relay.report
         return operators.RelayStatus(
@@ -121,10 +130,10 @@
         )
 
     def _platform(self) -> operators.PlatformStatus:
-        heard_s = self._node.platform_heard_s
+        answered_s = self._node.platform_answered_s
         ago = None
-        if heard_s is not None:
-            ago = round(anyio.current_time() - heard_s, 1)
+        if answered_s is not None:
+            ago = round(anyio.current_time() - answered_s, 1)
         return operators.PlatformStatus(self._node.platform_up, ago)
 
     def _members(self) -> tuple[operators.MemberStatus, ...]:
--- a/src/pollenmast/agent/_manifest_loop.py
+++ b/src/pollenmast/agent/_manifest_loop.py
@@ -1,4 +1,7 @@
-"""Brings the greatest manifest into force, from the platform and peers."""
+"""Puts the manifest with the greatest key in force.
+
+Manifests come from the platform and from peers.
+"""
 
 import anyio
 from result import Err
@@ -12,53 +15,61 @@
 from pollenmast.manifest import ManifestKey
 from pollenmast.peers._fetch import Fetcher
 
-ROLE_CHECK_S = 1.0
-"""How soon a VM notices that it has become a watcher, in seconds."""
+ROLE_CHECK_INTERVAL_S = 1.0
+"""Interval between checks whether this VM is a watcher, in seconds."""
+
+BACKOFF_RANGE_S = (0.5, 5.0)
+"""Shortest and longest wait after a failed read, in seconds.
 
-BACKOFF_S = (0.5, 5.0)
-"""Shortest and longest wait after a failed read, in seconds. Two watchers a
-zone that ask every five seconds cost a platform that starts again nothing."""
+Two watchers per zone that retry every five seconds are no load for a platform
+that is restarting.
+"""
 
-MOST_SOURCES = 4
-"""Peers remembered as having the wanted manifest."""
+MAX_SOURCES = 4
+"""Maximum number of peers remembered as sources of the wanted manifest."""
 
-FETCH_RETRY_S = 0.2
-"""Wait between two fetches that failed, in seconds."""
+FETCH_RETRY_DELAY_S = 0.2
+"""Delay after a failed fetch, in seconds."""
 
-_MOST_LOGGED_FAULTS = 5
+_MAX_LOGGED_FAULTS = 5
 
 
 class ManifestLoop:
-    """Watches, fetches and accepts."""
+    """Watches the platform, fetches from peers and accepts manifests."""
 
     def __init__(
-        self, node: Node, platform: Platform, fetcher: Fetcher, accepted
+        self, node: Node, platform: Platform, fetcher: Fetcher, on_accepted
     ):
-        """Wires the loop.
+        """Initializes the loop.
 
         Args:
-            node: The VM.
-            platform: Read and watched.
-            fetcher: Asks peers.
-            accepted: Called after a manifest came into force.
+            node: State of this VM's agent.
+            platform: Client of the platform, which publishes manifests.
+            fetcher: Fetches manifests from peers.
+            on_accepted: Called after a manifest has come into force.
         """
         self._node = node
         self._platform = platform
         self._fetcher = fetcher
-        self._accepted = accepted
+        self._on_accepted = on_accepted
         self._wanted = ManifestKey()
         self._sources: dict[str, Vm] = {}
         self._wake = anyio.Event()
-        self._backoff = 0.0
+        self._backoff_s = 0.0
 
-    def wanted(self, key: ManifestKey, vm: Vm) -> None:
-        """Notes that a peer has a greater manifest than this VM."""
+    def note_available(self, key: ManifestKey, vm: Vm) -> None:
+        """Records that a peer has a manifest with a greater key.
+
+        Args:
+            key: The manifest's key.
+            vm: The peer.
+        """
         if key < self._wanted:
             return
         if key > self._wanted:
             self._sources.clear()
         self._wanted = key
-        if len(self._sources) < MOST_SOURCES:
+        if len(self._sources) < MAX_SOURCES:
             self._sources[vm.name] = vm
         self._wake.set()
 
@@ -82,7 +93,7 @@
     async def _fetch_from(self, vm: Vm, key: ManifestKey) -> None:
         text = await self._fetcher.fetch(vm.address, vm.fetch_port, key)
         if text is None:
-            await anyio.sleep(FETCH_RETRY_S)
+            await anyio.sleep(FETCH_RETRY_DELAY_S)
             return
         if not self._offer(text, vm.name):
             self._node.acceptance.refuse(key)
@@ -90,74 +101,94 @@
     # The platform.
 
     async def _follow_platform(self) -> None:
-        # A platform that is stale would otherwise put an old manifest in
-        # force on a VM that restarts; its peers know better.
+        # Refresh from the peers first. A platform that is stale would
+        # otherwise put an old manifest in force on a restarted VM.
         while not self._node.membership.fresh:
             await anyio.sleep(0.02)
-        await self._read()
+        await self._read_current()
         while True:
-            if self._watches():
+            if self._is_watcher():
                 await self._watch()
             else:
-                await self._pause()
+                await self._fallback_read()
 
-    def _watches(self) -> bool:
+    def _is_watcher(self) -> bool:
         vms = self._node.membership.vms()
         zone = self._node.settings.vm.zone
         return self._node.name in _readers.watchers(zone, vms)
 
     async def _watch(self) -> None:
         version = self._node.acceptance.key.version
-        found = await self._take(version, _readers.WATCH_S)
+        found = await self._read_platform(version, _readers.WATCH_S)
         if found:
-            # A watch only shows greater versions; this shows whether the
-            # known one was published again with another content.
+            # A watch only returns newer versions. This read detects that the
+            # known version was published again with different content.
             version = self._node.acceptance.key.version
-            await self._take(max(0, version - 1), 0.0)
+            await self._read_platform(max(0, version - 1), 0.0)
+
+    async def _fallback_read(self) -> None:
+        """Makes the next fallback read when it is due.
 
-    async def _pause(self) -> None:
-        """Waits for the next fallback read, or to become a watcher."""
+        Returns early, without a read, if this VM becomes a watcher.
+        """
         fleet = len(self._node.membership.vms())
         interval = _readers.fallback_interval(fleet, self._node.rng)
         until = anyio.current_time() + interval
         while anyio.current_time() < until:
-            await anyio.sleep(ROLE_CHECK_S)
-            if self._watches():
+            await anyio.sleep(ROLE_CHECK_INTERVAL_S)
+            if self._is_watcher():
                 return
-        await self._read()
+        await self._read_current()
+
+    async def _read_current(self) -> None:
+        await self._read_platform(0, 0.0)
 
-    async def _read(self) -> None:
-        await self._take(0, 0.0)
+    async def _read_platform(self, after: int, wait_s: float) -> bool:
+        """Reads the platform's manifest and offers it.
 
-    async def _take(self, after: int, wait_s: float) -> bool:
-        """Reads the platform; returns whether it answered."""
+        Args:
+            after: Ask only for versions greater than this.
+            wait_s: How long the platform may wait for such a version, in
+                seconds.
+
+        Returns:
+            Whether the platform answered.
+        """
         answer = await self._platform.manifest(after, wait_s)
-        self._note_platform(not isinstance(answer, Err))
+        self._set_platform_up(not isinstance(answer, Err))
         if isinstance(answer, Err):
             await self._back_off()
             return False
-        self._backoff = 0.0
+        self._backoff_s = 0.0
         if answer.ok_value is not None:
             self._offer(answer.ok_value, "platform")
         return True
 
     async def _back_off(self) -> None:
-        least, most = BACKOFF_S
-        self._backoff = min(most, max(least, self._backoff * 2))
-        await anyio.sleep(self._backoff * self._node.rng.uniform(0.7, 1.3))
+        shortest, longest = BACKOFF_RANGE_S
+        self._backoff_s = min(longest, max(shortest, self._backoff_s * 2))
+        await anyio.sleep(self._backoff_s * self._node.rng.uniform(0.7, 1.3))
 
-    def _note_platform(self, up: bool) -> None:
+    def _set_platform_up(self, up: bool) -> None:
         node = self._node
         if up:
-            node.platform_heard_s = anyio.current_time()
+            node.platform_answered_s = anyio.current_time()
         if up != node.platform_up:
             node.platform_up = up
             node.log.write(events.PLATFORM_BACK if up else events.PLATFORM_LOST)
 
-    # Offers.
+    # Accepting manifests.
 
     def _offer(self, text: bytes, source: str) -> bool:
-        """Takes a text into force if it is valid and greater."""
+        """Puts a manifest in force if it is valid and has a greater key.
+
+        Args:
+            text: The manifest's text.
+            source: Where it came from, for the log: `platform` or a VM's name.
+
+        Returns:
+            Whether the text is valid.
+        """
         node = self._node
         in_force = node.acceptance.in_force
         if in_force is not None and text == in_force.text:
@@ -166,17 +197,17 @@
         parsed = manifest.parse(text)
         if isinstance(parsed, Err):
             node.counters.add(MANIFESTS, ManifestOutcome.INVALID)
-            faults = parsed.err_value[:_MOST_LOGGED_FAULTS]
+            faults = parsed.err_value[:_MAX_LOGGED_FAULTS]
             node.log.write(
                 events.MANIFEST_INVALID,
                 source=source,
                 faults=[str(fault) for fault in faults],
             )
             return False
-        self._decide(parsed.ok_value, text, source)
+        self._offer_parsed(parsed.ok_value, text, source)
         return True
 
-    def _decide(
+    def _offer_parsed(
         self, offered: manifest.Manifest, text: bytes, source: str
     ) -> None:
         node = self._node
@@ -198,4 +229,4 @@
             node.log.write(events.MANIFEST_OLDER, **fields)
         if offer.outcome is ManifestOutcome.ACCEPTED:
             node.log.write(events.MANIFEST_IN_FORCE, **fields)
-            self._accepted()
+            self._on_accepted()
--- a/tests/agent_gossip_test.py
+++ b/tests/agent_gossip_test.py
@@ -1,4 +1,4 @@
-"""Tests of agent._gossip_loop: which news goes on which message."""
+"""Tests of agent._gossip_loop: updates piggybacked on gossip messages."""
 
 import attrs
 import trio
@@ -6,7 +6,7 @@
 from parameterized import parameterized
 from testtools import TestCase
 
-from pollenmast.agent._gossip_loop import BURST_BYTES, GossipLoop
+from pollenmast.agent._gossip_loop import GOSSIP_BURST_BYTES, GossipLoop
 from pollenmast.agent._node import new_node
 from pollenmast.counters import CONTROL_BYTES
 from pollenmast.decisions._heartbeats import Send
@@ -21,24 +21,24 @@
 
 PEER = vm(4)
 SOURCE = (PEER.address, PEER.gossip_port)
-NEWS = ProbeNews(7, EndpointReport(1, "registry-1", 9, True))
-PING = Gossip(Act.PING, 1, PEER, "vm-0", probes=(NEWS,))
+PROBE_NEWS = ProbeNews(7, EndpointReport(1, "registry-1", 9, True))
+PING = Gossip(Act.PING, 1, PEER, "vm-0", probes=(PROBE_NEWS,))
 
 
 class FakeSocket:
-    """Gives the loop what comes, and keeps what it sends."""
+    """Delivers queued messages and records those sent."""
 
     def __init__(self):
         self.sent = []
-        self.came, self._in = trio.open_memory_channel(9)
+        self.incoming, self._in = trio.open_memory_channel(9)
 
     def send(self, message, to) -> int:
-        """Keeps a message; returns its size."""
+        """Records a message and returns its size."""
         self.sent.append((message, to))
         return len(_gossip.encode(message)) + 30
 
     async def receive(self):
-        """Returns what came."""
+        """Returns the next queued message."""
         return [await self._in.receive()]
 
 
@@ -58,22 +58,22 @@
     return trio.run(main, clock=clock)
 
 
-def _take(socket, message) -> None:
-    socket.came.send_nowait((message, SOURCE))
+def _deliver(socket, message) -> None:
+    socket.incoming.send_nowait((message, SOURCE))
 
 
-class NewsTest(TestCase):
-    """News goes where it is news, within the budget."""
+class UpdatesTest(TestCase):
+    """Updates go to peers that lack them, within the byte budget."""
 
-    def test_no_echo(self):
-        """An ack does not carry back what its ping has just brought.
+    def test_ack_does_not_return_reports(self):
+        """An ack does not carry its ping's reports back to their sender.
 
-        It did once: half of all news of endpoints went to whom it came from,
-        and load was a quarter older everywhere.
+        When it did, half of all endpoint reports went back to their sender,
+        and load was a quarter older on every VM.
         """
 
         async def script(loop, socket):
-            _take(socket, PING)
+            _deliver(socket, PING)
             await trio.sleep(0.01)
             loop.send([Send(SOURCE, Act.PING, 2, "vm-4")])
 
@@ -83,46 +83,46 @@
             for act in (Act.ACK, Act.PING)
         }
         self.assertEqual([()], probes[Act.ACK])
-        self.assertEqual([(NEWS,)], probes[Act.PING])
+        self.assertEqual([(PROBE_NEWS,)], probes[Act.PING])
 
-    def test_known_is_not_told_again(self):
-        """News that comes by two ways is passed on for one of them."""
+    def test_known_report_is_not_forwarded_again(self):
+        """A report that is received repeatedly is forwarded as one."""
 
         async def script(loop, socket):
             for sequence in range(9):
-                _take(socket, attrs.evolve(PING, sequence=sequence))
+                _deliver(socket, attrs.evolve(PING, sequence=sequence))
                 await trio.sleep(0.01)
             for sequence in range(9):
                 loop.send([Send(SOURCE, Act.PING, sequence, "vm-4")])
 
         sent, _, _ = _run(script)
-        told = sum(len(message.probes) for message, _ in sent)
-        self.assertEqual(2, told)  # Once log2 of this fleet of two.
+        report_count = sum(len(message.probes) for message, _ in sent)
+        self.assertEqual(2, report_count)  # Once per log2 of the fleet (2 VMs).
 
-    def test_budget(self):
-        """A burst of news is cut off; heartbeats still go, without news.
+    def test_burst_is_limited(self):
+        """A burst of updates is limited; heartbeats are sent without them.
 
-        Without the bound, a cut that kills half a large fleet's members
-        would cost each of the others a burst of megabytes.
+        Without the limit, a network cut that removes half the members of a
+        large fleet would cause a burst of megabytes from each of the others.
         """
 
         async def script(loop, socket):
             push = Send(SOURCE, Act.NEWS, members=tuple(map(vm, range(8))))
             for _ in range(200):
                 loop.send([push])
-            loop.tell(NEWS)
+            loop.queue_report(PROBE_NEWS)
             loop.send([Send(SOURCE, Act.PING, 2, "vm-4")])
 
         sent, _, _ = _run(script)
         size = sum(len(_gossip.encode(message)) + 30 for message, _ in sent)
-        self.assertLess(size, BURST_BYTES + 1200)
+        self.assertLess(size, GOSSIP_BURST_BYTES + 1200)
         self.assertEqual((Act.PING, ()), (sent[-1][0].act, sent[-1][0].probes))
 
-    def test_newer_manifest_is_wanted(self):
-        """Any message of a peer tells that it has a greater manifest."""
+    def test_newer_manifest_is_requested(self):
+        """Any message from a peer shows that it has a greater manifest."""
 
         async def script(loop, socket):
-            _take(socket, attrs.evolve(PING, version=3, digest=b"d" * 16))
+            _deliver(socket, attrs.evolve(PING, version=3, digest=b"d" * 16))
             await trio.sleep(0.01)
 
         _, wanted, node = _run(script)
@@ -131,10 +131,10 @@
 
     @parameterized.expand([("usual", 4), ("longest", 63)])
     def test_full_message_fits(self, _, length):
-        """A message with all the news that it may carry is one datagram.
+        """A message with the maximum of updates fits in one datagram.
 
-        With long names it once was more; whoever got it dropped it whole,
-        and a VM whose heartbeats are dropped is declared dead.
+        With long names it was once too long. Its receivers dropped it, and a
+        VM whose heartbeats are dropped is declared dead.
         """
 
         def long_vm(number: int):
@@ -146,14 +146,14 @@
             loop._node.membership._own = long_vm(1)
             for number in range(60):
                 name = f"e-{number}".ljust(length, "x")
-                report = attrs.evolve(NEWS.report, endpoint=name)
-                loop.tell(ProbeNews(number, report))
+                report = attrs.evolve(PROBE_NEWS.report, endpoint=name)
+                loop.queue_report(ProbeNews(number, report))
                 member = long_vm(number + 10)
                 size = _gossip.member_size(member)
                 loop._members.add(member.name, member, size)
             target = long_vm(9)
-            told = (target,)
-            loop.send([Send(SOURCE, Act.PING, 2, target.name, told)])
+            members = (target,)
+            loop.send([Send(SOURCE, Act.PING, 2, target.name, members)])
 
         sent, _, _ = _run(script)
         size = len(_gossip.encode(sent[0][0]))
@@ -161,7 +161,7 @@
         self.assertGreater(size, _gossip.MOST_BODY_BYTES / 2)
 
     def test_full_page_fits(self):
-        """A page of members with the longest names is one datagram."""
+        """A page of members with the longest names fits in one datagram."""
         members = Members()
         for number in range(40):
             name = f"vm-{number}".ljust(63, "x")
--- a/tests/agent_group.py
+++ b/tests/agent_group.py
@@ -1,4 +1,4 @@
-"""An agent's link and its relay in memory, for tests of the loops."""
+"""Test harness: an agent with an in-memory link and relay."""
 
 import math
 
@@ -26,35 +26,35 @@
 REPORT = RelayReport(0, "", True, False, False, 5, 0, 0, (), ())
 
 
-class NoWire:
-    """A system's socket that loses everything."""
+class DiscardingSocket:
+    """A UDP socket that discards every datagram."""
 
     def sendto(self, data, to):
-        """Loses a datagram."""
+        """Discards a datagram."""
         return len(data)
 
 
 class FakeRelay:
-    """The link, and the relay at its other end.
+    """An in-memory link with a relay at its other end.
 
     Attributes:
-        report: What it reports twice a second, or None while it is silent.
-        taken: The messages that it took, with their times.
-        explains: Whether it answers queries.
-        connected: Whether there is a connection to it.
+        report: Report sent twice a second, or None to send none.
+        received: Messages received from the agent, with their times.
+        explains: Whether the relay answers explanation queries.
+        connected: Whether the link is connected.
     """
 
     def __init__(self):
         self.report = REPORT
-        self.taken = []
+        self.received = []
         self.explains = True
         self.connected = True
         self._changed = trio.Event()
         self._out, self._in = trio.open_memory_channel(math.inf)
 
     async def send(self, message) -> bool:
-        """Takes a message of the agent."""
-        self.taken.append((trio.current_time(), message))
+        """Receives a message from the agent."""
+        self.received.append((trio.current_time(), message))
         if isinstance(message, ExplainQuery) and self.explains:
             answer = ExplainAnswer(message.identifier, ("why",))
             self._out.send_nowait(answer)
@@ -67,36 +67,38 @@
         return await self._in.receive()
 
     async def changed(self) -> None:
-        """Returns once the connection has come or gone."""
+        """Waits until the link connects or disconnects."""
         await self._changed.wait()
         self._changed = trio.Event()
 
-    def die(self) -> None:
-        """Ends as a killed process does: its connections are closed."""
+    def kill(self) -> None:
+        """Stops as a killed process does: its connections are closed."""
         self.report = None
         self.connected = False
         self._changed.set()
 
     def restart(self) -> None:
-        """Comes back without a manifest."""
+        """Reconnects without a manifest."""
         self.report = attrs.evolve(REPORT, version=0)
         self.connected = True
         self._changed.set()
 
     async def run(self) -> None:
-        """Reports until cancelled."""
+        """Sends reports until cancelled."""
         while True:
             if self.report is not None:
                 self._out.send_nowait(self.report)
             await trio.sleep(0.5)
 
     def views(self) -> list[tuple[float, FleetView]]:
-        """Returns the views taken, with their times."""
-        return [each for each in self.taken if isinstance(each[1], FleetView)]
+        """Returns the views received, with their times."""
+        return [
+            each for each in self.received if isinstance(each[1], FleetView)
+        ]
 
 
 class Agent:
-    """A node with its link, without peers."""
+    """An agent with a relay but without peers."""
 
     def __init__(self):
         settings = attrs.evolve(
@@ -105,7 +107,7 @@
         self.node = new_node(settings, LOG, trio.current_time())
         key = settings.fleet.key
         socket = GossipSocket(
-            NoWire(), Sealer("vm-0", key), Opener(key), Counters()
+            DiscardingSocket(), Sealer("vm-0", key), Opener(key), Counters()
         )
         self.gossip = GossipLoop(self.node, socket, lambda key, vm: None)
         self.relay = FakeRelay()
@@ -114,28 +116,39 @@
             self.node, self.relay, self.gossip, self.standby
         )
 
-    async def beat(self) -> None:
-        """Runs membership without a network."""
+    async def tick_membership(self) -> None:
+        """Runs the membership protocol without a network."""
         while True:
             now = trio.current_time()
             self.gossip.send(self.node.membership.tick(now))
             await trio.sleep(0.1)
 
     def accept(self, data: bytes) -> None:
-        """Takes a manifest into force."""
+        """Puts a manifest in force."""
         now = trio.current_time()
         self.node.acceptance.offer(parse(data).unwrap(), data, now)
         self.node.membership.set_in_force(self.node.acceptance.key)
-        self.node.notify(at_once=True)
+        self.node.notify_changed(at_once=True)
 
 
 def run(script):
-    """Runs a script beside an agent, with the clock paused between steps."""
+    """Runs a script next to an agent, on a simulated clock.
+
+    Args:
+        script: Async function that is called with the agent.
+
+    Returns:
+        The agent.
+    """
 
     async def main():
         agent = Agent()
         async with trio.open_nursery() as nursery:
-            for task in (agent.relay.run, agent.link.run, agent.beat):
+            for task in (
+                agent.relay.run,
+                agent.link.run,
+                agent.tick_membership,
+            ):
                 nursery.start_soon(task)
             await script(agent)
             nursery.cancel_scope.cancel()
--- a/tests/agent_link_test.py
+++ b/tests/agent_link_test.py
@@ -1,4 +1,4 @@
-"""Tests of agent._link_loop, with a relay in memory."""
+"""Tests of agent._link_loop, with an in-memory relay."""
 
 import attrs
 import trio
@@ -12,10 +12,10 @@
 
 
 class ViewTest(TestCase):
-    """What the relay is told, and how often."""
+    """Content and timing of the views sent to the relay."""
 
-    def test_each_second(self):
-        """Nothing changes; the relay's lease on its view is renewed."""
+    def test_lease_renewal(self):
+        """Views are sent without changes, to renew the relay's lease."""
 
         async def script(agent):
             await trio.sleep(20.0)
@@ -25,38 +25,38 @@
         self.assertLessEqual(max(gaps), 1.1)
         self.assertGreater(min(gaps), 0.9)
 
-    def test_load_is_coalesced(self):
-        """Reports of load come a hundred a second; views go four a second."""
+    def test_load_changes_are_coalesced(self):
+        """100 load changes a second cause about four views a second."""
 
         async def script(agent):
             await trio.sleep(2.0)
-            agent.relay.taken.clear()
+            agent.relay.received.clear()
             for _ in range(1000):
-                agent.node.notify()
+                agent.node.notify_changed()
                 await trio.sleep(0.01)
 
         self.assertLess(len(run(script).relay.views()), 45)
 
-    def test_urgent_is_told_at_once(self):
-        """A VM dies; each moment until the relay knows loses packets.
+    def test_urgent_change_is_sent_at_once(self):
+        """A change that moves flows does not wait for the minimum interval.
 
-        What moves flows does not wait for the spacing of load reports.
+        When a VM dies, packets are lost until the relay has the new view.
         """
-        spent = []
+        delays = []
 
         async def script(agent):
             await trio.sleep(2.0)
             now = trio.current_time()
-            agent.relay.taken.clear()
-            agent.node.notify(at_once=True)
+            agent.relay.received.clear()
+            agent.node.notify_changed(at_once=True)
             await trio.sleep(0.2)
-            spent.append(agent.relay.views()[0][0] - now)
+            delays.append(agent.relay.views()[0][0] - now)
 
         run(script)
-        self.assertLess(spent[0], 0.05)
+        self.assertLess(delays[0], 0.05)
 
-    def test_manifest_until_in_force(self):
-        """The text goes to the relay until its report shows it, then not."""
+    def test_manifest_is_sent_until_in_force(self):
+        """The manifest is not sent again once the relay reports it."""
 
         async def script(agent):
             await trio.sleep(1.0)
@@ -72,8 +72,8 @@
         sent = [view for _, view in views if view.manifest is not None]
         self.assertEqual([text(3)], [view.manifest for view in sent])
 
-    def test_new_relay_gets_the_manifest(self):
-        """The relay restarts and reports no manifest; it is sent again."""
+    def test_manifest_is_sent_again_to_new_relay(self):
+        """The manifest is sent again to a relay that reports none."""
 
         async def script(agent):
             await trio.sleep(1.0)
@@ -84,10 +84,11 @@
         sent = [at for at, view in views if view.manifest is not None]
         self.assertGreaterEqual(len(sent), 2)
 
-    def test_stale_after_a_pause(self):
-        """The whole VM freezes; the first view after it must not be fresh.
+    def test_view_after_suspension_is_not_fresh(self):
+        """The first view after the VM was suspended is not marked fresh.
 
-        Else the relay would open flows by what was true before the freeze.
+        Otherwise the relay would open flows based on the state from before
+        the suspension.
         """
 
         async def main():
@@ -108,10 +109,10 @@
 
 
 class RelayTest(TestCase):
-    """What this VM tells the fleet of its relay."""
+    """How the agent tracks and announces the state of its relay."""
 
     def test_silent_relay(self):
-        """The relay dies or hangs; its VM says so, and flows move on."""
+        """A relay that stops reporting is announced as down."""
         seen = []
 
         async def script(agent):
@@ -128,15 +129,15 @@
         self.assertEqual([True, False, True], seen)
 
     def test_killed_relay(self):
-        """The relay is killed; the fleet hears of it before a report is due.
+        """A killed relay is announced as down before its report is overdue.
 
-        Its flows would stand still for as long as its agent waits.
+        Its flows would stall for as long as its agent waits.
         """
         seen = []
 
         async def script(agent):
             await trio.sleep(2.0)
-            agent.relay.die()
+            agent.relay.kill()
             await trio.sleep(0.05)
             seen.append(agent.node.membership.own.relay_up)
             seen.append(agent.standby.needed)
@@ -145,16 +146,17 @@
         self.assertEqual([False, True], seen)
 
     def test_restarted_relay(self):
-        """A new relay reports before it has a manifest, and so before ports.
+        """The standby stays active until a restarted relay has a manifest.
 
-        Were the ports given back with its first report, what the fabric sends
-        until it has opened them would be lost.
+        The relay reports before it has a manifest, and opens its ports only
+        with one. If the standby stopped at the first report, datagrams that
+        arrive before the relay opens its ports would be lost.
         """
         seen = []
 
         async def script(agent):
             await trio.sleep(2.0)
-            agent.relay.die()
+            agent.relay.kill()
             await trio.sleep(1.0)
             agent.relay.restart()
             await trio.sleep(1.0)
@@ -166,11 +168,11 @@
         run(script)
         self.assertEqual([True, False], seen)
 
-    def test_agent_starts_alone(self):
-        """An agent is restarted after its relay has died.
+    def test_agent_starts_without_relay(self):
+        """An agent that starts without a relay activates the standby.
 
-        It never hears a report; it waits as long for the first as for any,
-        since a relay that lives reports within that.
+        It waits for the first report as long as for any other, since a
+        running relay reports within that time.
         """
         seen = []
 
@@ -184,12 +186,12 @@
         run(script)
         self.assertEqual([False, True], seen)
 
-    def test_paused_agent(self):
-        """The agent stands still for seconds while its relay goes on.
+    def test_suspended_agent(self):
+        """An agent that was suspended does not consider its relay down.
 
-        The reports wait in the link. An agent that found its relay silent
-        then would take the ports of a relay that carries flows, and callers
-        would see their sessions pulled to and fro.
+        The relay's reports wait in the link during that time. An agent that
+        took the relay for silent would take over the ports of a relay that
+        carries flows, and callers' sessions would move back and forth.
         """
         seen = []
 
@@ -210,7 +212,7 @@
         self.assertEqual([True, False], seen)
 
     def test_draining_relay(self):
-        """The relay alone is stopped, and replaced by a new one."""
+        """The VM leaves while its relay drains and returns with a new one."""
         seen = []
 
         async def script(agent):
@@ -226,7 +228,7 @@
 
     @parameterized.expand([("answers", True, ("why",)), ("mute", False, None)])
     def test_explain(self, _, explains, expected):
-        """An operator's question has an answer, or none in bounded time."""
+        """A query returns an answer, or none after a bounded time."""
         lines = []
 
         async def script(agent):
