--- a/src/pollenmast/entry/_checks.py
+++ b/src/pollenmast/entry/_checks.py
@@ -149,7 +149,9 @@
         extra_s = min(LAG_FACTOR * self._pauses.lag_s, MAX_EXTRA_S)
         controls = []
         if record.health.failing:
-            controls = self._steering.doubts.controls(record, MAX_CONTROLS)
+            controls = self._steering.check_policy.controls(
+                record, MAX_CONTROLS
+            )
         reached: list[bool] = []
         async with anyio.create_task_group() as tasks:
             for other in controls:
--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -295,10 +295,10 @@
         # checks would all stop checking.
         if self._members.is_reader(now):
             for number in report.down:
-                self._steering.doubts.on_reported_down(number, now)
+                self._steering.check_policy.on_reported_down(number, now)
         elif report.kind is Kind.ANSWER and report.zone == self._zone:
             for number in report.down:
-                self._steering.doubts.on_told_down(number, now)
+                self._steering.check_policy.on_told_down(number, now)
 
     def _record_load(self, report: Report, now: float) -> None:
         load = self._steering.load
--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -115,7 +115,7 @@
         return self._flows
 
     @property
-    def doubts(self) -> CheckPolicy:
+    def check_policy(self) -> CheckPolicy:
         """The policy that selects the endpoints this VM health-checks."""
         return self._check_policy
 
--- a/tests/steering_drains_test.py
+++ b/tests/steering_drains_test.py
@@ -139,7 +139,7 @@
         core = group.steering(NEAR, FAR)
         _drain(core)
         failing = core.catalog.get(FAR.name)
-        self.assertEqual([], core.doubts.controls(failing, 2))
+        self.assertEqual([], core.check_policy.controls(failing, 2))
 
 
 class _DrainsTestCase(TestCase):
