--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -149,12 +149,12 @@
         """
         load = self._steering.load
         if load.is_settled(now):
-            mates = self._members.mates
+            peers = self._members.zone_peers
             # A reader hears from all VMs of the zone; other VMs know only
             # those that reports have named.
-            complete = len(mates) + 1 >= load.told_vms(now)
+            complete = len(peers) + 1 >= load.told_vms(now)
             stable = now - self._members.joined_at >= MEMBERS_STABLE_S
-            return (self._host, mates) if complete and stable else None
+            return (self._host, peers) if complete and stable else None
         alone = not self._heard_any_peer and self._round >= SOLE_VM_ROUNDS
         return (self._host, []) if alone else None
 
@@ -257,7 +257,7 @@
         report = self._report(
             Kind.CHANGES, now, after=after.revision, changes=changes
         )
-        for host in set(self._members.mates) - set(readers):
+        for host in set(self._members.zone_peers) - set(readers):
             if zlib.crc32(host.encode()) % len(readers) == own:
                 self._send(report, host)
 
--- a/src/pollenmast/steering/_members.py
+++ b/src/pollenmast/steering/_members.py
@@ -104,7 +104,7 @@
         return list(self._members)
 
     @property
-    def mates(self) -> list[str]:
+    def zone_peers(self) -> list[str]:
         """The addresses of the other VMs of this VM's zone."""
         return [
             host
@@ -133,7 +133,7 @@
         one of them queries the other.
         """
         heard = self.heard(self._zone, now)
-        return sorted(set(self.mates) - set(heard))
+        return sorted(set(self.zone_peers) - set(heard))
 
     def strangers(self) -> list[str]:
         """Returns VMs to contact that are no members: seeds and lost VMs.
