--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -226,7 +226,7 @@
             )
         if not self._members.hosts or self._round % DISCOVERY_ROUNDS == 0:
             targets += self._sample(
-                self._members.strangers(), MAX_DISCOVERY_TARGETS
+                self._members.contact_candidates(), MAX_DISCOVERY_TARGETS
             )
         failures = self._steering.outliers.own(now)
         ask = self._report(
--- a/src/pollenmast/steering/_members.py
+++ b/src/pollenmast/steering/_members.py
@@ -135,7 +135,7 @@
         heard = self.heard(self._zone, now)
         return sorted(set(self.zone_peers) - set(heard))
 
-    def strangers(self) -> list[str]:
+    def contact_candidates(self) -> list[str]:
         """Returns VMs to contact that are no members: seeds and lost VMs.
 
         Each call counts as one attempt to contact every lost VM.
--- a/tests/steering_members_test.py
+++ b/tests/steering_members_test.py
@@ -149,18 +149,18 @@
         members = _members(3)
         members.expire(MEMBER_TIMEOUT_S)
         self.assertEqual([], members.hosts)
-        self.assertEqual(["10.0.0.1", "10.0.0.2"], members.strangers())
+        self.assertEqual(["10.0.0.1", "10.0.0.2"], members.contact_candidates())
         members.on_heard("10.0.0.1", ZONE, 20.0)
-        self.assertEqual(["10.0.0.2"], members.strangers())
+        self.assertEqual(["10.0.0.2"], members.contact_candidates())
         for _ in range(MAX_CONTACT_ATTEMPTS):
-            members.strangers()
-        self.assertEqual([], members.strangers())
+            members.contact_candidates()
+        self.assertEqual([], members.contact_candidates())
 
     def test_seeds(self):
         """Seeds that are down are contacted without a limit of attempts."""
         members = Members("10.0.0.0", ZONE, ["10.0.0.0", "10.1.0.9"])
         for _ in range(2 * MAX_CONTACT_ATTEMPTS):
-            self.assertEqual(["10.1.0.9"], members.strangers())
+            self.assertEqual(["10.1.0.9"], members.contact_candidates())
 
 
 class RankingTest(TestCase):
