--- a/src/pollenmast/steering/__init__.py
+++ b/src/pollenmast/steering/__init__.py
@@ -18,7 +18,7 @@
 from pollenmast.steering._core import Applied, Steering
 from pollenmast.steering._drains import Drains
 from pollenmast.steering._health import CheckResult, Health
-from pollenmast.steering._load import LoadBook, Rates
+from pollenmast.steering._load import EndpointLoads, Rates
 from pollenmast.steering._members import Members
 from pollenmast.steering._model import (
     Endpoint,
@@ -54,7 +54,7 @@
     "FlowKey",
     "Forward",
     "Health",
-    "LoadBook",
+    "EndpointLoads",
     "Members",
     "Outcome",
     "Outliers",
--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -29,7 +29,7 @@
 from pollenmast.steering._flows import MIN_RETRANSMIT_S, FlowTable
 from pollenmast.steering._health import CheckResult
 from pollenmast.steering._journal import Journal
-from pollenmast.steering._load import LoadBook
+from pollenmast.steering._load import EndpointLoads
 from pollenmast.steering._model import FlowKey, Route, RouteTable, Segment
 from pollenmast.steering._outcomes import Drop, Forward, Outcome, Reset
 from pollenmast.steering._outliers import Outliers
@@ -84,7 +84,7 @@
         self._catalog = Catalog()
         self._flows = FlowTable()
         self._check_policy = CheckPolicy(self._catalog, self._flows)
-        self._load = LoadBook(zone)
+        self._load = EndpointLoads(zone)
         self._cold_limit = ColdLimit(zone, allowance)
         self._outliers = Outliers(self._catalog)
         self._observer = TrafficObserver(
@@ -120,7 +120,7 @@
         return self._check_policy
 
     @property
-    def load(self) -> LoadBook:
+    def load(self) -> EndpointLoads:
         """The load of the endpoints."""
         return self._load
 
--- a/src/pollenmast/steering/_load.py
+++ b/src/pollenmast/steering/_load.py
@@ -60,7 +60,7 @@
         return self.at - other.at >= PREFER_LARGER_SUM_S
 
 
-class LoadBook:
+class EndpointLoads:
     """One VM's view of the load of all endpoints."""
 
     def __init__(self, zone: str):
--- a/src/pollenmast/steering/_placement.py
+++ b/src/pollenmast/steering/_placement.py
@@ -31,7 +31,7 @@
 from pollenmast.counters import PlacementReason
 from pollenmast.steering._catalog import Catalog
 from pollenmast.steering._cold_limit import ColdLimit
-from pollenmast.steering._load import LoadBook
+from pollenmast.steering._load import EndpointLoads
 from pollenmast.steering._model import Warmup
 from pollenmast.steering._record import Presence, Record
 
@@ -79,7 +79,7 @@
         self,
         zone: str,
         catalog: Catalog,
-        load: LoadBook,
+        load: EndpointLoads,
         rng: random.Random,
         cold_limit: ColdLimit | None = None,
     ):
--- a/src/pollenmast/steering/_traffic_observer.py
+++ b/src/pollenmast/steering/_traffic_observer.py
@@ -9,7 +9,7 @@
 from pollenmast.steering._check_policy import CheckPolicy
 from pollenmast.steering._flows import FlowTable, update_flow
 from pollenmast.steering._lengths import AnswerLengths
-from pollenmast.steering._load import LoadBook
+from pollenmast.steering._load import EndpointLoads
 from pollenmast.steering._model import FlowKey, Segment
 from pollenmast.steering._outliers import Outliers
 from pollenmast.steering._record import Record
@@ -27,7 +27,7 @@
         self,
         flows: FlowTable,
         check_policy: CheckPolicy,
-        load: LoadBook,
+        load: EndpointLoads,
         outliers: Outliers,
         histograms: Histograms,
     ):
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from pollenmast.counters import PlacementReason
-from pollenmast.steering import Catalog, LoadBook
+from pollenmast.steering import Catalog, EndpointLoads
 from pollenmast.steering._load import REPORT_LIFE_S, WINDOW_S, ZONES_SETTLE_S
 from pollenmast.steering._placement import (
     ZONE_ADVANTAGE,
@@ -25,7 +25,7 @@
 FAR = group.endpoint(3, zone=group.OTHER_ZONE)
 
 
-def _rates(book: LoadBook, now: float) -> list[float]:
+def _rates(book: EndpointLoads, now: float) -> list[float]:
     """Returns the rates of the first three endpoints."""
     return [book.rate(number, now) for number in (1, 2, 3)]
 
@@ -35,7 +35,7 @@
 
     def test_window(self):
         """A request counts for two seconds."""
-        book = LoadBook(group.ZONE)
+        book = EndpointLoads(group.ZONE)
         for _ in range(10):
             book.on_work(1, 5.0)
         self.assertEqual({1: 10 / WINDOW_S}, book.own(5.1))
@@ -43,7 +43,7 @@
 
     def test_sums(self):
         """Own requests, those of the zone's VMs and of other zones add up."""
-        book = LoadBook(group.ZONE)
+        book = EndpointLoads(group.ZONE)
         book.on_work(1, 5.0)
         book.on_mate("vm-2", {1: 3.0}, 5.0)
         book.on_zone(group.OTHER_ZONE, {1: 4.0, 3: 9.0}, 3, 5.0)
@@ -56,7 +56,7 @@
         Otherwise flows that arrive between two reports would all find the same
         endpoint idle.
         """
-        book = LoadBook(group.ZONE)
+        book = EndpointLoads(group.ZONE)
         book.on_work(1, 5.0)
         self.assertEqual({1: 0.5}, book.report(5.0))
         book.on_total({1: 8.5, 2: 4.0}, 25, 5.1)
@@ -70,7 +70,7 @@
         A VM that has just become a reader has received reports from two others
         only. Its own sum would make busy endpoints look idle.
         """
-        book = LoadBook(group.ZONE)
+        book = EndpointLoads(group.ZONE)
         book.on_total({1: 30.0}, 25, 5.0)
         book.on_mate("vm-2", {1: 1.0}, 5.0)
         self.assertEqual(30.0, book.rate(1, 5.0))
@@ -86,7 +86,7 @@
 
         Its endpoints would otherwise look busy and be left idle.
         """
-        book = LoadBook(group.ZONE)
+        book = EndpointLoads(group.ZONE)
         book.on_mate("vm-2", {1: 30.0}, 5.0)
         after = 5.1 + REPORT_LIFE_S
         self.assertEqual([0.0, 0.0, 0.0], _rates(book, after))
@@ -99,7 +99,7 @@
         """Places a flow by the load from others and from own requests."""
         catalog = Catalog()
         catalog.apply(group.listing(*endpoints), 0.0)
-        load = LoadBook(group.ZONE)
+        load = EndpointLoads(group.ZONE)
         load.on_zone(group.OTHER_ZONE, rates, 1, 100.0 - ZONES_SETTLE_S)
         load.on_zone(group.OTHER_ZONE, rates, 1, 100.0)
         for number, requests in (own or {}).items():
@@ -146,7 +146,7 @@
         """
         catalog = Catalog()
         catalog.apply(group.listing(FIRST, FAR), 0.0)
-        load = LoadBook(group.ZONE)
+        load = EndpointLoads(group.ZONE)
         for at in heard_at:
             load.on_mate("vm-2", {1: 60.0}, at)
             load.on_zone(group.OTHER_ZONE, {3: 2.0}, 1, at)
@@ -225,7 +225,7 @@
         told = {each.number: 20.0 for each in listed[1:]}
         placements = []
         for seed in range(vms):
-            load = LoadBook(group.ZONE)
+            load = EndpointLoads(group.ZONE)
             load.on_total(told, vms + 1, 100.0)
             rng = random.Random(seed)
             placements.append(Placement(group.ZONE, catalog, load, rng))
@@ -266,7 +266,7 @@
     listed = [group.endpoint(n + 1) for n in range(endpoints)]
     catalog = Catalog()
     catalog.apply(group.listing(*listed), 0.0)
-    books = [LoadBook(group.ZONE) for _ in range(vms)]
+    books = [EndpointLoads(group.ZONE) for _ in range(vms)]
     placements = [
         Placement(group.ZONE, catalog, book, random.Random(seed))
         for seed, book in enumerate(books)
