--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -310,7 +310,7 @@
         elif report.kind is Kind.ZONE:
             load.on_zone(report.zone, report.rates, report.vms, now)
         elif report.kind is Kind.ASK and report.zone == self._zone:
-            load.on_mate(report.vm, report.rates, now)
+            load.on_peer_report(report.vm, report.rates, now)
             self._steering.outliers.on_mate(report.vm, report.failures, now)
 
     def _apply_changes(self, report: Report, host: str, now: float) -> None:
--- a/src/pollenmast/steering/_load.py
+++ b/src/pollenmast/steering/_load.py
@@ -82,7 +82,7 @@
         """Counts a late request that this VM had sent to an endpoint."""
         self._late_meters.setdefault(endpoint, Meter(LATE_WINDOW_S)).add(now)
 
-    def on_mate(self, vm: str, rates: Rates, now: float) -> None:
+    def on_peer_report(self, vm: str, rates: Rates, now: float) -> None:
         """Handles a report by a VM of the same zone of what it sends."""
         self._on_report_received(now)
         self._peer_reports[vm] = _Report(now, rates)
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -45,7 +45,7 @@
         """Own requests, those of the zone's VMs and of other zones add up."""
         book = EndpointLoads(group.ZONE)
         book.on_work(1, 5.0)
-        book.on_mate("vm-2", {1: 3.0}, 5.0)
+        book.on_peer_report("vm-2", {1: 3.0}, 5.0)
         book.on_zone(group.OTHER_ZONE, {1: 4.0, 3: 9.0}, 3, 5.0)
         self.assertEqual(3.5, book.zone(5.0)[1])
         self.assertEqual([7.5, 0.0, 9.0], _rates(book, 5.0))
@@ -72,7 +72,7 @@
         """
         book = EndpointLoads(group.ZONE)
         book.on_total({1: 30.0}, 25, 5.0)
-        book.on_mate("vm-2", {1: 1.0}, 5.0)
+        book.on_peer_report("vm-2", {1: 1.0}, 5.0)
         self.assertEqual(30.0, book.rate(1, 5.0))
         book.on_total({1: 2.0}, 3, 5.1)
         self.assertEqual(30.0, book.rate(1, 5.1))
@@ -87,7 +87,7 @@
         Its endpoints would otherwise look busy and be left idle.
         """
         book = EndpointLoads(group.ZONE)
-        book.on_mate("vm-2", {1: 30.0}, 5.0)
+        book.on_peer_report("vm-2", {1: 30.0}, 5.0)
         after = 5.1 + REPORT_LIFE_S
         self.assertEqual([0.0, 0.0, 0.0], _rates(book, after))
 
@@ -148,7 +148,7 @@
         catalog.apply(group.listing(FIRST, FAR), 0.0)
         load = EndpointLoads(group.ZONE)
         for at in heard_at:
-            load.on_mate("vm-2", {1: 60.0}, at)
+            load.on_peer_report("vm-2", {1: 60.0}, at)
             load.on_zone(group.OTHER_ZONE, {3: 2.0}, 1, at)
         placement = Placement(group.ZONE, catalog, load, random.Random(1))
         placed = placement.choose("registry", (), 100.0)
