--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -308,7 +308,7 @@
             )
             self._steering.outliers.on_told(report.ejected, now)
         elif report.kind is Kind.ZONE:
-            load.on_zone(report.zone, report.rates, report.vms, now)
+            load.on_zone_report(report.zone, report.rates, report.vms, now)
         elif report.kind is Kind.ASK and report.zone == self._zone:
             load.on_peer_report(report.vm, report.rates, now)
             self._steering.outliers.on_mate(report.vm, report.failures, now)
--- a/src/pollenmast/steering/_load.py
+++ b/src/pollenmast/steering/_load.py
@@ -87,7 +87,9 @@
         self._on_report_received(now)
         self._peer_reports[vm] = _Report(now, rates)
 
-    def on_zone(self, zone: str, rates: Rates, vms: int, now: float) -> None:
+    def on_zone_report(
+        self, zone: str, rates: Rates, vms: int, now: float
+    ) -> None:
         """Handles a report by another zone's reader of what its VMs send."""
         self._on_report_received(now)
         report = _Report(now, rates, vms)
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -46,7 +46,7 @@
         book = EndpointLoads(group.ZONE)
         book.on_work(1, 5.0)
         book.on_peer_report("vm-2", {1: 3.0}, 5.0)
-        book.on_zone(group.OTHER_ZONE, {1: 4.0, 3: 9.0}, 3, 5.0)
+        book.on_zone_report(group.OTHER_ZONE, {1: 4.0, 3: 9.0}, 3, 5.0)
         self.assertEqual(3.5, book.zone(5.0)[1])
         self.assertEqual([7.5, 0.0, 9.0], _rates(book, 5.0))
 
@@ -76,8 +76,8 @@
         self.assertEqual(30.0, book.rate(1, 5.0))
         book.on_total({1: 2.0}, 3, 5.1)
         self.assertEqual(30.0, book.rate(1, 5.1))
-        book.on_zone(group.OTHER_ZONE, {1: 20.0}, 25, 5.0)
-        book.on_zone(group.OTHER_ZONE, {1: 1.0}, 2, 5.1)
+        book.on_zone_report(group.OTHER_ZONE, {1: 20.0}, 25, 5.0)
+        book.on_zone_report(group.OTHER_ZONE, {1: 1.0}, 2, 5.1)
         after = 5.1 + REPORT_LIFE_S
         self.assertEqual(0.0, book.rate(1, after))
 
@@ -100,8 +100,8 @@
         catalog = Catalog()
         catalog.apply(group.listing(*endpoints), 0.0)
         load = EndpointLoads(group.ZONE)
-        load.on_zone(group.OTHER_ZONE, rates, 1, 100.0 - ZONES_SETTLE_S)
-        load.on_zone(group.OTHER_ZONE, rates, 1, 100.0)
+        load.on_zone_report(group.OTHER_ZONE, rates, 1, 100.0 - ZONES_SETTLE_S)
+        load.on_zone_report(group.OTHER_ZONE, rates, 1, 100.0)
         for number, requests in (own or {}).items():
             for _ in range(requests):
                 load.on_work(number, 100.0)
@@ -149,7 +149,7 @@
         load = EndpointLoads(group.ZONE)
         for at in heard_at:
             load.on_peer_report("vm-2", {1: 60.0}, at)
-            load.on_zone(group.OTHER_ZONE, {3: 2.0}, 1, at)
+            load.on_zone_report(group.OTHER_ZONE, {3: 2.0}, 1, at)
         placement = Placement(group.ZONE, catalog, load, random.Random(1))
         placed = placement.choose("registry", (), 100.0)
         self.assertEqual(reason, placed.reason)
