--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -303,7 +303,7 @@
     def _record_load(self, report: Report, now: float) -> None:
         load = self._steering.load
         if report.kind is Kind.ANSWER and report.zone == self._zone:
-            load.on_total(
+            load.on_total_report(
                 report.rates, report.vms, now, report.unlisted_rate_bound
             )
             self._steering.outliers.on_told(report.ejected, now)
--- a/src/pollenmast/steering/_load.py
+++ b/src/pollenmast/steering/_load.py
@@ -96,7 +96,7 @@
         if report.replaces(self._zone_reports.get(zone)):
             self._zone_reports[zone] = report
 
-    def on_total(
+    def on_total_report(
         self, rates: Rates, vms: int, now: float, floor: float = 0.0
     ) -> None:
         """Handles a report by this zone's reader of what all VMs send.
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -59,7 +59,7 @@
         book = EndpointLoads(group.ZONE)
         book.on_work(1, 5.0)
         self.assertEqual({1: 0.5}, book.report(5.0))
-        book.on_total({1: 8.5, 2: 4.0}, 25, 5.1)
+        book.on_total_report({1: 8.5, 2: 4.0}, 25, 5.1)
         book.on_work(2, 5.2)
         self.assertEqual([8.5, 4.5, 0.0], _rates(book, 5.2))
         self.assertEqual({1: 0.5, 2: 0.5}, dict(book.gathered(5.2)))
@@ -71,10 +71,10 @@
         only. Its own sum would make busy endpoints look idle.
         """
         book = EndpointLoads(group.ZONE)
-        book.on_total({1: 30.0}, 25, 5.0)
+        book.on_total_report({1: 30.0}, 25, 5.0)
         book.on_peer_report("vm-2", {1: 1.0}, 5.0)
         self.assertEqual(30.0, book.rate(1, 5.0))
-        book.on_total({1: 2.0}, 3, 5.1)
+        book.on_total_report({1: 2.0}, 3, 5.1)
         self.assertEqual(30.0, book.rate(1, 5.1))
         book.on_zone_report(group.OTHER_ZONE, {1: 20.0}, 25, 5.0)
         book.on_zone_report(group.OTHER_ZONE, {1: 1.0}, 2, 5.1)
@@ -226,7 +226,7 @@
         placements = []
         for seed in range(vms):
             load = EndpointLoads(group.ZONE)
-            load.on_total(told, vms + 1, 100.0)
+            load.on_total_report(told, vms + 1, 100.0)
             rng = random.Random(seed)
             placements.append(Placement(group.ZONE, catalog, load, rng))
         got = 0
@@ -278,7 +278,7 @@
         now += rng.expovariate(rate)
         if now >= told + 0.25 and pending:
             for book in books:
-                book.on_total(pending, vms + 1, now)
+                book.on_total_report(pending, vms + 1, now)
             pending = {}
         if now >= told + 0.5:
             told, pending = now, collections.Counter()
