--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -348,7 +348,7 @@
         # Count the flow now rather than with its first request: otherwise
         # flows that arrive together would all pick the same endpoint as the
         # least loaded.
-        self._load.on_work(endpoint.number, now)
+        self._load.on_request(endpoint.number, now)
         self._counters.add(c.PLACEMENTS, placed.reason)
         return Forward(endpoint, placed.reason)
 
--- a/src/pollenmast/steering/_load.py
+++ b/src/pollenmast/steering/_load.py
@@ -74,7 +74,7 @@
         self._receiving_since = float("-inf")
         self._last_received_at = float("-inf")
 
-    def on_work(self, endpoint: int, now: float) -> None:
+    def on_request(self, endpoint: int, now: float) -> None:
         """Counts a request, or a new flow, that this VM sent to an endpoint."""
         self._meters.setdefault(endpoint, Meter(WINDOW_S)).add(now)
 
--- a/src/pollenmast/steering/_traffic_observer.py
+++ b/src/pollenmast/steering/_traffic_observer.py
@@ -58,7 +58,7 @@
             record.health.on_advance(now)
             self._pending.end(segment.flow)
         if progress.request:
-            self._load.on_work(record.endpoint.number, now)
+            self._load.on_request(record.endpoint.number, now)
             record.health.on_request(now, self._usual_answer_s)
             self._pending.begin(segment.flow, record.endpoint.number, now)
         if progress.repeated:
--- a/tests/entry_gossip_test.py
+++ b/tests/entry_gossip_test.py
@@ -152,7 +152,7 @@
         for _ in range(rounds):
             for vm in network.up():
                 for endpoint in ENDPOINTS:
-                    vm.core.load.on_work(endpoint.number, network.now)
+                    vm.core.load.on_request(endpoint.number, network.now)
             network.round()
 
     def _assert_load_known(self, network: _Network, vms: int) -> None:
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -37,14 +37,14 @@
         """A request counts for two seconds."""
         book = EndpointLoads(group.ZONE)
         for _ in range(10):
-            book.on_work(1, 5.0)
+            book.on_request(1, 5.0)
         self.assertEqual({1: 10 / WINDOW_S}, book.own(5.1))
         self.assertEqual({}, book.own(5.0 + WINDOW_S + 0.5))
 
     def test_sums(self):
         """Own requests, those of the zone's VMs and of other zones add up."""
         book = EndpointLoads(group.ZONE)
-        book.on_work(1, 5.0)
+        book.on_request(1, 5.0)
         book.on_peer_report("vm-2", {1: 3.0}, 5.0)
         book.on_zone_report(group.OTHER_ZONE, {1: 4.0, 3: 9.0}, 3, 5.0)
         self.assertEqual(3.5, book.zone(5.0)[1])
@@ -57,10 +57,10 @@
         endpoint idle.
         """
         book = EndpointLoads(group.ZONE)
-        book.on_work(1, 5.0)
+        book.on_request(1, 5.0)
         self.assertEqual({1: 0.5}, book.report(5.0))
         book.on_total_report({1: 8.5, 2: 4.0}, 25, 5.1)
-        book.on_work(2, 5.2)
+        book.on_request(2, 5.2)
         self.assertEqual([8.5, 4.5, 0.0], _rates(book, 5.2))
         self.assertEqual({1: 0.5, 2: 0.5}, dict(book.gathered(5.2)))
 
@@ -104,7 +104,7 @@
         load.on_zone_report(group.OTHER_ZONE, rates, 1, 100.0)
         for number, requests in (own or {}).items():
             for _ in range(requests):
-                load.on_work(number, 100.0)
+                load.on_request(number, 100.0)
         placement = Placement(group.ZONE, catalog, load, random.Random(1))
         return placement.choose("registry", tried, 100.0)
 
@@ -286,7 +286,7 @@
                 pending.update(book.report(now))
         vm = rng.randrange(vms)
         placed = placements[vm].choose("registry", (), now).record.endpoint
-        books[vm].on_work(placed.number, now)
+        books[vm].on_request(placed.number, now)
         served[placed.name].take(now, rng.expovariate(1.0 / WORK_S))
     return sum(each.rejected for each in served.values())
 
