--- a/src/pollenmast/steering/_load.py
+++ b/src/pollenmast/steering/_load.py
@@ -118,10 +118,10 @@
 
     def report(self, now: float) -> Rates:
         """Returns what this VM sends, for its report to a reader."""
-        self._own_report = self.own(now)
+        self._own_report = self.own_rates(now)
         return self._own_report
 
-    def own(self, now: float) -> Rates:
+    def own_rates(self, now: float) -> Rates:
         """Returns what this VM sends; idle endpoints are left out."""
         rates = _meter_rates(self._meters, 1.0 / WINDOW_S, now)
         late = _meter_rates(self._late_meters, LATE_RATE, now)
@@ -130,7 +130,7 @@
     def zone(self, now: float) -> Rates:
         """Returns what this zone's VMs send."""
         return _sum_rates(
-            [self.own(now), *_fresh_rates(self._peer_reports, now)]
+            [self.own_rates(now), *_fresh_rates(self._peer_reports, now)]
         )
 
     def vms(self, now: float) -> int:
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -38,8 +38,8 @@
         book = EndpointLoads(group.ZONE)
         for _ in range(10):
             book.on_request(1, 5.0)
-        self.assertEqual({1: 10 / WINDOW_S}, book.own(5.1))
-        self.assertEqual({}, book.own(5.0 + WINDOW_S + 0.5))
+        self.assertEqual({1: 10 / WINDOW_S}, book.own_rates(5.1))
+        self.assertEqual({}, book.own_rates(5.0 + WINDOW_S + 0.5))
 
     def test_sums(self):
         """Own requests, those of the zone's VMs and of other zones add up."""
--- a/tests/steering_waiting_test.py
+++ b/tests/steering_waiting_test.py
@@ -176,6 +176,6 @@
         everywhere = dict.fromkeys(range(1, 11), 0.05)
         simulation = _Simulation(10, 40, everywhere)
         simulation.run(20.0)
-        rates = simulation._core.load.own(20.0)
+        rates = simulation._core.load.own_rates(20.0)
         work = [rates.get(number, 0.0) for number in range(1, 11)]
         self.assertLess(max(work), 3.0 * sum(work) / len(work))
