--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -360,7 +360,7 @@
             changes: Encoded changes, empty if none.
         """
         load = self._steering.load
-        vms, rates = load.vms(now), load.gathered(now)
+        vms, rates = load.vms(now), load.sum_of_reports(now)
         ejected = ()
         if zone == self._zone and self._members.is_reader(now):
             ejected = tuple(self._steering.outliers.eject(now))
--- a/src/pollenmast/steering/_load.py
+++ b/src/pollenmast/steering/_load.py
@@ -137,7 +137,7 @@
         """Returns how many of the zone's VMs this VM's own sum covers."""
         return len(_fresh_rates(self._peer_reports, now)) + 1
 
-    def gathered(self, now: float) -> Rates:
+    def sum_of_reports(self, now: float) -> Rates:
         """Returns what all VMs send, from the reports received here.
 
         Only this is passed on. If two VMs reported to each other the totals
--- a/tests/entry_report_test.py
+++ b/tests/entry_report_test.py
@@ -176,7 +176,7 @@
     def test_load(self):
         """The load that another VM reports is added to the total."""
         self._receive()
-        self.assertEqual({1: 2.5}, dict(self.core.load.gathered(1.0)))
+        self.assertEqual({1: 2.5}, dict(self.core.load.sum_of_reports(1.0)))
         self.assertEqual(2.5, self.core.load.rate(1, 1.0))
 
     def test_silent_connection(self):
@@ -270,7 +270,7 @@
         """Malformed datagrams are counted and change nothing."""
         self.gossip.take(data, "127.0.0.2", 1.0)
         self.assertEqual(1, self.counters.value(ENVELOPE_FAULTS, "malformed"))
-        self.assertEqual({}, dict(self.core.load.gathered(1.0)))
+        self.assertEqual({}, dict(self.core.load.sum_of_reports(1.0)))
 
 
 def _values(report: Report) -> dict[str, object]:
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -62,7 +62,7 @@
         book.on_total_report({1: 8.5, 2: 4.0}, 25, 5.1)
         book.on_request(2, 5.2)
         self.assertEqual([8.5, 4.5, 0.0], _rates(book, 5.2))
-        self.assertEqual({1: 0.5, 2: 0.5}, dict(book.gathered(5.2)))
+        self.assertEqual({1: 0.5, 2: 0.5}, dict(book.sum_of_reports(5.2)))
 
     def test_new_reader(self):
         """A total over many VMs is kept against one over few.
