--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -152,7 +152,7 @@
             peers = self._members.zone_peers
             # A reader hears from all VMs of the zone; other VMs know only
             # those that reports have named.
-            complete = len(peers) + 1 >= load.told_vms(now)
+            complete = len(peers) + 1 >= load.total_vm_count(now)
             stable = now - self._members.joined_at >= MEMBERS_STABLE_S
             return (self._host, peers) if complete and stable else None
         alone = not self._heard_any_peer and self._round >= SOLE_VM_ROUNDS
--- a/src/pollenmast/steering/_load.py
+++ b/src/pollenmast/steering/_load.py
@@ -174,7 +174,7 @@
         most of the time of a placement.
         """
         own = self.own_rate(endpoint, now)
-        if self.told_vms(now) <= self.vms(now):
+        if self.total_vm_count(now) <= self.vms(now):
             reports = [
                 *_fresh_rates(self._peer_reports, now),
                 *_fresh_rates(self._zone_reports, now),
@@ -193,7 +193,7 @@
         rate = meter.count(now) / WINDOW_S if meter is not None else 0.0
         return rate + (LATE_RATE * late.count(now) if late is not None else 0.0)
 
-    def told_vms(self, now: float) -> int:
+    def total_vm_count(self, now: float) -> int:
         """Returns how many of the zone's VMs the reader's total covers.
 
         Returns:
