--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -311,7 +311,9 @@
             load.on_zone_report(report.zone, report.rates, report.vms, now)
         elif report.kind is Kind.ASK and report.zone == self._zone:
             load.on_peer_report(report.vm, report.rates, now)
-            self._steering.outliers.on_mate(report.vm, report.failures, now)
+            self._steering.outliers.on_peer_report(
+                report.vm, report.failures, now
+            )
 
     def _apply_changes(self, report: Report, host: str, now: float) -> None:
         """Applies a report's changes and compares the peer's position."""
--- a/src/pollenmast/steering/_outliers.py
+++ b/src/pollenmast/steering/_outliers.py
@@ -79,7 +79,7 @@
         """Counts a failed request that this VM had sent to an endpoint."""
         self._meters.setdefault(endpoint, Meter(WINDOW_S)).add(now)
 
-    def on_mate(self, vm: str, failures: Failures, now: float) -> None:
+    def on_peer_report(self, vm: str, failures: Failures, now: float) -> None:
         """Handles a report of failures by a VM of the same zone."""
         self._peer_reports[vm] = _Report(now, failures)
 
--- a/tests/steering_outliers_test.py
+++ b/tests/steering_outliers_test.py
@@ -134,7 +134,7 @@
     def _exchange_reports(self, now: float) -> None:
         reader = self.vms[0].outliers
         for number, vm in enumerate(self.vms[1:]):
-            reader.on_mate(f"vm{number}", vm.outliers.own(now), now)
+            reader.on_peer_report(f"vm{number}", vm.outliers.own(now), now)
         ejected = reader.eject(now)
         for vm in self.vms[1:]:
             vm.outliers.on_told(ejected, now)
@@ -239,7 +239,7 @@
     def test_unknown(self):
         """Reports that name unknown endpoints are ignored."""
         core = group.steering(group.endpoint(1), group.endpoint(2))
-        core.outliers.on_mate("b", {99: 50}, 1.0)
+        core.outliers.on_peer_report("b", {99: 50}, 1.0)
         core.outliers.on_told([98], 1.0)
         self.assertEqual([], core.outliers.eject(1.0))
 
