--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -306,7 +306,7 @@
             load.on_total_report(
                 report.rates, report.vms, now, report.unlisted_rate_bound
             )
-            self._steering.outliers.on_told(report.ejected, now)
+            self._steering.outliers.on_ejections_reported(report.ejected, now)
         elif report.kind is Kind.ZONE:
             load.on_zone_report(report.zone, report.rates, report.vms, now)
         elif report.kind is Kind.ASK and report.zone == self._zone:
--- a/src/pollenmast/steering/_outliers.py
+++ b/src/pollenmast/steering/_outliers.py
@@ -108,10 +108,10 @@
         for number in self._find_outliers(totals):
             self._ejected_until[number] = now + EJECTION_S
             self._notify_ejected(number, totals[number])
-        self.on_told(self._ejected_until, now)
+        self.on_ejections_reported(self._ejected_until, now)
         return list(self._ejected_until)
 
-    def on_told(self, ejected: Iterable[int], now: float) -> None:
+    def on_ejections_reported(self, ejected: Iterable[int], now: float) -> None:
         """Keeps new flows away from the outliers that a reader reports."""
         for number in ejected:
             record = self._catalog.by_number(number)
--- a/tests/steering_outliers_test.py
+++ b/tests/steering_outliers_test.py
@@ -137,7 +137,7 @@
             reader.on_peer_report(f"vm{number}", vm.outliers.own(now), now)
         ejected = reader.eject(now)
         for vm in self.vms[1:]:
-            vm.outliers.on_told(ejected, now)
+            vm.outliers.on_ejections_reported(ejected, now)
 
     def _ask(self, vm: Steering, now: float) -> None:
         self._flows += 1
@@ -240,7 +240,7 @@
         """Reports that name unknown endpoints are ignored."""
         core = group.steering(group.endpoint(1), group.endpoint(2))
         core.outliers.on_peer_report("b", {99: 50}, 1.0)
-        core.outliers.on_told([98], 1.0)
+        core.outliers.on_ejections_reported([98], 1.0)
         self.assertEqual([], core.outliers.eject(1.0))
 
 
