--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -228,7 +228,7 @@
             targets += self._sample(
                 self._members.contact_candidates(), MAX_DISCOVERY_TARGETS
             )
-        failures = self._steering.outliers.own(now)
+        failures = self._steering.outliers.own_failures(now)
         ask = self._report(
             Kind.ASK, now, 1, load.report(now), failures=failures
         )
--- a/src/pollenmast/steering/_outliers.py
+++ b/src/pollenmast/steering/_outliers.py
@@ -83,7 +83,7 @@
         """Handles a report of failures by a VM of the same zone."""
         self._peer_reports[vm] = _Report(now, failures)
 
-    def own(self, now: float) -> Failures:
+    def own_failures(self, now: float) -> Failures:
         """Returns this VM's failures, for its report to a reader."""
         failures = {}
         for endpoint, meter in list(self._meters.items()):
@@ -159,7 +159,7 @@
         for vm, report in list(self._peer_reports.items()):
             if now - report.at > REPORT_LIFE_S:
                 del self._peer_reports[vm]
-        totals = self.own(now)
+        totals = self.own_failures(now)
         for report in self._peer_reports.values():
             for endpoint, count in report.failures.items():
                 totals[endpoint] = totals.get(endpoint, 0) + count
--- a/tests/steering_outliers_test.py
+++ b/tests/steering_outliers_test.py
@@ -134,7 +134,9 @@
     def _exchange_reports(self, now: float) -> None:
         reader = self.vms[0].outliers
         for number, vm in enumerate(self.vms[1:]):
-            reader.on_peer_report(f"vm{number}", vm.outliers.own(now), now)
+            reader.on_peer_report(
+                f"vm{number}", vm.outliers.own_failures(now), now
+            )
         ejected = reader.eject(now)
         for vm in self.vms[1:]:
             vm.outliers.on_ejections_reported(ejected, now)
