--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -298,7 +298,7 @@
                 self._steering.check_policy.on_reported_down(number, now)
         elif report.kind is Kind.ANSWER and report.zone == self._zone:
             for number in report.down:
-                self._steering.check_policy.on_told_down(number, now)
+                self._steering.check_policy.on_reader_reported_down(number, now)
 
     def _record_load(self, report: Report, now: float) -> None:
         load = self._steering.load
--- a/src/pollenmast/steering/_check_policy.py
+++ b/src/pollenmast/steering/_check_policy.py
@@ -56,7 +56,7 @@
             return
         record.health.ask(now, CheckReason.REPORTED)
 
-    def on_told_down(self, number: int, now: float) -> None:
+    def on_reader_reported_down(self, number: int, now: float) -> None:
         """Handles a report by this zone's reader that an endpoint is down.
 
         The reader has checked the endpoint itself, so new flows are kept away.
--- a/tests/steering_check_policy_test.py
+++ b/tests/steering_check_policy_test.py
@@ -142,7 +142,7 @@
         core = _core(FIRST, SECOND)
         for endpoint in (FIRST, SECOND):
             _remove_entry(core, endpoint, 1.0)
-        core.check_policy.on_told_down(FIRST.number, 1.1)
+        core.check_policy.on_reader_reported_down(FIRST.number, 1.1)
         chosen = set()
         for number in range(8):
             outcome = core.on_segment(group.syn(group.flow(number)), 1.2)
@@ -173,7 +173,7 @@
         while now < until:
             now = round(now + 0.05, 2)
             if now < reports_until and round(now * 100) % 50 == 0:
-                core.check_policy.on_told_down(FIRST.number, now)
+                core.check_policy.on_reader_reported_down(FIRST.number, now)
             for due in core.due_checks(now):
                 times.append(now)
                 core.on_check(due, CheckResult.REFUSED, now)
@@ -215,7 +215,7 @@
         check at once.
         """
         core = _core(FIRST, SECOND)
-        core.check_policy.on_told_down(FIRST.number, 1.0)
+        core.check_policy.on_reader_reported_down(FIRST.number, 1.0)
         self.assertEqual([], core.due_checks(1.0))
         _forward(core, 1, FIRST, 1.2)
         due = core.due_checks(1.2)
@@ -245,7 +245,7 @@
                 if reports and index >= READERS:
                     for record in vms[index % READERS].catalog.records:
                         if record.health.down:
-                            core.check_policy.on_told_down(
+                            core.check_policy.on_reader_reported_down(
                                 record.endpoint.number, now
                             )
                 for due in core.due_checks(now):
