--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -295,7 +295,7 @@
         # checks would all stop checking.
         if self._members.is_reader(now):
             for number in report.down:
-                self._steering.check_policy.on_reported_down(number, now)
+                self._steering.check_policy.on_peer_reported_down(number, now)
         elif report.kind is Kind.ANSWER and report.zone == self._zone:
             for number in report.down:
                 self._steering.check_policy.on_reader_reported_down(number, now)
--- a/src/pollenmast/steering/_check_policy.py
+++ b/src/pollenmast/steering/_check_policy.py
@@ -44,7 +44,7 @@
         for record in self._to_check(self._catalog.overdue()):
             record.health.ask_unless_recent(now, CheckReason.MISSING)
 
-    def on_reported_down(self, number: int, now: float) -> None:
+    def on_peer_reported_down(self, number: int, now: float) -> None:
         """Handles another VM's report to this reader that an endpoint is down.
 
         The endpoint is checked first. If the report were believed without a
