--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -127,7 +127,7 @@
             self._pauses,
         )
         self._follower.join(self._gossip.is_reader, self._gossip.push)
-        self._steering.check_policy.join(self._gossip.is_reader)
+        self._steering.check_policy.set_is_reader(self._gossip.is_reader)
         self._steering.outliers.notify(self._on_ejected)
         self._steering.cold_limit.join(self._gossip.sharers)
 
--- a/src/pollenmast/steering/_check_policy.py
+++ b/src/pollenmast/steering/_check_policy.py
@@ -26,7 +26,7 @@
         self._flows = flows
         self._is_reader: Callable[[], bool] = _always
 
-    def join(self, is_reader: Callable[[], bool]) -> None:
+    def set_is_reader(self, is_reader: Callable[[], bool]) -> None:
         """Shares the checks with the other VMs of the zone.
 
         Args:
--- a/tests/entry_checks_test.py
+++ b/tests/entry_checks_test.py
@@ -322,7 +322,7 @@
             ]
             now = anyio.current_time()
             core = group.steering(*known, now=now)
-            core.check_policy.join(lambda: is_reader)
+            core.check_policy.set_is_reader(lambda: is_reader)
             for number in numbers:
                 request = group.segment(group.flow(number), number, length=10)
                 core.on_segment(request, now)
--- a/tests/steering_check_policy_test.py
+++ b/tests/steering_check_policy_test.py
@@ -29,7 +29,7 @@
 
 def _core(*endpoints, is_reader: bool = False) -> Steering:
     core = group.steering(*endpoints)
-    core.check_policy.join(lambda: is_reader)
+    core.check_policy.set_is_reader(lambda: is_reader)
     return core
 
 
