--- a/src/pollenmast/steering/_check_policy.py
+++ b/src/pollenmast/steering/_check_policy.py
@@ -37,7 +37,7 @@
     def on_lapsed(self, records: list[Record], now: float) -> None:
         """Schedules checks of endpoints whose directory entries disappeared."""
         for record in self._to_check(records):
-            record.health.ask(now, CheckReason.LAPSED)
+            record.health.request_check(now, CheckReason.LAPSED)
 
     def schedule_overdue(self, now: float) -> None:
         """Schedules checks of endpoints whose entries did not come back."""
@@ -54,7 +54,7 @@
         record = self._catalog.by_number(number)
         if record is None or record.health.down or self._is_unused(record):
             return
-        record.health.ask(now, CheckReason.REPORTED)
+        record.health.request_check(now, CheckReason.REPORTED)
 
     def on_reader_reported_down(self, number: int, now: float) -> None:
         """Handles a report by this zone's reader that an endpoint is down.
--- a/src/pollenmast/steering/_health.py
+++ b/src/pollenmast/steering/_health.py
@@ -202,7 +202,7 @@
         elif self._request_timed_out(now):
             reason = CheckReason.SILENT
         if reason is not None and now - self._answered_at >= ANSWER_VALID_S:
-            self.ask(now, reason)
+            self.request_check(now, reason)
 
     def _syn_timed_out(self, now: float) -> bool:
         oldest = next(iter(self._pending_syns.values()), now)
@@ -250,7 +250,7 @@
         ):
             self._schedule_check(now, CheckReason.REPEATED)
 
-    def ask(self, now: float, reason: CheckReason) -> None:
+    def request_check(self, now: float, reason: CheckReason) -> None:
         """Schedules a check now, regardless of the traffic seen."""
         if self._check_at is None:
             self._schedule_check(now, reason)
@@ -258,7 +258,7 @@
     def ask_unless_recent(self, now: float, reason: CheckReason) -> None:
         """Schedules a check unless one was answered recently."""
         if now - self._answered_at >= RECHECK_MAX_S:
-            self.ask(now, reason)
+            self.request_check(now, reason)
 
     def forget(self) -> None:
         """Marks the endpoint as up and cancels its check.
--- a/tests/entry_checks_test.py
+++ b/tests/entry_checks_test.py
@@ -96,7 +96,7 @@
             key = group.flow()
             core.on_segment(group.syn(key), now)
             core.on_segment(group.segment(key, 1), now)
-            core.catalog.get(group.endpoint(1).name).health.ask(
+            core.catalog.get(group.endpoint(1).name).health.request_check(
                 now, CheckReason.REPORTED
             )
             checker = _checker(probe, core, packets, pauses)
@@ -180,7 +180,7 @@
         async def main() -> None:
             now = anyio.current_time()
             known, core = _three_endpoints(now)
-            core.catalog.get(known[0].name).health.ask(
+            core.catalog.get(known[0].name).health.request_check(
                 now, CheckReason.REPORTED
             )
             checker = _checker(Probe(None), core, packets)
@@ -226,7 +226,7 @@
             now = anyio.current_time()
             known, core = _three_endpoints(now)
             record = core.catalog.get(known[0].name)
-            record.health.ask(now, CheckReason.TOLD)
+            record.health.request_check(now, CheckReason.TOLD)
             checker = _checker(Probe(None), core, _Packets(), None, counters)
             with anyio.move_on_after(0.4):
                 await checker.run()
@@ -274,7 +274,7 @@
                     for each in known:
                         record = core.catalog.get(each.name)
                         now = anyio.current_time()
-                        record.health.ask(now, CheckReason.REPORTED)
+                        record.health.request_check(now, CheckReason.REPORTED)
                     await anyio.sleep(1.0)
                 tasks.cancel_scope.cancel()
 
--- a/tests/steering_drains_test.py
+++ b/tests/steering_drains_test.py
@@ -111,7 +111,9 @@
             segment = group.segment(group.flow(1), NEAR.token, length=10)
             core.on_segment(segment, 1.0)
         _drain(core)
-        core.catalog.get(NEAR.name).health.ask(2.0, CheckReason.REPORTED)
+        core.catalog.get(NEAR.name).health.request_check(
+            2.0, CheckReason.REPORTED
+        )
         self.assertEqual(checks, len(core.due_checks(2.0)))
 
     def test_down_endpoint_is_not_checked_forever(self):
--- a/tests/steering_health_test.py
+++ b/tests/steering_health_test.py
@@ -82,7 +82,7 @@
         a healthy endpoint.
         """
         health = Health()
-        health.ask(1.0, CheckReason.REPORTED)
+        health.request_check(1.0, CheckReason.REPORTED)
         health.on_check(CheckResult.ANSWERED, 1.0)
         health.on_syn(group.flow(), 1.1)
         health.look(1.1 + SYN_FOLLOWUP_TIMEOUT_S)
@@ -205,7 +205,7 @@
         reset within 0.2 s.
         """
         health, down_at = Health(), None
-        health.ask(1.0, CheckReason.REPORTED)
+        health.request_check(1.0, CheckReason.REPORTED)
         for step in range(100):
             now = 1.0 + step / 100.0
             if answer_s is not None and step % int(100 * answer_s) == 0:
