--- a/src/pollenmast/steering/_check_policy.py
+++ b/src/pollenmast/steering/_check_policy.py
@@ -42,7 +42,7 @@
     def schedule_overdue(self, now: float) -> None:
         """Schedules checks of endpoints whose entries did not come back."""
         for record in self._to_check(self._catalog.overdue()):
-            record.health.ask_unless_recent(now, CheckReason.MISSING)
+            record.health.request_check_unless_recent(now, CheckReason.MISSING)
 
     def on_peer_reported_down(self, number: int, now: float) -> None:
         """Handles another VM's report to this reader that an endpoint is down.
@@ -71,7 +71,7 @@
             return
         record.health.avoid(now)
         if self._flows.count(record.endpoint.name):
-            record.health.ask_unless_recent(now, CheckReason.TOLD)
+            record.health.request_check_unless_recent(now, CheckReason.TOLD)
 
     def cancel_if_unused(self, record: Record) -> bool:
         """Cancels a check that nobody needs; returns whether it did.
@@ -90,9 +90,9 @@
         This VM may not have checked the flow's endpoint yet.
         """
         if record.presence is Presence.LAPSED:
-            record.health.ask_unless_recent(now, CheckReason.LAPSED)
+            record.health.request_check_unless_recent(now, CheckReason.LAPSED)
         elif record.health.is_avoided(now):
-            record.health.ask_unless_recent(now, CheckReason.TOLD)
+            record.health.request_check_unless_recent(now, CheckReason.TOLD)
 
     def controls(self, but: Record, most: int) -> list[Record]:
         """Returns endpoints to check for comparison with an unresponsive one.
--- a/src/pollenmast/steering/_health.py
+++ b/src/pollenmast/steering/_health.py
@@ -255,7 +255,9 @@
         if self._check_at is None:
             self._schedule_check(now, reason)
 
-    def ask_unless_recent(self, now: float, reason: CheckReason) -> None:
+    def request_check_unless_recent(
+        self, now: float, reason: CheckReason
+    ) -> None:
         """Schedules a check unless one was answered recently."""
         if now - self._answered_at >= RECHECK_MAX_S:
             self.request_check(now, reason)
