--- a/src/pollenmast/steering/_health.py
+++ b/src/pollenmast/steering/_health.py
@@ -129,7 +129,7 @@
 
     @property
     def look_at(self) -> float:
-        """When `look` or a check is next due, infinite if none is."""
+        """When `evaluate` or a check is next due, infinite if none is."""
         if self._check_at is not None:
             return self._check_at
         at = math.inf
@@ -194,7 +194,7 @@
             )
             self._on_schedule()
 
-    def look(self, now: float) -> None:
+    def evaluate(self, now: float) -> None:
         """Schedules a check if the endpoint has been silent for too long."""
         reason = None
         if self._syn_timed_out(now):
--- a/src/pollenmast/steering/_watchlist.py
+++ b/src/pollenmast/steering/_watchlist.py
@@ -42,7 +42,7 @@
         """Evaluates all endpoints on the list; returns those to check now."""
         due = []
         for name, record in list(self._records.items()):
-            record.health.look(now)
+            record.health.evaluate(now)
             gone = record.presence is Presence.GONE
             if gone or record.health.look_at == math.inf:
                 del self._records[name]
--- a/tests/steering_health_test.py
+++ b/tests/steering_health_test.py
@@ -57,7 +57,7 @@
         """
         health = Health()
         health.on_syn(group.flow(), 1.0)
-        health.look(1.0 + SYN_FOLLOWUP_TIMEOUT_S)
+        health.evaluate(1.0 + SYN_FOLLOWUP_TIMEOUT_S)
         self.assertTrue(health.due(1.0 + SYN_FOLLOWUP_TIMEOUT_S))
 
     @parameterized.expand(
@@ -71,7 +71,7 @@
         health = Health()
         health.on_syn(group.flow(), 1.0)
         happens(health)
-        health.look(1.0 + SYN_FOLLOWUP_TIMEOUT_S)
+        health.evaluate(1.0 + SYN_FOLLOWUP_TIMEOUT_S)
         self.assertFalse(health.check_pending)
 
     def test_rotation_changes(self):
@@ -85,10 +85,10 @@
         health.request_check(1.0, CheckReason.REPORTED)
         health.on_check(CheckResult.ANSWERED, 1.0)
         health.on_syn(group.flow(), 1.1)
-        health.look(1.1 + SYN_FOLLOWUP_TIMEOUT_S)
+        health.evaluate(1.1 + SYN_FOLLOWUP_TIMEOUT_S)
         self.assertFalse(health.check_pending)
         health.on_syn(group.flow(), 1.0 + ANSWER_VALID_S)
-        health.look(1.0 + ANSWER_VALID_S + SYN_FOLLOWUP_TIMEOUT_S)
+        health.evaluate(1.0 + ANSWER_VALID_S + SYN_FOLLOWUP_TIMEOUT_S)
         self.assertTrue(health.check_pending)
 
     def test_pending_syns_bounded(self):
@@ -111,9 +111,9 @@
         """
         health = Health()
         health.on_request(1.0)
-        health.look(1.0 + SILENCE_TIMEOUT_S / 2)
+        health.evaluate(1.0 + SILENCE_TIMEOUT_S / 2)
         self.assertFalse(health.check_pending)
-        health.look(1.0 + SILENCE_TIMEOUT_S)
+        health.evaluate(1.0 + SILENCE_TIMEOUT_S)
         self.assertTrue(health.due(1.0 + SILENCE_TIMEOUT_S))
 
     def test_long_request(self):
@@ -121,7 +121,7 @@
         health = Health()
         health.on_request(1.0)
         health.on_advance(1.05)
-        health.look(1.0 + SILENCE_TIMEOUT_S)
+        health.evaluate(1.0 + SILENCE_TIMEOUT_S)
         self.assertFalse(health.check_pending)
 
     def test_slow_service(self):
@@ -134,7 +134,7 @@
         for step in range(100):
             now = step * 0.05
             health.on_request(now)
-            health.look(now)
+            health.evaluate(now)
             if health.due(now):
                 checks += 1
                 health.on_check(CheckResult.ANSWERED, now)
@@ -152,9 +152,9 @@
         """
         health = Health()
         health.on_request(1.0, 0.1)
-        health.look(1.0 + 0.9 * SILENCE_FACTOR * 0.1)
+        health.evaluate(1.0 + 0.9 * SILENCE_FACTOR * 0.1)
         self.assertFalse(health.due(2.0))
-        health.look(1.0 + 1.01 * SILENCE_FACTOR * 0.1)
+        health.evaluate(1.0 + 1.01 * SILENCE_FACTOR * 0.1)
         self.assertTrue(health.due(2.0))
 
     def test_avoided(self):
