--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -275,7 +275,7 @@
     def due_checks(self, now: float) -> list[Record]:
         """Returns the endpoints to health-check now."""
         self._check_policy.schedule_overdue(now)
-        due = self._catalog.watchlist.look(now)
+        due = self._catalog.watchlist.evaluate(now)
         return [
             record
             for record in due
@@ -334,7 +334,7 @@
             return Drop(DropReason.DUPLICATE_SYN)
         for name in tried[-1:]:
             self._on_syn_repeated(name, now)
-        self._catalog.watchlist.look(now)
+        self._catalog.watchlist.evaluate(now)
         placed = self._place(route, segment.flow, tried, now)
         if placed is None or isinstance(placed, Unplaced):
             return self._refuse(segment, placed, now)
--- a/src/pollenmast/steering/_watchlist.py
+++ b/src/pollenmast/steering/_watchlist.py
@@ -38,7 +38,7 @@
             self._next_at = at
             self._on_earlier()
 
-    def look(self, now: float) -> list[Record]:
+    def evaluate(self, now: float) -> list[Record]:
         """Evaluates all endpoints on the list; returns those to check now."""
         due = []
         for name, record in list(self._records.items()):
