--- a/src/pollenmast/steering/_health.py
+++ b/src/pollenmast/steering/_health.py
@@ -128,7 +128,7 @@
         self._on_schedule: Callable[[], None] = _nothing
 
     @property
-    def look_at(self) -> float:
+    def next_due_at(self) -> float:
         """When `evaluate` or a check is next due, infinite if none is."""
         if self._check_at is not None:
             return self._check_at
@@ -166,7 +166,7 @@
         return self._last_alive_at
 
     def notify(self, on_schedule: Callable[[], None]) -> None:
-        """Sets the callback for when `look_at` may have become earlier."""
+        """Sets the callback for when `next_due_at` may have become earlier."""
         self._on_schedule = on_schedule
 
     def on_syn(self, flow: FlowKey, now: float) -> None:
--- a/src/pollenmast/steering/_watchlist.py
+++ b/src/pollenmast/steering/_watchlist.py
@@ -30,7 +30,7 @@
 
     def add(self, record: Record) -> None:
         """Adds an endpoint if its health has to be evaluated later."""
-        at = record.health.look_at
+        at = record.health.next_due_at
         if at == math.inf:
             return
         self._records[record.endpoint.name] = record
@@ -44,7 +44,7 @@
         for name, record in list(self._records.items()):
             record.health.evaluate(now)
             gone = record.presence is Presence.GONE
-            if gone or record.health.look_at == math.inf:
+            if gone or record.health.next_due_at == math.inf:
                 del self._records[name]
             elif record.health.due(now):
                 due.append(record)
@@ -58,7 +58,7 @@
                 whose result triggers the next evaluation.
         """
         times = (
-            record.health.look_at
+            record.health.next_due_at
             for name, record in self._records.items()
             if name not in in_progress
         )
