--- a/src/pollenmast/steering/_health.py
+++ b/src/pollenmast/steering/_health.py
@@ -296,7 +296,7 @@
         """Whether another VM recently reported the endpoint down."""
         return now < self._reported_down_until
 
-    def is_sure(self, now: float) -> bool:
+    def accepts_new_flows(self, now: float) -> bool:
         """Whether nothing speaks against placing new flows here."""
         return not self.check_pending and not self.is_avoided(now)
 
--- a/src/pollenmast/steering/_placement.py
+++ b/src/pollenmast/steering/_placement.py
@@ -121,7 +121,9 @@
             return Unplaced.WARMING_UP
         untried = [r for r in candidates if r.endpoint.name not in tried]
         usable = [r for r in untried if _usable(r)]
-        reliable = [r for r in usable if r.health.is_sure(now)] or usable
+        reliable = [
+            r for r in usable if r.health.accepts_new_flows(now)
+        ] or usable
         if not reliable:
             return self._last_resort(untried or candidates, now)
         chosen = self._nearest(reliable, now)
--- a/tests/entry_gossip_test.py
+++ b/tests/entry_gossip_test.py
@@ -323,7 +323,7 @@
         asking = set(self._checking_vms(network)) - set(readers)
         self.assertEqual({plain[0].name}, asking)
         health = plain[1].core.catalog.get(dead.name).health
-        self.assertFalse(health.is_sure(network.now))
+        self.assertFalse(health.accepts_new_flows(network.now))
 
     def test_load_expires(self):
         """The load of VMs that died leaves the total within seconds."""
--- a/tests/steering_health_test.py
+++ b/tests/steering_health_test.py
@@ -160,10 +160,10 @@
     def test_avoided(self):
         """An endpoint reported down by another VM is avoided for a while."""
         health = Health()
-        self.assertTrue(health.is_sure(1.0))
+        self.assertTrue(health.accepts_new_flows(1.0))
         health.avoid(1.0)
-        self.assertFalse(health.is_sure(1.0 + REPORTED_DOWN_S / 2))
-        self.assertTrue(health.is_sure(1.0 + REPORTED_DOWN_S))
+        self.assertFalse(health.accepts_new_flows(1.0 + REPORTED_DOWN_S / 2))
+        self.assertTrue(health.accepts_new_flows(1.0 + REPORTED_DOWN_S))
 
 
 class CheckTest(TestCase):
