--- a/src/pollenmast/steering/_health.py
+++ b/src/pollenmast/steering/_health.py
@@ -224,7 +224,7 @@
         self._request_at = None
         return True
 
-    def on_advance(self, now: float) -> None:
+    def on_progress(self, now: float) -> None:
         """Handles progress of a client, which shows that the endpoint is alive.
 
         When every endpoint of a service is down, new flows still try one. The
--- a/src/pollenmast/steering/_traffic_observer.py
+++ b/src/pollenmast/steering/_traffic_observer.py
@@ -55,7 +55,7 @@
             )
         # A request also acknowledges the previous answer: handle that first.
         if progress.advanced:
-            record.health.on_advance(now)
+            record.health.on_progress(now)
             self._pending.end(segment.flow)
         if progress.request:
             self._load.on_request(record.endpoint.number, now)
--- a/tests/entry_reach_test.py
+++ b/tests/entry_reach_test.py
@@ -133,7 +133,7 @@
             await anyio.sleep(DETECTION_S)
             for _ in range(20):
                 now = anyio.current_time()
-                core.catalog.get(FAR.name).health.on_advance(now)
+                core.catalog.get(FAR.name).health.on_progress(now)
                 await anyio.sleep(PROBE_INTERVAL_S)
                 self.assertFalse(await ready())
 
@@ -188,7 +188,7 @@
             await anyio.sleep(PROBE_INTERVAL_S)
             for step in range(50):
                 now = anyio.current_time()
-                core.catalog.get(FAR.name).health.on_advance(now)
+                core.catalog.get(FAR.name).health.on_progress(now)
                 if not step:
                     self._change(core, ZoneDrained(group.ZONE, 11))
                 await anyio.sleep(0.2)
--- a/tests/steering_health_test.py
+++ b/tests/steering_health_test.py
@@ -40,7 +40,7 @@
         Such checks would take up the slots of a healthy endpoint.
         """
         health = Health()
-        health.on_advance(1.0)
+        health.on_progress(1.0)
         health.on_retransmission(1.0 + REPEAT_GRACE_S / 2)
         self.assertFalse(health.due(2.0))
 
@@ -63,7 +63,7 @@
     @parameterized.expand(
         [
             ("opened", lambda health: health.on_open(group.flow())),
-            ("another_advanced", lambda health: health.on_advance(1.01)),
+            ("another_advanced", lambda health: health.on_progress(1.01)),
         ]
     )
     def test_no_check(self, _, happens):
@@ -120,7 +120,7 @@
         """A long request triggers no check while others make progress."""
         health = Health()
         health.on_request(1.0)
-        health.on_advance(1.05)
+        health.on_progress(1.05)
         health.evaluate(1.0 + SILENCE_TIMEOUT_S)
         self.assertFalse(health.check_pending)
 
@@ -209,7 +209,7 @@
         for step in range(100):
             now = 1.0 + step / 100.0
             if answer_s is not None and step % int(100 * answer_s) == 0:
-                health.on_advance(now)
+                health.on_progress(now)
             if step % 5 == 4 and health.due(now):
                 health.on_check(CheckResult.TIMEOUT, now)
             if health.down and down_at is None:
