--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -221,7 +221,9 @@
         record = self._records.get(endpoint.name)
         if record is None:
             record = Record(endpoint, change.revision, now)
-            record.health.notify(functools.partial(self._watchlist.add, record))
+            record.health.set_on_schedule(
+                functools.partial(self._watchlist.add, record)
+            )
             self._records[endpoint.name] = record
             self._by_number[endpoint.number] = record
             same_token = self._by_token.setdefault(endpoint.token, [])
--- a/src/pollenmast/steering/_health.py
+++ b/src/pollenmast/steering/_health.py
@@ -165,7 +165,7 @@
         """When it last showed that it is alive, in seconds."""
         return self._last_alive_at
 
-    def notify(self, on_schedule: Callable[[], None]) -> None:
+    def set_on_schedule(self, on_schedule: Callable[[], None]) -> None:
         """Sets the callback for when `next_due_at` may have become earlier."""
         self._on_schedule = on_schedule
 
