--- a/src/pollenmast/entry/_checks.py
+++ b/src/pollenmast/entry/_checks.py
@@ -88,7 +88,7 @@
         self._logged_down: set[str] = set()
         self._woken = anyio.Event()
         self._watchlist = steering.catalog.watchlist
-        self._watchlist.notify(self._wake)
+        self._watchlist.set_on_schedule(self._wake)
 
     async def run(self) -> None:
         """Starts due checks until cancelled."""
--- a/src/pollenmast/steering/_watchlist.py
+++ b/src/pollenmast/steering/_watchlist.py
@@ -17,16 +17,16 @@
     def __init__(self):
         self._records: dict[str, Record] = {}
         self._next_at = math.inf
-        self._on_earlier: Callable[[], None] = _do_nothing
+        self._on_schedule: Callable[[], None] = _do_nothing
 
-    def notify(self, on_earlier: Callable[[], None]) -> None:
+    def set_on_schedule(self, on_schedule: Callable[[], None]) -> None:
         """Sets a callback for when the next evaluation moves forward.
 
         Args:
-            on_earlier: Called when an evaluation is due earlier than the last
+            on_schedule: Called when an evaluation is due earlier than the last
                 result of `next_at`.
         """
-        self._on_earlier = on_earlier
+        self._on_schedule = on_schedule
 
     def add(self, record: Record) -> None:
         """Adds an endpoint if its health has to be evaluated later."""
@@ -36,7 +36,7 @@
         self._records[record.endpoint.name] = record
         if at < self._next_at:
             self._next_at = at
-            self._on_earlier()
+            self._on_schedule()
 
     def evaluate(self, now: float) -> list[Record]:
         """Evaluates all endpoints on the list; returns those to check now."""
