--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -128,7 +128,7 @@
         )
         self._follower.join(self._gossip.is_reader, self._gossip.push)
         self._steering.check_policy.set_is_reader(self._gossip.is_reader)
-        self._steering.outliers.notify(self._on_ejected)
+        self._steering.outliers.set_on_ejected(self._on_ejected)
         self._steering.cold_limit.join(self._gossip.sharers)
 
     async def run(self) -> int:
--- a/src/pollenmast/steering/_outliers.py
+++ b/src/pollenmast/steering/_outliers.py
@@ -67,7 +67,7 @@
         self._ejected_until: dict[int, float] = {}
         self._on_ejected: Callable[[Record, int], None] = _nothing
 
-    def notify(self, on_ejected: Callable[[Record, int], None]) -> None:
+    def set_on_ejected(self, on_ejected: Callable[[Record, int], None]) -> None:
         """Sets the callback for an ejection.
 
         Args:
