--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -294,7 +294,7 @@
         self.take(update, "directory")
         # A watch responds when something is new; a list may be as old as the
         # request.
-        listed = update.whole or update.all_drains
+        listed = update.complete or update.all_drains
         self._steering.on_confirmed(asked_at if listed else now)
 
     async def _on_fault(self, fault: DirectoryFault) -> None:
--- a/src/pollenmast/entry/_snapshot.py
+++ b/src/pollenmast/entry/_snapshot.py
@@ -60,11 +60,11 @@
         The changes, or the whole state where some of them are no longer known.
     """
     changes = changes_since(steering, after)
-    whole = changes is None
+    complete = changes is None
     if changes is None:
         changes = _full_state(steering)
     epoch, revision = attrs.astuple(steering.position)
-    body = (FORMAT, epoch, revision, whole, [_pack(c) for c in changes])
+    body = (FORMAT, epoch, revision, complete, [_pack(c) for c in changes])
     return zlib.compress(msgpack.packb(body), _COMPRESSION_LEVEL)
 
 
@@ -84,13 +84,13 @@
         body = inflater.decompress(data, MOST_BYTES)
         if not inflater.eof:
             return Err("truncated, or too long when inflated")
-        version, epoch, revision, whole, changes = msgpack.unpackb(body)
+        version, epoch, revision, complete, changes = msgpack.unpackb(body)
         if version != FORMAT or not _are_non_negative_ints(epoch, revision):
             return Err(
                 f"unsupported format or invalid position: format {version!r}"
             )
         unpacked = tuple(_unpack(*each) for each in changes)
-        return Ok(Update(unpacked, revision, whole is True, epoch=epoch))
+        return Ok(Update(unpacked, revision, complete is True, epoch=epoch))
     except (
         ValueError,
         TypeError,
--- a/src/pollenmast/platform/_items.py
+++ b/src/pollenmast/platform/_items.py
@@ -29,7 +29,7 @@
     items: list[Any],
     revision: int,
     *,
-    whole: bool,
+    complete: bool,
     all_drains: bool = False,
     epoch: int = 0,
 ) -> Update:
@@ -38,7 +38,7 @@
     Args:
         items: The store's items or events.
         revision: The store's revision up to which the items are complete.
-        whole: Whether the items are everything that the store holds.
+        complete: Whether the items are everything that the store holds.
         all_drains: Whether the items include every drain.
         epoch: The store's epoch in its response.
 
@@ -63,7 +63,7 @@
     return Update(
         tuple(changes),
         revision,
-        whole,
+        complete,
         tuple(refused),
         tuple(unclear),
         all_drains,
--- a/src/pollenmast/platform/_listing.py
+++ b/src/pollenmast/platform/_listing.py
@@ -94,7 +94,7 @@
         return read_items(
             self._items,
             self.position.revision,
-            whole=True,
+            complete=True,
             epoch=self.position.epoch,
         )
 
--- a/src/pollenmast/platform/_store.py
+++ b/src/pollenmast/platform/_store.py
@@ -120,7 +120,7 @@
         update = read_items(
             [*operators.items, *events.ok_value.items],
             operators.position.revision,
-            whole=False,
+            complete=False,
             all_drains=True,
             epoch=operators.position.epoch,
         )
@@ -153,7 +153,7 @@
             read_items(
                 events.ok_value.items,
                 position.revision,
-                whole=False,
+                complete=False,
                 epoch=position.epoch,
             )
         )
--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -138,7 +138,7 @@
                 changed += self._announce(change, now)
             elif isinstance(change, EndpointRemoved):
                 changed += self._remove(change.name, change.revision, now)
-        if update.whole:
+        if update.complete:
             for name, record in list(self._records.items()):
                 if name not in listed and record.revision <= update.revision:
                     changed += self._remove(name, update.revision, now)
--- a/src/pollenmast/steering/_changes.py
+++ b/src/pollenmast/steering/_changes.py
@@ -181,7 +181,7 @@
     Attributes:
         changes: Changes, oldest first.
         revision: The revision up to which the answer is complete.
-        whole: Whether this is a complete listing, so that anything not in it
+        complete: Whether this is a complete listing, so that anything not in it
             no longer exists.
         refused: Descriptions of the entries and configurations that could not
             be parsed.
@@ -195,7 +195,7 @@
 
     changes: tuple[Change, ...]
     revision: int
-    whole: bool = False
+    complete: bool = False
     refused: tuple[str, ...] = ()
     unclear_zones: tuple[str, ...] = ()
     all_drains: bool = False
--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -206,7 +206,7 @@
         its epoch is later than the current one.
         """
         if update.epoch != self._position.epoch:
-            return update.whole and update.epoch > self._position.epoch
+            return update.complete and update.epoch > self._position.epoch
         return self._routes.fits(update.changes)
 
     def apply(self, update: Update, now: float) -> Applied:
@@ -232,7 +232,7 @@
         if update.position > self._position:
             implied = [zone for zone in zones if zone not in update.changes]
             applied = tuple(c for c in (*changes, *implied) if c is not None)
-            effective = Update(applied, update.revision, update.whole)
+            effective = Update(applied, update.revision, update.complete)
             self._journal.add(effective, self._position.revision)
             self._position = update.position
         return Applied(records, table, zones)
--- a/src/pollenmast/steering/_drains.py
+++ b/src/pollenmast/steering/_drains.py
@@ -88,7 +88,7 @@
             for change in update.changes
             if isinstance(change, ZoneDrained | ZoneRestored)
         ]
-        if update.whole or update.all_drains:
+        if update.complete or update.all_drains:
             listed = {change.zone for change in changes}
             listed.update(update.unclear_zones)
             changes += [
--- a/src/pollenmast/steering/_journal.py
+++ b/src/pollenmast/steering/_journal.py
@@ -26,7 +26,7 @@
             update: An update from the directory or a peer.
             known: The revision known before; changes up to it are left out.
         """
-        starts_anew = self._complete_after is None or update.whole
+        starts_anew = self._complete_after is None or update.complete
         if starts_anew:
             self._changes.clear()
             self._complete_after = update.revision
--- a/tests/entry_pause_test.py
+++ b/tests/entry_pause_test.py
@@ -77,7 +77,7 @@
         update = snapshot.decode(
             snapshot.encode(known, Position(0, 10))
         ).ok_value
-        self.assertEqual(((removed,), False), (update.changes, update.whole))
+        self.assertEqual(((removed,), False), (update.changes, update.complete))
         learner.apply(update, 1.0)
         self.assertEqual(11, learner.revision)
         record = learner.catalog.get(group.endpoint(1).name)
@@ -156,9 +156,9 @@
         self.assertFalse(learner.fits(update))
         learner.apply(update, 1.0)
         self.assertEqual((1, 10), (learner.table.version, learner.revision))
-        whole = snapshot.decode(snapshot.encode(known)).ok_value
-        self.assertTrue(learner.fits(whole))
-        learner.apply(whole, 1.0)
+        complete = snapshot.decode(snapshot.encode(known)).ok_value
+        self.assertTrue(learner.fits(complete))
+        learner.apply(complete, 1.0)
         self.assertEqual(known.table, learner.table)
 
     def test_already_known(self):
@@ -184,7 +184,7 @@
         update = snapshot.decode(
             snapshot.encode(known, Position(0, 10))
         ).ok_value
-        self.assertTrue(update.whole)
+        self.assertTrue(update.complete)
         self.assertEqual(3, len(update.changes))
 
     @given(st.binary(max_size=200))
--- a/tests/platform_first_read_test.py
+++ b/tests/platform_first_read_test.py
@@ -64,7 +64,7 @@
         self._serve_pages(first, PAGE.replace(b"7", b"9"))
         self.assertIsNone(self.results[0])
         self.assertEqual(7, self.results[1].ok_value.revision)
-        self.assertTrue(self.results[1].ok_value.whole)
+        self.assertTrue(self.results[1].ok_value.complete)
         self.assertEqual(2, self.counters.value(PLATFORM_CALLS, "answered"))
 
     def test_epoch(self):
--- a/tests/platform_store_test.py
+++ b/tests/platform_store_test.py
@@ -34,7 +34,7 @@
     def test_single_page(self):
         """Configuration and endpoints are read with a single call."""
         update = self._read().ok_value
-        self.assertTrue(update.whole)
+        self.assertTrue(update.complete)
         self.assertEqual(self.store.revision, update.revision)
         self.assertEqual(2, len(update.changes))
         self.assertEqual(1, self.store.calls)
--- a/tests/steering_drains_test.py
+++ b/tests/steering_drains_test.py
@@ -149,8 +149,8 @@
         super().setUp()
         self.drains = Drains()
 
-    def _apply(self, *changes, revision: int = 20, whole: bool = False):
-        return self.drains.apply(Update(changes, revision, whole))
+    def _apply(self, *changes, revision: int = 20, complete: bool = False):
+        return self.drains.apply(Update(changes, revision, complete))
 
 
 class OrderTest(_DrainsTestCase):
@@ -171,13 +171,13 @@
     def test_complete_listing(self):
         """A complete listing restores the zones that it does not name."""
         self._apply(ZoneDrained("a", 11), ZoneDrained("b", 12))
-        self._apply(ZoneDrained("b", 12), whole=True)
+        self._apply(ZoneDrained("b", 12), complete=True)
         self.assertEqual({"b": 12}, self.drains.zones)
 
     def test_older_complete_listing(self):
         """A listing older than the drain does not end it."""
         self._apply(ZoneDrained("a", 30))
-        self._apply(revision=20, whole=True)
+        self._apply(revision=20, complete=True)
         self.assertTrue(self.drains.is_drained("a"))
 
     def test_unreadable_entry(self):
@@ -225,11 +225,11 @@
 class DirectoryEntryTest(TestCase):
     """Valid and invalid drain entries of the directory."""
 
-    def _read(self, key: str, value: object, whole: bool = True) -> Update:
+    def _read(self, key: str, value: object, complete: bool = True) -> Update:
         store = Store()
         store.put(key, value)
         items = json.loads(store.items_body())["items"]
-        return read_items(items, store.revision, whole=whole)
+        return read_items(items, store.revision, complete=complete)
 
     def test_valid(self):
         """A drain is accepted even if no endpoint is known in the zone."""
@@ -259,5 +259,5 @@
     def test_removed(self):
         """Removing the entry restores the zone."""
         item = {"key": "op/evacuate/a", "revision": 5, "deleted": True}
-        update = read_items([item], 5, whole=False)
+        update = read_items([item], 5, complete=False)
         self.assertEqual((ZoneRestored("a", 5),), update.changes)
--- a/tests/steering_group.py
+++ b/tests/steering_group.py
@@ -51,7 +51,7 @@
     """Returns a complete listing of endpoints and a configuration."""
     changes = [EndpointAnnounced(each, revision) for each in endpoints]
     published = RoutesPublished(routes or table(), revision)
-    return Update((published, *changes), revision, whole=True, epoch=epoch)
+    return Update((published, *changes), revision, complete=True, epoch=epoch)
 
 
 def flow(number: int = 1) -> FlowKey:
--- a/tests/steering_restore_test.py
+++ b/tests/steering_restore_test.py
@@ -41,7 +41,7 @@
     drains = [ZoneDrained(zone, revision - 5) for zone in zones]
     routes = RoutesPublished(group.table(version), revision - 5)
     changes = (routes, *listed, *drains)
-    return Update(changes, revision, whole=True, epoch=epoch)
+    return Update(changes, revision, complete=True, epoch=epoch)
 
 
 def _send_syn(core, number: int, now: float):
@@ -84,7 +84,7 @@
             ),
         ]
     )
-    def test_applied(self, _, epoch, revision, whole, expected):
+    def test_applied(self, _, epoch, revision, complete, expected):
         """A late answer of the old store does not undo the restore.
 
         Updates of an earlier epoch are ignored. Of a later epoch only a
@@ -92,7 +92,7 @@
         """
         core = _core(FIRST)
         changes = (EndpointAnnounced(LEAVING, revision),)
-        core.apply(Update(changes, revision, whole, epoch=epoch), 5.0)
+        core.apply(Update(changes, revision, complete, epoch=epoch), 5.0)
         self.assertEqual(expected, core.position)
         applied = expected != Position(1, KNOWN_REVISION)
         self.assertEqual(
@@ -303,7 +303,7 @@
         ]
     )
     def test_update_for_peer(
-        self, _, epoch, revision, known_epoch, known, whole
+        self, _, epoch, revision, known_epoch, known, complete
     ):
         """A peer of another epoch is sent a complete listing, not changes.
 
@@ -317,5 +317,6 @@
         body = snapshot.encode(core, Position(known_epoch, known))
         update = snapshot.decode(body).ok_value
         self.assertEqual(
-            (Position(epoch, revision), whole), (update.position, update.whole)
+            (Position(epoch, revision), complete),
+            (update.position, update.complete),
         )
