--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -27,7 +27,7 @@
     EventLog,
 )
 from pollenmast.steering import (
-    NOTHING_KNOWN,
+    START_POSITION,
     Directory,
     DirectoryFault,
     RoutesPublished,
@@ -175,7 +175,7 @@
         position = self._steering.position
         if position > before:
             self._on_change()
-        if position.epoch > before.epoch and before != NOTHING_KNOWN:
+        if position.epoch > before.epoch and before != START_POSITION:
             self._update_log.log_restore(before, update, source)
         self._update_log.log_refused(update, source)
         self._update_log.log_routes(applied, update.position, source)
--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -32,7 +32,7 @@
 from pollenmast.entry._ports import Address
 from pollenmast.entry._report import MAX_CHANGE_BYTES, Kind, Report
 from pollenmast.steering import (
-    NOTHING_KNOWN,
+    START_POSITION,
     Failures,
     Members,
     Position,
@@ -117,8 +117,8 @@
         self._rng = rng
         self._round = 0
         self._heard_any_peer = False
-        self._broadcast_position = NOTHING_KNOWN
-        self._cached_answer = (float("-inf"), NOTHING_KNOWN, b"")
+        self._broadcast_position = START_POSITION
+        self._cached_answer = (float("-inf"), START_POSITION, b"")
         self._changes_pending = anyio.Event()
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.setblocking(False)
@@ -331,7 +331,7 @@
         return same_epoch and position <= self._position
 
     def _answer(self, report: Report, host: str, now: float) -> None:
-        if NOTHING_KNOWN < report.position < self._position:
+        if START_POSITION < report.position < self._position:
             after = report.position
             changes = self._changes(after)
             answer = self._total_report(
--- a/src/pollenmast/entry/_peers.py
+++ b/src/pollenmast/entry/_peers.py
@@ -14,7 +14,7 @@
 from pollenmast.entry._follow import Follower
 from pollenmast.entry._ports import Address
 from pollenmast.events import PEER_TOLD, EventLog
-from pollenmast.steering import NOTHING_KNOWN, Position, Steering
+from pollenmast.steering import START_POSITION, Position, Steering
 
 PATH = "/snapshot"
 
@@ -96,7 +96,9 @@
     async def _ask(self, seed: Address) -> None:
         connection = http1.Connection(*seed)
         known = (
-            NOTHING_KNOWN if self._needs_full_state else self._steering.position
+            START_POSITION
+            if self._needs_full_state
+            else self._steering.position
         )
         target = f"{PATH}?epoch={known.epoch}&after={known.revision}"
         try:
--- a/src/pollenmast/entry/_site.py
+++ b/src/pollenmast/entry/_site.py
@@ -11,7 +11,7 @@
 from pollenmast.entry import _peers as peers
 from pollenmast.entry import _snapshot as snapshot
 from pollenmast.http1 import Answer, Request
-from pollenmast.steering import NOTHING_KNOWN, Position, Steering
+from pollenmast.steering import START_POSITION, Position, Steering
 
 METRICS_PATH = "/metrics"
 
@@ -41,7 +41,7 @@
         self._counters = counters
         self._histograms = histograms
         self._stopping = False
-        self._snapshot_cache = (NOTHING_KNOWN, dict[Position, bytes]())
+        self._snapshot_cache = (START_POSITION, dict[Position, bytes]())
 
     def stop(self) -> None:
         """Reports the VM as not ready from now on, as it shuts down."""
--- a/src/pollenmast/entry/_snapshot.py
+++ b/src/pollenmast/entry/_snapshot.py
@@ -15,7 +15,7 @@
 from result import Err, Ok, Result
 
 from pollenmast.steering import (
-    NOTHING_KNOWN,
+    START_POSITION,
     Change,
     Endpoint,
     EndpointAnnounced,
@@ -49,7 +49,7 @@
 _DRAINED, _RESTORED = 5, 6
 
 
-def encode(steering: Steering, after: Position = NOTHING_KNOWN) -> bytes:
+def encode(steering: Steering, after: Position = START_POSITION) -> bytes:
     """Encodes the changes after a position.
 
     Args:
--- a/src/pollenmast/platform/_store.py
+++ b/src/pollenmast/platform/_store.py
@@ -14,7 +14,7 @@
 from pollenmast.platform._items import read_items
 from pollenmast.platform._listing import Listing
 from pollenmast.steering import (
-    NOTHING_KNOWN,
+    START_POSITION,
     Directory,
     DirectoryFault,
     Position,
@@ -97,7 +97,7 @@
         self._counters = counters
 
     async def read(
-        self, known: Position = NOTHING_KNOWN
+        self, known: Position = START_POSITION
     ) -> Result[Update, DirectoryFault]:
         """Returns everything that is currently published."""
         listed = await self._read_pages(Listing(), known)
--- a/src/pollenmast/steering/__init__.py
+++ b/src/pollenmast/steering/__init__.py
@@ -2,7 +2,7 @@
 
 from pollenmast.steering._catalog import Catalog
 from pollenmast.steering._changes import (
-    NOTHING_KNOWN,
+    START_POSITION,
     Change,
     Directory,
     DirectoryFault,
@@ -36,7 +36,7 @@
 from pollenmast.steering._record import Presence, Record
 
 __all__ = [
-    "NOTHING_KNOWN",
+    "START_POSITION",
     "Applied",
     "Catalog",
     "Change",
--- a/src/pollenmast/steering/_changes.py
+++ b/src/pollenmast/steering/_changes.py
@@ -9,7 +9,7 @@
 from pollenmast.steering._model import Endpoint, Route, RouteTable, Warmup
 from pollenmast.steering._position import Position
 
-NOTHING_KNOWN = Position()
+START_POSITION = Position()
 """The position before the first answer."""
 
 
@@ -212,7 +212,7 @@
 
     @abc.abstractmethod
     async def read(
-        self, known: Position = NOTHING_KNOWN
+        self, known: Position = START_POSITION
     ) -> Result[Update, DirectoryFault]:
         """Returns a complete listing.
 
