--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -37,7 +37,7 @@
 from pollenmast.steering._position import Position
 from pollenmast.steering._reach import Reach
 from pollenmast.steering._record import Presence, Record
-from pollenmast.steering._routes import RouteBook
+from pollenmast.steering._routes import ActiveRoutes
 from pollenmast.steering._traffic_observer import TrafficObserver
 
 MAX_VIEW_AGE_S = 2.5
@@ -99,7 +99,7 @@
             zone, self._catalog, self._load, rng, self._cold_limit
         )
         self._journal = Journal()
-        self._routes = RouteBook()
+        self._routes = ActiveRoutes()
         self._position = Position()
         self._confirmed_at = float("-inf")
         self._returned_at = float("-inf")
--- a/src/pollenmast/steering/_routes.py
+++ b/src/pollenmast/steering/_routes.py
@@ -10,7 +10,7 @@
 from pollenmast.steering._model import RouteTable
 
 
-class RouteBook:
+class ActiveRoutes:
     """Holds the configuration with the highest version received.
 
     The operator assigns the versions. An older configuration listed by a
