--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -207,7 +207,7 @@
         """
         if update.epoch != self._position.epoch:
             return update.complete and update.epoch > self._position.epoch
-        return self._routes.fits(update.changes)
+        return self._routes.can_apply(update.changes)
 
     def apply(self, update: Update, now: float) -> Applied:
         """Applies an update from the directory or from a peer.
--- a/src/pollenmast/steering/_routes.py
+++ b/src/pollenmast/steering/_routes.py
@@ -25,7 +25,7 @@
         """The configuration in force, None before the first."""
         return self._table
 
-    def fits(self, changes: Iterable[Change]) -> bool:
+    def can_apply(self, changes: Iterable[Change]) -> bool:
         """Whether changes can be applied to the configuration in force."""
         version = self._table.version if self._table is not None else None
         for change in changes:
