--- a/src/pollenmast/entry/_peers.py
+++ b/src/pollenmast/entry/_peers.py
@@ -125,7 +125,7 @@
             return
         # If the changes start from a route table that this VM does not have,
         # the next request asks for the complete state.
-        self._needs_full_state = not self._steering.fits(update)
+        self._needs_full_state = not self._steering.can_apply(update)
         self._log.write(
             PEER_TOLD,
             peer=source,
--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -199,7 +199,7 @@
         self._returned_at = now
         self._catalog.extend_lapses(now)
 
-    def fits(self, update: Update) -> bool:
+    def can_apply(self, update: Update) -> bool:
         """Whether an update can be applied to this VM's current view.
 
         An update of another epoch is accepted only if it is a complete list and
@@ -215,7 +215,7 @@
         Returns:
             What changed; nothing if the update does not fit the current view.
         """
-        if not self.fits(update):
+        if not self.can_apply(update):
             return Applied([], None)
         if update.epoch > self._position.epoch:
             self._catalog.begin_epoch(now)
--- a/tests/entry_pause_test.py
+++ b/tests/entry_pause_test.py
@@ -153,11 +153,11 @@
         update = snapshot.decode(
             snapshot.encode(known, Position(0, 10))
         ).ok_value
-        self.assertFalse(learner.fits(update))
+        self.assertFalse(learner.can_apply(update))
         learner.apply(update, 1.0)
         self.assertEqual((1, 10), (learner.table.version, learner.revision))
         complete = snapshot.decode(snapshot.encode(known)).ok_value
-        self.assertTrue(learner.fits(complete))
+        self.assertTrue(learner.can_apply(complete))
         learner.apply(complete, 1.0)
         self.assertEqual(known.table, learner.table)
 
@@ -171,7 +171,7 @@
         update = snapshot.decode(
             snapshot.encode(known, Position(0, 10))
         ).ok_value
-        self.assertTrue(learner.fits(update))
+        self.assertTrue(learner.can_apply(update))
         learner.apply(update, 1.0)
         self.assertEqual(known.table, learner.table)
 
