--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -220,7 +220,7 @@
         if update.epoch > self._position.epoch:
             self._catalog.begin_epoch(now)
         before = self.table
-        changes = [self._routes.take(change) for change in update.changes]
+        changes = [self._routes.apply(change) for change in update.changes]
         zones = self._catalog.drains.apply(update)
         table = self.table if self.table is not before else None
         if table is not None:
--- a/src/pollenmast/steering/_routes.py
+++ b/src/pollenmast/steering/_routes.py
@@ -39,7 +39,7 @@
                 version = change.version
         return True
 
-    def take(self, change: Change) -> Change | None:
+    def apply(self, change: Change) -> Change | None:
         """Applies a change if it is one of the configuration.
 
         Returns:
