--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -172,7 +172,7 @@
             self._mark_listed(record, record.listed, now)
         return listed, self._drains.settle()
 
-    def cool(
+    def mark_cold(
         self,
         zones: Iterable[ZoneDrained | ZoneRestored],
         warmups: dict[str, Warmup],
--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -294,7 +294,7 @@
         self, zones: Sequence[ZoneDrained | ZoneRestored], now: float
     ) -> None:
         if self.table is not None:
-            self._catalog.cool(zones, self.table.warmups, now)
+            self._catalog.mark_cold(zones, self.table.warmups, now)
 
     def _decide(self, segment: Segment, now: float) -> Outcome:
         if segment.syn:
