--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -155,7 +155,9 @@
             record.revision = EARLIER_EPOCH_REVISION
             record.listed = None
 
-    def settle(self, now: float) -> tuple[list[Record], list[ZoneRestored]]:
+    def adopt_restored_state(
+        self, now: float
+    ) -> tuple[list[Record], list[ZoneRestored]]:
         """Adopts the state of a restored directory after `RESTORE_SETTLE_S`.
 
         Until then the state of the earlier epoch takes precedence where the
--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -240,9 +240,9 @@
     def settle(self, now: float) -> Applied:
         """Applies a restored directory's entries once its writers had time.
 
-        See `Catalog.settle`.
+        See `Catalog.adopt_restored_state`.
         """
-        records, zones = self._catalog.settle(now)
+        records, zones = self._catalog.adopt_restored_state(now)
         self._mark_cold(zones, now)
         return Applied(records, None, list(zones))
 
