--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -187,7 +187,7 @@
 
         This happens only once its writers have had time to write again.
         """
-        applied = self._steering.settle(anyio.current_time())
+        applied = self._steering.adopt_restored_state(anyio.current_time())
         epoch = self._steering.position.epoch
         self._update_log.log_zones(applied, epoch, "settled")
         self._update_log.log_endpoints(applied, epoch, "settled")
--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -237,7 +237,7 @@
             self._position = update.position
         return Applied(records, table, zones)
 
-    def settle(self, now: float) -> Applied:
+    def adopt_restored_state(self, now: float) -> Applied:
         """Applies a restored directory's entries once its writers had time.
 
         See `Catalog.adopt_restored_state`.
--- a/tests/steering_restore_test.py
+++ b/tests/steering_restore_test.py
@@ -172,7 +172,7 @@
         """
         core = getattr(self, before)()
         core.apply(_restored_listing(FIRST, SECOND), 5.0)
-        core.settle(SETTLED_AT - 0.1)
+        core.adopt_restored_state(SETTLED_AT - 0.1)
         placed = {_send_syn(core, n, 5.1).endpoint.name for n in range(40)}
         self.assertEqual({SECOND.name}, placed)
 
@@ -181,13 +181,15 @@
         """An endpoint back in service is used once the state settles."""
         core = getattr(self, before)()
         core.apply(_restored_listing(FIRST, SECOND), 5.0)
-        applied = core.settle(SETTLED_AT)
+        applied = core.adopt_restored_state(SETTLED_AT)
         self.assertEqual(
             [FIRST.name], [r.endpoint.name for r in applied.records]
         )
         names = {r.endpoint.name for r in core.catalog.serving("registry")}
         self.assertEqual({FIRST.name, SECOND.name}, names)
-        self.assertEqual([], core.settle(SETTLED_AT + 1.0).records)
+        self.assertEqual(
+            [], core.adopt_restored_state(SETTLED_AT + 1.0).records
+        )
 
     @parameterized.expand(
         [("ready", FIRST, True), ("draining", LEAVING, False)]
@@ -203,7 +205,7 @@
         change = EndpointAnnounced(written, COPY_REVISION + 1)
         core.apply(Update((change,), COPY_REVISION + 1, epoch=2), 5.2)
         for now in (5.3, SETTLED_AT):
-            core.settle(now)
+            core.adopt_restored_state(now)
             names = {r.endpoint.name for r in core.catalog.serving("registry")}
             self.assertEqual(serves, FIRST.name in names)
 
@@ -215,9 +217,9 @@
         core = self._left()
         core.apply(_restored_listing(FIRST, SECOND), 5.0)
         core.apply(_restored_listing(FIRST, SECOND, epoch=3, revision=50), 5.6)
-        core.settle(SETTLED_AT)
+        core.adopt_restored_state(SETTLED_AT)
         self.assertTrue(core.catalog.get(FIRST.name).endpoint.draining)
-        core.settle(SETTLED_AT + 0.7)
+        core.adopt_restored_state(SETTLED_AT + 0.7)
         self.assertFalse(core.catalog.get(FIRST.name).endpoint.draining)
 
     def test_withheld_entry_removed(self):
@@ -226,7 +228,7 @@
         core.apply(_restored_listing(FIRST, SECOND), 5.0)
         removed = EndpointRemoved(FIRST.name, COPY_REVISION + 1)
         core.apply(Update((removed,), COPY_REVISION + 1, epoch=2), 6.0)
-        self.assertEqual([], core.settle(SETTLED_AT).records)
+        self.assertEqual([], core.adopt_restored_state(SETTLED_AT).records)
 
     def test_new_vm(self):
         """A VM that has just started is sent the restored directory's state."""
@@ -259,10 +261,10 @@
         """
         core = self._drained()
         core.apply(_restored_listing(FIRST, SECOND), 5.0)
-        core.settle(SETTLED_AT - 0.1)
+        core.adopt_restored_state(SETTLED_AT - 0.1)
         self.assertTrue(self._is_drained(core))
         zones = [ZoneRestored(group.OTHER_ZONE, 0)]
-        self.assertEqual(zones, core.settle(SETTLED_AT).zones)
+        self.assertEqual(zones, core.adopt_restored_state(SETTLED_AT).zones)
         self.assertFalse(self._is_drained(core))
 
     def test_written_again(self):
@@ -271,7 +273,7 @@
         core.apply(_restored_listing(FIRST, SECOND), 5.0)
         change = ZoneDrained(group.OTHER_ZONE, COPY_REVISION + 1)
         core.apply(Update((change,), COPY_REVISION + 1, epoch=2), 5.5)
-        core.settle(SETTLED_AT)
+        core.adopt_restored_state(SETTLED_AT)
         self.assertTrue(self._is_drained(core))
 
     def test_restored_in_new_epoch(self):
