--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -172,7 +172,7 @@
         listed = [r for r in self._records.values() if r.listed is not None]
         for record in listed:
             self._mark_listed(record, record.listed, now)
-        return listed, self._drains.settle()
+        return listed, self._drains.adopt_restored_state()
 
     def mark_cold(
         self,
--- a/src/pollenmast/steering/_drains.py
+++ b/src/pollenmast/steering/_drains.py
@@ -46,16 +46,16 @@
     def begin_epoch(self) -> None:
         """Starts a new epoch after the directory was restored from a copy.
 
-        Drains stay in force until the new epoch confirms them or `settle` ends
-        them: the copy may lack a drain that the operator has not yet written
-        again.
+        Drains stay in force until the new epoch confirms them or
+        `adopt_restored_state` ends them: the copy may lack a drain that the
+        operator has not yet written again.
         """
         self._zones = {
             zone: _ZoneState(True, EARLIER_EPOCH_REVISION)
             for zone in self.zones
         }
 
-    def settle(self) -> list[ZoneRestored]:
+    def adopt_restored_state(self) -> list[ZoneRestored]:
         """Ends the drains that the current epoch has not confirmed.
 
         Returns:
