--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -182,7 +182,7 @@
         self._update_log.log_zones(applied, update.epoch, source)
         self._update_log.log_endpoints(applied, update.epoch, source)
 
-    def settle(self) -> None:
+    def adopt_restored_state(self) -> None:
         """Accepts what a restored directory lists, replacing earlier state.
 
         This happens only once its writers have had time to write again.
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -228,7 +228,7 @@
         while True:
             await anyio.sleep(MAINTENANCE_INTERVAL_S)
             self._steering.tick(anyio.current_time())
-            self._follower.settle()
+            self._follower.adopt_restored_state()
             self._stream.flush()
 
 
