--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -284,7 +284,7 @@
         if self._lost_at is not None:
             outage_s = now - self._lost_at
             self._lost_at = None
-            self._steering.on_return(now)
+            self._steering.on_directory_return(now)
             self._log.write(
                 PLATFORM_BACK,
                 away_s=round(outage_s, 3),
--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -194,7 +194,7 @@
         self._confirmed_at -= gap_s
         self._catalog.confirm(self._confirmed_at)
 
-    def on_return(self, now: float) -> None:
+    def on_directory_return(self, now: float) -> None:
         """Handles the return of the directory after an outage."""
         self._returned_at = now
         self._catalog.extend_lapses(now)
--- a/tests/steering_core_test.py
+++ b/tests/steering_core_test.py
@@ -140,7 +140,7 @@
         Just after the directory's return some entries are still missing.
         """
         core = group.steering()
-        core.on_return(10.0)
+        core.on_directory_return(10.0)
         core.on_confirmed(10.0 + since_return)
         outcome = core.on_segment(group.syn(group.flow()), 10.0 + since_return)
         self.assertIsInstance(outcome, kind)
