--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -196,7 +196,7 @@
         for record in self._still_lapsed():
             record.lapsed_at = now
 
-    def overdue(self) -> list[Record]:
+    def expired_lapses(self) -> list[Record]:
         """Returns the lapsed endpoints whose grace period has passed."""
         return [r for r in self._still_lapsed() if self.is_missing(r)]
 
--- a/src/pollenmast/steering/_check_policy.py
+++ b/src/pollenmast/steering/_check_policy.py
@@ -41,7 +41,7 @@
 
     def schedule_overdue(self, now: float) -> None:
         """Schedules checks of endpoints whose entries did not come back."""
-        for record in self._to_check(self._catalog.overdue()):
+        for record in self._to_check(self._catalog.expired_lapses()):
             record.health.request_check_unless_recent(now, CheckReason.MISSING)
 
     def on_peer_reported_down(self, number: int, now: float) -> None:
--- a/tests/steering_check_policy_test.py
+++ b/tests/steering_check_policy_test.py
@@ -118,7 +118,7 @@
                 core.on_check(due, CheckResult.ANSWERED, now)
             now += 0.5
         self.assertIsNone(core.catalog.get(FIRST.name))
-        self.assertEqual([], core.catalog.overdue())
+        self.assertEqual([], core.catalog.expired_lapses())
 
     def test_entry_returns(self):
         """An endpoint whose entry returns gets flows again without a check."""
