--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -191,7 +191,7 @@
             if record.endpoint.zone in restored and warmup is not None:
                 record.cold_until = now + warmup.duration_s
 
-    def extend_lapses(self, now: float) -> None:
+    def restart_grace_periods(self, now: float) -> None:
         """Restarts every grace period: the directory has just returned."""
         for record in self._still_lapsed():
             record.lapsed_at = now
--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -197,7 +197,7 @@
     def on_directory_return(self, now: float) -> None:
         """Handles the return of the directory after an outage."""
         self._returned_at = now
-        self._catalog.extend_lapses(now)
+        self._catalog.restart_grace_periods(now)
 
     def can_apply(self, update: Update) -> bool:
         """Whether an update can be applied to this VM's current view.
