--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -33,7 +33,7 @@
 from pollenmast.steering._model import FlowKey, Route, RouteTable, Segment
 from pollenmast.steering._outcomes import Drop, Forward, Outcome, Reset
 from pollenmast.steering._outliers import Outliers
-from pollenmast.steering._placement import Placed, Placement, Unplaced
+from pollenmast.steering._placement import EndpointSelector, Placed, Unplaced
 from pollenmast.steering._position import Position
 from pollenmast.steering._reach import Reach
 from pollenmast.steering._record import Presence, Record
@@ -95,7 +95,7 @@
             histograms or Histograms(),
         )
         self._reach = Reach(zone, self._catalog)
-        self._placement = Placement(
+        self._selector = EndpointSelector(
             zone, self._catalog, self._load, rng, self._cold_limit
         )
         self._journal = Journal()
@@ -224,7 +224,7 @@
         zones = self._catalog.drains.apply(update)
         table = self.table if self.table is not before else None
         if table is not None:
-            self._placement.set_warmups(table.warmups)
+            self._selector.set_warmups(table.warmups)
         self._mark_cold(zones, now)
         records = self._catalog.apply(update, now)
         lapsed = [r for r in records if r.presence is Presence.LAPSED]
@@ -344,7 +344,7 @@
         flow.opened = False
         flow.syn_sent_at = now
         placed.record.health.on_syn(segment.flow, now)
-        self._placement.on_opened(placed.record, now)
+        self._selector.on_opened(placed.record, now)
         # Count the flow now rather than with its first request: otherwise
         # flows that arrive together would all pick the same endpoint as the
         # least loaded.
@@ -363,7 +363,7 @@
         """
         first = None
         for service in route.services(flow.digest):
-            placed = self._placement.choose(service, tried, now)
+            placed = self._selector.choose(service, tried, now)
             if isinstance(placed, Placed):
                 return placed
             first = first or placed
--- a/src/pollenmast/steering/_placement.py
+++ b/src/pollenmast/steering/_placement.py
@@ -72,7 +72,7 @@
     WARMING_UP = "warming_up"
 
 
-class Placement:
+class EndpointSelector:
     """Selects endpoints for the new flows of one VM."""
 
     def __init__(
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -12,7 +12,7 @@
 from pollenmast.steering._placement import (
     ZONE_ADVANTAGE,
     ZONE_FACTOR,
-    Placement,
+    EndpointSelector,
 )
 from tests import steering_group as group
 
@@ -105,8 +105,8 @@
         for number, requests in (own or {}).items():
             for _ in range(requests):
                 load.on_request(number, 100.0)
-        placement = Placement(group.ZONE, catalog, load, random.Random(1))
-        return placement.choose("registry", tried, 100.0)
+        selector = EndpointSelector(group.ZONE, catalog, load, random.Random(1))
+        return selector.choose("registry", tried, 100.0)
 
     @parameterized.expand(
         [
@@ -150,8 +150,8 @@
         for at in heard_at:
             load.on_peer_report("vm-2", {1: 60.0}, at)
             load.on_zone_report(group.OTHER_ZONE, {3: 2.0}, 1, at)
-        placement = Placement(group.ZONE, catalog, load, random.Random(1))
-        placed = placement.choose("registry", (), 100.0)
+        selector = EndpointSelector(group.ZONE, catalog, load, random.Random(1))
+        placed = selector.choose("registry", (), 100.0)
         self.assertEqual(reason, placed.reason)
 
     @parameterized.expand([("alone", {}), ("told_else", {1: 1.0, 2: 90.0})])
@@ -223,15 +223,15 @@
         catalog = Catalog()
         catalog.apply(group.listing(*listed), 0.0)
         told = {each.number: 20.0 for each in listed[1:]}
-        placements = []
+        selectors = []
         for seed in range(vms):
             load = EndpointLoads(group.ZONE)
             load.on_total_report(told, vms + 1, 100.0)
             rng = random.Random(seed)
-            placements.append(Placement(group.ZONE, catalog, load, rng))
+            selectors.append(EndpointSelector(group.ZONE, catalog, load, rng))
         got = 0
         for number in range(flows):
-            placed = placements[number % vms].choose("registry", (), 100.1)
+            placed = selectors[number % vms].choose("registry", (), 100.1)
             got += placed.record.endpoint is listed[0]
         self.assertLess(got, 3 * flows / endpoints)
 
@@ -267,8 +267,8 @@
     catalog = Catalog()
     catalog.apply(group.listing(*listed), 0.0)
     books = [EndpointLoads(group.ZONE) for _ in range(vms)]
-    placements = [
-        Placement(group.ZONE, catalog, book, random.Random(seed))
+    selectors = [
+        EndpointSelector(group.ZONE, catalog, book, random.Random(seed))
         for seed, book in enumerate(books)
     ]
     served = {each.name: _Endpoint() for each in listed}
@@ -285,7 +285,7 @@
             for book in books:
                 pending.update(book.report(now))
         vm = rng.randrange(vms)
-        placed = placements[vm].choose("registry", (), now).record.endpoint
+        placed = selectors[vm].choose("registry", (), now).record.endpoint
         books[vm].on_request(placed.number, now)
         served[placed.name].take(now, rng.expovariate(1.0 / WORK_S))
     return sum(each.rejected for each in served.values())
@@ -308,6 +308,6 @@
         requests.
         """
         by_own = _count_rejected(vms, endpoints, 0.9)
-        self.patch(Placement, "_own_cost", Placement._total_cost)
+        self.patch(EndpointSelector, "_own_cost", EndpointSelector._total_cost)
         by_total = _count_rejected(vms, endpoints, 0.9)
         self.assertLess(by_own, 0.5 * by_total)
