--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -33,7 +33,7 @@
 from pollenmast.steering._model import FlowKey, Route, RouteTable, Segment
 from pollenmast.steering._outcomes import Drop, Forward, Outcome, Reset
 from pollenmast.steering._outliers import Outliers
-from pollenmast.steering._placement import EndpointSelector, Placed, Unplaced
+from pollenmast.steering._placement import EndpointSelector, Placement, Unplaced
 from pollenmast.steering._position import Position
 from pollenmast.steering._reach import Reach
 from pollenmast.steering._record import Presence, Record
@@ -354,7 +354,7 @@
 
     def _place(
         self, route: Route, flow: FlowKey, tried: tuple[str, ...], now: float
-    ) -> Placed | Unplaced | None:
+    ) -> Placement | Unplaced | None:
         """Returns an endpoint of the route's first service that has one.
 
         Returns:
@@ -364,7 +364,7 @@
         first = None
         for service in route.services(flow.digest):
             placed = self._selector.choose(service, tried, now)
-            if isinstance(placed, Placed):
+            if isinstance(placed, Placement):
                 return placed
             first = first or placed
         return first
--- a/src/pollenmast/steering/_placement.py
+++ b/src/pollenmast/steering/_placement.py
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen
-class Placed:
+class Placement:
     """The endpoint selected for a flow.
 
     Attributes:
@@ -96,7 +96,7 @@
 
     def choose(
         self, service: str, tried: tuple[str, ...], now: float
-    ) -> Placed | Unplaced:
+    ) -> Placement | Unplaced:
         """Selects an endpoint for a new flow.
 
         Args:
@@ -128,10 +128,10 @@
             return self._last_resort(untried or candidates, now)
         chosen = self._nearest(reliable, now)
         if tried:
-            return Placed(chosen, PlacementReason.RETRY)
+            return Placement(chosen, PlacementReason.RETRY)
         if chosen.endpoint.zone == self._zone:
-            return Placed(chosen, PlacementReason.OWN_ZONE)
-        return Placed(chosen, PlacementReason.OTHER_ZONE)
+            return Placement(chosen, PlacementReason.OWN_ZONE)
+        return Placement(chosen, PlacementReason.OTHER_ZONE)
 
     def on_opened(self, record: Record, now: float) -> None:
         """Counts a flow that was opened to an endpoint."""
@@ -156,7 +156,7 @@
         limit = ZONE_FACTOR * self._total_cost(other, now) + ZONE_ADVANTAGE
         return other if self._total_cost(own, now) > limit else own
 
-    def _last_resort(self, records: list[Record], now: float) -> Placed:
+    def _last_resort(self, records: list[Record], now: float) -> Placement:
         """Selects an endpoint although the health of every one is in doubt.
 
         Doubt alone must not leave a service without endpoints: a VM that is
@@ -167,7 +167,9 @@
         # A VM checks lapsed endpoints only if it carries flows to them. About
         # the others it knows only what a reader reports.
         not_avoided = [r for r in up if not r.health.is_avoided(now)] or up
-        return Placed(self._draw(not_avoided, now), PlacementReason.LAST_RESORT)
+        return Placement(
+            self._draw(not_avoided, now), PlacementReason.LAST_RESORT
+        )
 
     def _draw(self, records: list[Record], now: float) -> Record:
         """Returns the least loaded of `DRAWN_ENDPOINTS` random records."""
