--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -33,7 +33,11 @@
 from pollenmast.steering._model import FlowKey, Route, RouteTable, Segment
 from pollenmast.steering._outcomes import Drop, Forward, Outcome, Reset
 from pollenmast.steering._outliers import Outliers
-from pollenmast.steering._placement import EndpointSelector, Placement, Unplaced
+from pollenmast.steering._placement import (
+    EndpointSelector,
+    Placement,
+    PlacementFailure,
+)
 from pollenmast.steering._position import Position
 from pollenmast.steering._reach import Reach
 from pollenmast.steering._record import Presence, Record
@@ -336,7 +340,7 @@
             self._on_syn_repeated(name, now)
         self._catalog.watchlist.evaluate(now)
         placed = self._place(route, segment.flow, tried, now)
-        if placed is None or isinstance(placed, Unplaced):
+        if placed is None or isinstance(placed, PlacementFailure):
             return self._refuse(segment, placed, now)
         endpoint = placed.record.endpoint
         flow = self._flows.bind(segment.flow, endpoint.name, now)
@@ -354,7 +358,7 @@
 
     def _place(
         self, route: Route, flow: FlowKey, tried: tuple[str, ...], now: float
-    ) -> Placement | Unplaced | None:
+    ) -> Placement | PlacementFailure | None:
         """Returns an endpoint of the route's first service that has one.
 
         Returns:
@@ -370,11 +374,11 @@
         return first
 
     def _refuse(
-        self, segment: Segment, reason: Unplaced | None, now: float
+        self, segment: Segment, reason: PlacementFailure | None, now: float
     ) -> Outcome:
-        if reason is Unplaced.ZONE_DRAINED:
+        if reason is PlacementFailure.ZONE_DRAINED:
             return self._reset(segment, ResetReason.ZONE_DRAINED)
-        if reason is Unplaced.WARMING_UP:
+        if reason is PlacementFailure.WARMING_UP:
             return self._reset(segment, ResetReason.WARMING_UP)
         current = self.age_s(now) < MAX_VIEW_AGE_S
         settled = now - self._returned_at >= DIRECTORY_SETTLE_S
--- a/src/pollenmast/steering/_placement.py
+++ b/src/pollenmast/steering/_placement.py
@@ -64,7 +64,7 @@
     reason: PlacementReason
 
 
-class Unplaced(str, enum.Enum):
+class PlacementFailure(str, enum.Enum):
     """Why no endpoint of a service can take a new flow."""
 
     NO_ENDPOINT = "no_endpoint"
@@ -96,7 +96,7 @@
 
     def choose(
         self, service: str, tried: tuple[str, ...], now: float
-    ) -> Placement | Unplaced:
+    ) -> Placement | PlacementFailure:
         """Selects an endpoint for a new flow.
 
         Args:
@@ -109,16 +109,16 @@
         """
         serving = self._catalog.serving(service)
         if not serving:
-            return Unplaced.NO_ENDPOINT
+            return PlacementFailure.NO_ENDPOINT
         undrained = [r for r in serving if not self._catalog.is_drained(r)]
         if not undrained:
-            return Unplaced.ZONE_DRAINED
+            return PlacementFailure.ZONE_DRAINED
         candidates = [r for r in undrained if self._catalog.owns_token(r)]
         if not candidates:
-            return Unplaced.NO_ENDPOINT
+            return PlacementFailure.NO_ENDPOINT
         candidates = [r for r in candidates if self._admits(r, now)]
         if not candidates:
-            return Unplaced.WARMING_UP
+            return PlacementFailure.WARMING_UP
         untried = [r for r in candidates if r.endpoint.name not in tried]
         usable = [r for r in untried if _usable(r)]
         reliable = [
