--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -28,7 +28,7 @@
 from pollenmast.steering._cold_limit import ColdAllowance, ColdLimit
 from pollenmast.steering._flows import MIN_RETRANSMIT_S, FlowTable
 from pollenmast.steering._health import CheckResult
-from pollenmast.steering._journal import Journal
+from pollenmast.steering._journal import ChangeLog
 from pollenmast.steering._load import EndpointLoads
 from pollenmast.steering._model import FlowKey, Route, RouteTable, Segment
 from pollenmast.steering._outcomes import Drop, Forward, Outcome, Reset
@@ -102,7 +102,7 @@
         self._selector = EndpointSelector(
             zone, self._catalog, self._load, rng, self._cold_limit
         )
-        self._journal = Journal()
+        self._journal = ChangeLog()
         self._routes = ActiveRoutes()
         self._position = Position()
         self._confirmed_at = float("-inf")
@@ -144,7 +144,7 @@
         return self._reach
 
     @property
-    def journal(self) -> Journal:
+    def journal(self) -> ChangeLog:
         """The most recent changes."""
         return self._journal
 
--- a/src/pollenmast/steering/_journal.py
+++ b/src/pollenmast/steering/_journal.py
@@ -9,7 +9,7 @@
 of a large release. A peer further behind is sent a complete listing."""
 
 
-class Journal:
+class ChangeLog:
     """The most recent changes in order of revision, without gaps."""
 
     def __init__(self):
@@ -20,7 +20,7 @@
         """Appends the changes of an update.
 
         The first update and each complete listing leave a gap in the sequence
-        of changes, so the journal starts anew after them.
+        of changes, so the log starts anew after them.
 
         Args:
             update: An update from the directory or a peer.
@@ -41,7 +41,7 @@
         """Returns all changes after a revision.
 
         Returns:
-            The changes, None if the journal no longer holds all of them.
+            The changes, None if the log no longer holds all of them.
         """
         if self._complete_after is None or revision < self._complete_after:
             return None
