--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -208,7 +208,7 @@
                     # The error concerns a datagram sent earlier, to a peer
                     # that no longer listens.
                     continue
-                self.take(datagram, sender[0], now)
+                self.on_datagram(datagram, sender[0], now)
             await anyio.lowlevel.checkpoint()
 
     def send_reports(self, now: float) -> None:
@@ -261,7 +261,7 @@
             if zlib.crc32(host.encode()) % len(readers) == own:
                 self._send(report, host)
 
-    def take(self, datagram: bytes, host: str, now: float) -> None:
+    def on_datagram(self, datagram: bytes, host: str, now: float) -> None:
         """Handles a datagram from another VM."""
         decoded = reports.decode(datagram)
         if isinstance(decoded, Err):
--- a/tests/entry_gossip_test.py
+++ b/tests/entry_gossip_test.py
@@ -85,7 +85,7 @@
     def deliver(self):
         while self.queue:
             sender, host, datagram = self.queue.pop(0)
-            self.vms[host].take(datagram, sender, self.now)
+            self.vms[host].on_datagram(datagram, sender, self.now)
 
     def round(self, count: int = 1):
         for _ in range(count):
--- a/tests/entry_report_test.py
+++ b/tests/entry_report_test.py
@@ -145,7 +145,7 @@
 
     def _receive(self, now: float = 1.0, **fields) -> None:
         report = Report(**{**_values(REPORT), **fields})
-        self.gossip.take(reports.encode(report), "127.0.0.2", now)
+        self.gossip.on_datagram(reports.encode(report), "127.0.0.2", now)
 
     def test_dead_endpoint(self):
         """A VM checks an endpoint that another VM reported as dead.
@@ -232,7 +232,7 @@
             report = attrs.evolve(
                 REPORT, kind=Kind.ANSWER, rates=rates, vms=40, down=()
             )
-            self.gossip.take(reports.encode(report), "127.0.0.2", now)
+            self.gossip.on_datagram(reports.encode(report), "127.0.0.2", now)
         placed = [
             self.core.on_segment(group.syn(group.flow(n)), 5.0).placed
             for n in range(100)
@@ -252,7 +252,9 @@
         woken = self._gossip(pauses=pauses)
         pauses.notify(lambda gap_s: woken.discard_waiting())
         received = []
-        woken.take = lambda datagram, host, now: received.append(datagram)
+        woken.on_datagram = lambda datagram, host, now: received.append(
+            datagram
+        )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
             peer.sendto(b"report", woken._sock.getsockname())
 
@@ -268,7 +270,7 @@
     )
     def test_malformed(self, _, data):
         """Malformed datagrams are counted and change nothing."""
-        self.gossip.take(data, "127.0.0.2", 1.0)
+        self.gossip.on_datagram(data, "127.0.0.2", 1.0)
         self.assertEqual(1, self.counters.value(ENVELOPE_FAULTS, "malformed"))
         self.assertEqual({}, dict(self.core.load.sum_of_reports(1.0)))
 
--- a/tests/fleet_group.py
+++ b/tests/fleet_group.py
@@ -88,7 +88,7 @@
         vm = self._fleet.vms.get(host)
         if vm is not None and host not in self._fleet.deaf:
             now = anyio.current_time()
-            vm.gossip.take(datagram, self._host, now)
+            vm.gossip.on_datagram(datagram, self._host, now)
 
 
 class FleetVm:
