--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -158,7 +158,7 @@
         alone = not self._heard_any_peer and self._round >= SOLE_VM_ROUNDS
         return (self._host, []) if alone else None
 
-    def push(self) -> None:
+    def schedule_broadcast(self) -> None:
         """Schedules a broadcast of changes to the other VMs."""
         self._changes_pending.set()
 
@@ -169,7 +169,7 @@
             await anyio.sleep(REPORT_INTERVAL_S * self._rng.uniform(0.9, 1.1))
 
     async def send_news(self) -> None:
-        """Broadcasts changes after each `push` until cancelled."""
+        """Broadcasts changes when they are scheduled, until cancelled."""
         while True:
             await self._changes_pending.wait()
             self._changes_pending = anyio.Event()
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -126,7 +126,9 @@
             settings.link_mbps,
             self._pauses,
         )
-        self._follower.join(self._gossip.is_reader, self._gossip.push)
+        self._follower.join(
+            self._gossip.is_reader, self._gossip.schedule_broadcast
+        )
         self._steering.check_policy.set_is_reader(self._gossip.is_reader)
         self._steering.outliers.set_on_ejected(self._on_ejected)
         self._steering.cold_limit.join(self._gossip.sharers)
