--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -168,7 +168,7 @@
             self.send_reports(anyio.current_time())
             await anyio.sleep(REPORT_INTERVAL_S * self._rng.uniform(0.9, 1.1))
 
-    async def send_news(self) -> None:
+    async def run_broadcasts(self) -> None:
         """Broadcasts changes when they are scheduled, until cancelled."""
         while True:
             await self._changes_pending.wait()
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -144,7 +144,7 @@
                 tasks.start_soon(self._peers.run)
                 tasks.start_soon(self._peers.catch_up)
                 tasks.start_soon(self._gossip.send)
-                tasks.start_soon(self._gossip.send_news)
+                tasks.start_soon(self._gossip.run_broadcasts)
                 tasks.start_soon(self._gossip.receive)
                 tasks.start_soon(self._checker.run)
                 tasks.start_soon(self._reach_watch.run)
--- a/tests/fleet_group.py
+++ b/tests/fleet_group.py
@@ -122,7 +122,7 @@
             tasks.start_soon(self.peers.run)
             tasks.start_soon(self.peers.catch_up)
             tasks.start_soon(self.gossip.send)
-            tasks.start_soon(self.gossip.send_news)
+            tasks.start_soon(self.gossip.run_broadcasts)
             tasks.start_soon(self._tick)
 
     async def _tick(self) -> None:
