--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -132,7 +132,7 @@
         """Returns whether this VM watches the directory for its zone."""
         return self._members.is_reader(anyio.current_time())
 
-    def sharers(self) -> tuple[str, list[str]] | None:
+    def allowance_peers(self) -> tuple[str, list[str]] | None:
         """Returns the VMs that share an endpoint's allowance during warm-up.
 
         Returns:
@@ -142,7 +142,7 @@
         return self.sharers_at(anyio.current_time())
 
     def sharers_at(self, now: float) -> tuple[str, list[str]] | None:
-        """Returns `sharers` for a given time.
+        """Returns `allowance_peers` for a given time.
 
         Args:
             now: Time of the event loop's clock in seconds.
