--- a/src/pollenmast/entry/_boot.py
+++ b/src/pollenmast/entry/_boot.py
@@ -34,7 +34,7 @@
 from result import Err, Result
 
 from pollenmast.counters import Counters, Histograms
-from pollenmast.entry._carrier import Carrier
+from pollenmast.entry._carrier import Forwarder
 from pollenmast.entry._ports import EntrySettings, PacketFormat
 from pollenmast.entry._update_log import UpdateLog
 from pollenmast.events import (
@@ -105,7 +105,7 @@
         log: Its event log.
         rng: Its random number generator.
         steering: Its endpoints, routes and flows.
-        carrier: Forwards its packets.
+        forwarder: Forwards its packets.
     """
 
     settings: EntrySettings
@@ -115,7 +115,7 @@
     log: EventLog
     rng: random.Random
     steering: Steering
-    carrier: Carrier
+    forwarder: Forwarder
 
 
 def early(
@@ -132,10 +132,10 @@
     steering = Steering(
         settings.zone, counters, rng, histograms, settings.allowance
     )
-    carrier = Carrier(sock, packets, steering, counters, log)
+    forwarder = Forwarder(sock, packets, steering, counters, log)
     log.write(STARTED, zone=settings.zone, pid=os.getpid())
     return BootComponents(
-        settings, counters, histograms, stream, log, rng, steering, carrier
+        settings, counters, histograms, stream, log, rng, steering, forwarder
     )
 
 
@@ -181,7 +181,7 @@
                 self.cancel_request()
                 self._apply_response(response)
         if self._components.steering.ready:
-            self._components.carrier.carry_waiting(_now())
+            self._components.forwarder.carry_waiting(_now())
 
     def cancel_request(self) -> None:
         """Stops waiting for the directory's response."""
@@ -207,7 +207,7 @@
             self._forward_until(_now() + LOAD_RETRY_DELAY_S)
 
     def _forward_until(self, deadline: float) -> None:
-        sock = self._components.carrier.sock
+        sock = self._components.forwarder.sock
         while (left_s := deadline - _now()) > 0.0:
             select.select([sock], [], [], left_s)
             self.step()
--- a/src/pollenmast/entry/_carrier.py
+++ b/src/pollenmast/entry/_carrier.py
@@ -26,7 +26,7 @@
 _MAX_DATAGRAM_BYTES = 2048
 
 
-class Carrier:
+class Forwarder:
     """Receives clients' datagrams and forwards them as steering decides.
 
     Args:
--- a/src/pollenmast/entry/_checks.py
+++ b/src/pollenmast/entry/_checks.py
@@ -11,7 +11,7 @@
     Counters,
     Histograms,
 )
-from pollenmast.entry._carrier import Carrier
+from pollenmast.entry._carrier import Forwarder
 from pollenmast.entry._pause import PauseWatch
 from pollenmast.entry._ports import HealthProbe
 from pollenmast.events import (
@@ -60,7 +60,7 @@
     Args:
         probe: Makes the connections.
         steering: Decides which checks are due, and what their results mean.
-        carrier: Sends resets to clients of dead endpoints.
+        forwarder: Sends resets to clients of dead endpoints.
         pauses: Detects pauses and the lag of this VM.
         counters: Counts checks and their results.
         histograms: Records how long checks take.
@@ -71,7 +71,7 @@
         self,
         probe: HealthProbe,
         steering: Steering,
-        carrier: Carrier,
+        forwarder: Forwarder,
         pauses: PauseWatch,
         counters: Counters,
         histograms: Histograms,
@@ -79,7 +79,7 @@
     ):
         self._probe = probe
         self._steering = steering
-        self._carrier = carrier
+        self._forwarder = forwarder
         self._pauses = pauses
         self._counters = counters
         self._histograms = histograms
@@ -218,7 +218,7 @@
         before = record.presence
         now = anyio.current_time()
         resets = self._steering.on_check(record, result, now)
-        self._carrier.send_resets(resets, now)
+        self._forwarder.send_resets(resets, now)
         event = self._state_event(record, before)
         if event is not None:
             self._log.write(
--- a/src/pollenmast/entry/_packets.py
+++ b/src/pollenmast/entry/_packets.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from pollenmast.entry._carrier import Carrier
+from pollenmast.entry._carrier import Forwarder
 from pollenmast.entry._pause import PauseWatch
 from pollenmast.steering import Steering
 
@@ -20,9 +20,9 @@
     """Forwards datagrams as they arrive."""
 
     def __init__(
-        self, carrier: Carrier, steering: Steering, pauses: PauseWatch
+        self, forwarder: Forwarder, steering: Steering, pauses: PauseWatch
     ):
-        self._carrier = carrier
+        self._forwarder = forwarder
         self._steering = steering
         self._pauses = pauses
 
@@ -30,9 +30,9 @@
         """Forwards datagrams until cancelled."""
         await self._wait_until_ready()
         while True:
-            await anyio.wait_readable(self._carrier.sock)
+            await anyio.wait_readable(self._forwarder.sock)
             self._pauses.check()
-            self._carrier.carry_waiting(anyio.current_time())
+            self._forwarder.carry_waiting(anyio.current_time())
             await anyio.lowlevel.checkpoint()
 
     async def _wait_until_ready(self) -> None:
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -66,7 +66,7 @@
         self._log = components.log
         self._rng = components.rng
         self._steering = components.steering
-        self._carrier = components.carrier
+        self._forwarder = components.forwarder
         self._site = Site(
             components.settings.ready_path,
             components.steering,
@@ -75,12 +75,12 @@
         )
         self._pauses = PauseWatch()
         self._packets = PacketLoop(
-            components.carrier, components.steering, self._pauses
+            components.forwarder, components.steering, self._pauses
         )
         self._checker = Checker(
             ports.probe,
             self._steering,
-            self._carrier,
+            self._forwarder,
             self._pauses,
             self._counters,
             self._histograms,
@@ -152,7 +152,7 @@
                 tasks.start_soon(self._run_maintenance)
                 await self._handle_signals(received)
                 tasks.cancel_scope.cancel()
-        self._carrier.close()
+        self._forwarder.close()
         self._gossip.close()
         self._log.write(STOPPED, flows=len(self._steering.flows))
         self._log.flush()
@@ -222,7 +222,7 @@
     def _on_pause(self, gap_s: float) -> None:
         self._log.write(PAUSED, gap_s=round(gap_s, 3))
         self._steering.on_pause(gap_s)
-        self._carrier.skip_syns()
+        self._forwarder.skip_syns()
         self._gossip.discard_waiting()
         self._follower.refresh()
 
--- a/tests/entry_boot_test.py
+++ b/tests/entry_boot_test.py
@@ -22,7 +22,7 @@
 )
 from pollenmast.entry import Boot, BootComponents, FirstRead
 from pollenmast.entry._boot import LOAD_RETRY_DELAY_S
-from pollenmast.entry._carrier import BATCH, Carrier
+from pollenmast.entry._carrier import BATCH, Forwarder
 from pollenmast.entry._program import FIRST_READ_TIMEOUT_S, _Program
 from pollenmast.events import EventLog, JsonSink
 from pollenmast.platform._packet import PlatformPackets
@@ -73,7 +73,7 @@
         stream = self._stream = io.BytesIO()
         log = EventLog("t", "vm", sink=JsonSink(stream))
         self.steering = Steering(group.ZONE, self._counters, random.Random(1))
-        carrier = Carrier(
+        forwarder = Forwarder(
             sock, PlatformPackets(9), self.steering, self._counters, log
         )
         components = BootComponents(
@@ -84,7 +84,7 @@
             log,
             random.Random(1),
             self.steering,
-            carrier,
+            forwarder,
         )
         return Boot(components, first_read)
 
--- a/tests/entry_packets_test.py
+++ b/tests/entry_packets_test.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from pollenmast.counters import DROPS, Counters, DropReason
-from pollenmast.entry._carrier import Carrier
+from pollenmast.entry._carrier import Forwarder
 from pollenmast.entry._packets import PacketLoop
 from pollenmast.entry._pause import MIN_PAUSE_S, PauseWatch
 from pollenmast.events import EventLog
@@ -33,22 +33,22 @@
                 group.endpoint(1, host=host, port=port), now=now
             )
             pauses = PauseWatch(lambda: next(times))
-            carrier = Carrier(
+            forwarder = Forwarder(
                 sock,
                 PlatformPackets(9),
                 core,
                 counters,
                 EventLog("t", "vm"),
             )
-            loop = PacketLoop(carrier, core, pauses)
-            pauses.notify(lambda gap_s: carrier.skip_syns())
+            loop = PacketLoop(forwarder, core, pauses)
+            pauses.notify(lambda gap_s: forwarder.skip_syns())
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as client:
                 client.sendto(
                     group.syn_datagram(group.flow()), sock.getsockname()
                 )
             with anyio.move_on_after(0.2):
                 await loop.run()
-            carrier.close()
+            forwarder.close()
             endpoint.close()
 
         anyio.run(main)
