--- a/src/pollenmast/entry/_boot.py
+++ b/src/pollenmast/entry/_boot.py
@@ -181,7 +181,7 @@
                 self.cancel_request()
                 self._apply_response(response)
         if self._components.steering.ready:
-            self._components.forwarder.carry_waiting(_now())
+            self._components.forwarder.forward_queued(_now())
 
     def cancel_request(self) -> None:
         """Stops waiting for the directory's response."""
--- a/src/pollenmast/entry/_carrier.py
+++ b/src/pollenmast/entry/_carrier.py
@@ -69,7 +69,7 @@
         """
         self._skip_syns = True
 
-    def carry_waiting(self, now: float) -> None:
+    def forward_queued(self, now: float) -> None:
         """Forwards the datagrams queued in the socket, at most `BATCH`.
 
         Args:
--- a/src/pollenmast/entry/_packets.py
+++ b/src/pollenmast/entry/_packets.py
@@ -32,7 +32,7 @@
         while True:
             await anyio.wait_readable(self._forwarder.sock)
             self._pauses.check()
-            self._forwarder.carry_waiting(anyio.current_time())
+            self._forwarder.forward_queued(anyio.current_time())
             await anyio.lowlevel.checkpoint()
 
     async def _wait_until_ready(self) -> None:
