--- a/src/pollenmast/entry/_carrier.py
+++ b/src/pollenmast/entry/_carrier.py
@@ -50,7 +50,7 @@
         self._steering = steering
         self._counters = counters
         self._log = log
-        self._skip_syns = False
+        self._drop_queued_syns = False
 
     @property
     def sock(self) -> socket.socket:
@@ -61,13 +61,13 @@
         """Closes the socket."""
         self._sock.close()
 
-    def skip_syns(self) -> None:
+    def drop_queued_syns(self) -> None:
         """Drops the SYNs that are queued in the socket after a pause.
 
         Their clients have given up long ago. Forwarded, each SYN would occupy
         a connection of an endpoint that no client uses.
         """
-        self._skip_syns = True
+        self._drop_queued_syns = True
 
     def forward_queued(self, now: float) -> None:
         """Forwards the datagrams queued in the socket, at most `BATCH`.
@@ -79,7 +79,7 @@
             try:
                 datagram = self._sock.recv(_MAX_DATAGRAM_BYTES)
             except BlockingIOError:
-                self._skip_syns = False
+                self._drop_queued_syns = False
                 return
             except OSError:
                 # The error concerns a datagram sent earlier, to an address
@@ -101,7 +101,7 @@
             )
             return
         segment = decoded.ok_value
-        if segment.syn and self._skip_syns:
+        if segment.syn and self._drop_queued_syns:
             self._counters.add(c.DROPS, DropReason.BACKLOG)
             return
         outcome = self._steering.on_segment(segment, now)
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -222,7 +222,7 @@
     def _on_pause(self, gap_s: float) -> None:
         self._log.write(PAUSED, gap_s=round(gap_s, 3))
         self._steering.on_pause(gap_s)
-        self._forwarder.skip_syns()
+        self._forwarder.drop_queued_syns()
         self._gossip.discard_waiting()
         self._follower.refresh()
 
--- a/tests/entry_packets_test.py
+++ b/tests/entry_packets_test.py
@@ -41,7 +41,7 @@
                 EventLog("t", "vm"),
             )
             loop = PacketLoop(forwarder, core, pauses)
-            pauses.notify(lambda gap_s: forwarder.skip_syns())
+            pauses.notify(lambda gap_s: forwarder.drop_queued_syns())
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as client:
                 client.sendto(
                     group.syn_datagram(group.flow()), sock.getsockname()
