--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -176,7 +176,7 @@
             self.broadcast_changes(anyio.current_time())
             await anyio.sleep(MIN_CHANGES_INTERVAL_S)
 
-    def discard_waiting(self) -> None:
+    def discard_queued(self) -> None:
         """Discards the datagrams that are queued in the socket after a pause.
 
         They were sent before or during the pause. A report states the age of
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -223,7 +223,7 @@
         self._log.write(PAUSED, gap_s=round(gap_s, 3))
         self._steering.on_pause(gap_s)
         self._forwarder.drop_queued_syns()
-        self._gossip.discard_waiting()
+        self._gossip.discard_queued()
         self._follower.refresh()
 
     async def _run_maintenance(self) -> None:
--- a/tests/entry_report_test.py
+++ b/tests/entry_report_test.py
@@ -250,7 +250,7 @@
         times = iter([0.0, *[gap_s] * 1000])
         pauses = PauseWatch(lambda: next(times))
         woken = self._gossip(pauses=pauses)
-        pauses.notify(lambda gap_s: woken.discard_waiting())
+        pauses.notify(lambda gap_s: woken.discard_queued())
         received = []
         woken.on_datagram = lambda datagram, host, now: received.append(
             datagram
