--- a/src/pollenmast/entry/_checks.py
+++ b/src/pollenmast/entry/_checks.py
@@ -12,7 +12,7 @@
     Histograms,
 )
 from pollenmast.entry._carrier import Forwarder
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._ports import HealthProbe
 from pollenmast.events import (
     CHECKS_UNSURE,
@@ -72,7 +72,7 @@
         probe: HealthProbe,
         steering: Steering,
         forwarder: Forwarder,
-        pauses: PauseWatch,
+        pauses: PauseDetector,
         counters: Counters,
         histograms: Histograms,
         log: EventLog,
--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -27,7 +27,7 @@
 from pollenmast.counters import CONTROL_BYTES, ENVELOPE_FAULTS, Counters
 from pollenmast.entry import _report as reports
 from pollenmast.entry import _snapshot as snapshot
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._peers import PeerReader
 from pollenmast.entry._ports import Address
 from pollenmast.entry._report import MAX_CHANGE_BYTES, Kind, Report
@@ -102,9 +102,9 @@
         counters: Counters,
         rng: random.Random,
         link_mbps: int = 0,
-        pauses: PauseWatch | None = None,
+        pauses: PauseDetector | None = None,
     ):
-        self._pauses = pauses or PauseWatch()
+        self._pauses = pauses or PauseDetector()
         self._vm = vm
         self._zone = zone
         self._link_mbps = link_mbps
--- a/src/pollenmast/entry/_packets.py
+++ b/src/pollenmast/entry/_packets.py
@@ -3,7 +3,7 @@
 import anyio
 
 from pollenmast.entry._carrier import Forwarder
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.steering import Steering
 
 MAX_HOLD_S = 0.8
@@ -20,7 +20,7 @@
     """Forwards datagrams as they arrive."""
 
     def __init__(
-        self, forwarder: Forwarder, steering: Steering, pauses: PauseWatch
+        self, forwarder: Forwarder, steering: Steering, pauses: PauseDetector
     ):
         self._forwarder = forwarder
         self._steering = steering
--- a/src/pollenmast/entry/_pause.py
+++ b/src/pollenmast/entry/_pause.py
@@ -32,7 +32,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class PauseWatch:
+class PauseDetector:
     """Detects pauses by the boot-time clock.
 
     Args:
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -15,7 +15,7 @@
 from pollenmast.entry._follow import Follower
 from pollenmast.entry._gossip import Gossip
 from pollenmast.entry._packets import PacketLoop
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._peers import PeerReader
 from pollenmast.entry._ports import EXIT_FAILED, EXIT_OK, Ports
 from pollenmast.entry._reach import ReachWatch
@@ -73,7 +73,7 @@
             components.counters,
             components.histograms,
         )
-        self._pauses = PauseWatch()
+        self._pauses = PauseDetector()
         self._packets = PacketLoop(
             components.forwarder, components.steering, self._pauses
         )
--- a/src/pollenmast/entry/_reach.py
+++ b/src/pollenmast/entry/_reach.py
@@ -3,7 +3,7 @@
 import anyio
 
 from pollenmast.counters import CHECKS, PROBES, CheckReason, Counters
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._ports import HealthProbe
 from pollenmast.events import ZONES_REACHED, ZONES_UNREACHED, EventLog
 from pollenmast.steering import Reach, Record
@@ -19,7 +19,7 @@
         self,
         probe: HealthProbe,
         reach: Reach,
-        pauses: PauseWatch,
+        pauses: PauseDetector,
         counters: Counters,
         log: EventLog,
     ):
--- a/tests/entry_checks_test.py
+++ b/tests/entry_checks_test.py
@@ -8,7 +8,7 @@
 
 from pollenmast.counters import CHECKS, CheckReason, Counters, Histograms
 from pollenmast.entry._checks import LAG_FACTOR, Checker
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._ports import HealthProbe
 from pollenmast.events import EventLog
 from pollenmast.steering import CheckResult
@@ -64,7 +64,7 @@
         probe,
         core,
         packets,
-        pauses or PauseWatch(lambda: 0.0),
+        pauses or PauseDetector(lambda: 0.0),
         counters or Counters(),
         Histograms(),
         EventLog("t", "vm"),
@@ -134,7 +134,7 @@
         flows would disconnect all its clients.
         """
         times = iter(range(0, 10_000, 5))
-        pauses = PauseWatch(lambda: float(next(times)))
+        pauses = PauseDetector(lambda: float(next(times)))
         probe = _Probe(CheckResult.TIMEOUT, pauses.check)
         self.assertEqual([], self._run(probe, 1.0, pauses))
         self.assertGreater(probe.checks, FAILED_CHECKS)
@@ -152,7 +152,7 @@
 
     def test_slow_vm(self):
         """A VM with a slow processor extends the timeouts of its checks."""
-        pauses = PauseWatch(lambda: 0.0)
+        pauses = PauseDetector(lambda: 0.0)
         pauses._lag_s = 0.1
         probe = _Probe(CheckResult.ANSWERED)
         self._run(probe, 1.0, pauses)
--- a/tests/entry_packets_test.py
+++ b/tests/entry_packets_test.py
@@ -9,7 +9,7 @@
 from pollenmast.counters import DROPS, Counters, DropReason
 from pollenmast.entry._carrier import Forwarder
 from pollenmast.entry._packets import PacketLoop
-from pollenmast.entry._pause import MIN_PAUSE_S, PauseWatch
+from pollenmast.entry._pause import MIN_PAUSE_S, PauseDetector
 from pollenmast.events import EventLog
 from pollenmast.platform._packet import PlatformPackets
 from standins import segments
@@ -32,7 +32,7 @@
             core = group.steering(
                 group.endpoint(1, host=host, port=port), now=now
             )
-            pauses = PauseWatch(lambda: next(times))
+            pauses = PauseDetector(lambda: next(times))
             forwarder = Forwarder(
                 sock,
                 PlatformPackets(9),
--- a/tests/entry_pause_test.py
+++ b/tests/entry_pause_test.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from pollenmast.entry import _snapshot as snapshot
-from pollenmast.entry._pause import MIN_PAUSE_S, PauseWatch
+from pollenmast.entry._pause import MIN_PAUSE_S, PauseDetector
 from pollenmast.steering import (
     EndpointAnnounced,
     EndpointRemoved,
@@ -48,10 +48,10 @@
         seconds old.
         """
         times = iter([0.0, 0.1, 0.1 + gap])
-        watch = PauseWatch(lambda: next(times))
-        self.assertEqual(0.0, watch.check())
-        self.assertEqual(bool(count), watch.check() > 0.0)
-        self.assertEqual(count, watch.count)
+        detector = PauseDetector(lambda: next(times))
+        self.assertEqual(0.0, detector.check())
+        self.assertEqual(bool(count), detector.check() > 0.0)
+        self.assertEqual(count, detector.count)
 
 
 class SnapshotTest(TestCase):
--- a/tests/entry_reach_test.py
+++ b/tests/entry_reach_test.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from pollenmast.counters import CHECKS, CheckReason, Counters, Histograms
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._reach import PROBE_INTERVAL_S, ReachWatch
 from pollenmast.entry._site import Site
 from pollenmast.events import EventLog
@@ -69,7 +69,7 @@
                 watch = ReachWatch(
                     probe,
                     core.reach,
-                    PauseWatch(lambda: 0.0),
+                    PauseDetector(lambda: 0.0),
                     counters,
                     EventLog("t", "vm"),
                 )
--- a/tests/entry_report_test.py
+++ b/tests/entry_report_test.py
@@ -18,7 +18,7 @@
 )
 from pollenmast.entry import _gossip as gossip
 from pollenmast.entry import _report as reports
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._report import Kind, Report
 from pollenmast.steering import (
     CheckResult,
@@ -248,7 +248,7 @@
         clients of a route that was added meanwhile.
         """
         times = iter([0.0, *[gap_s] * 1000])
-        pauses = PauseWatch(lambda: next(times))
+        pauses = PauseDetector(lambda: next(times))
         woken = self._gossip(pauses=pauses)
         pauses.notify(lambda gap_s: woken.discard_queued())
         received = []
