--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -18,7 +18,7 @@
 from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._peers import PeerReader
 from pollenmast.entry._ports import EXIT_FAILED, EXIT_OK, Ports
-from pollenmast.entry._reach import ReachWatch
+from pollenmast.entry._reach import ZoneProber
 from pollenmast.entry._site import Site
 from pollenmast.events import (
     ENDPOINT_EJECTED,
@@ -86,7 +86,7 @@
             self._histograms,
             self._log,
         )
-        self._reach_watch = ReachWatch(
+        self._zone_prober = ZoneProber(
             ports.probe,
             self._steering.reach,
             self._pauses,
@@ -147,7 +147,7 @@
                 tasks.start_soon(self._gossip.run_broadcasts)
                 tasks.start_soon(self._gossip.receive)
                 tasks.start_soon(self._checker.run)
-                tasks.start_soon(self._reach_watch.run)
+                tasks.start_soon(self._zone_prober.run)
                 tasks.start_soon(self._pauses.run)
                 tasks.start_soon(self._run_maintenance)
                 await self._handle_signals(received)
--- a/src/pollenmast/entry/_reach.py
+++ b/src/pollenmast/entry/_reach.py
@@ -12,7 +12,7 @@
 """Seconds between two rounds of probes."""
 
 
-class ReachWatch:
+class ZoneProber:
     """Connects to the endpoints that `steering.Reach` selects."""
 
     def __init__(
--- a/tests/entry_reach_test.py
+++ b/tests/entry_reach_test.py
@@ -8,7 +8,7 @@
 
 from pollenmast.counters import CHECKS, CheckReason, Counters, Histograms
 from pollenmast.entry._pause import PauseDetector
-from pollenmast.entry._reach import PROBE_INTERVAL_S, ReachWatch
+from pollenmast.entry._reach import PROBE_INTERVAL_S, ZoneProber
 from pollenmast.entry._site import Site
 from pollenmast.events import EventLog
 from pollenmast.http1 import Request
@@ -66,14 +66,14 @@
             if drained:
                 self._change(core, ZoneDrained(group.ZONE, 11))
             async with anyio.create_task_group() as tasks:
-                watch = ReachWatch(
+                prober = ZoneProber(
                     probe,
                     core.reach,
                     PauseDetector(lambda: 0.0),
                     counters,
                     EventLog("t", "vm"),
                 )
-                tasks.start_soon(watch.run)
+                tasks.start_soon(prober.run)
                 await script(core, ready)
                 tasks.cancel_scope.cancel()
 
