--- a/src/pollenmast/entry/_checks.py
+++ b/src/pollenmast/entry/_checks.py
@@ -54,7 +54,7 @@
 once, and each check takes a file descriptor and some processor time."""
 
 
-class Checker:
+class HealthChecker:
     """Runs the health checks that steering requests.
 
     Args:
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -11,7 +11,7 @@
 from pollenmast import http1
 from pollenmast.counters import EJECTIONS
 from pollenmast.entry._boot import Boot, BootComponents
-from pollenmast.entry._checks import Checker
+from pollenmast.entry._checks import HealthChecker
 from pollenmast.entry._follow import Follower
 from pollenmast.entry._gossip import Gossip
 from pollenmast.entry._packets import PacketLoop
@@ -77,7 +77,7 @@
         self._packets = PacketLoop(
             components.forwarder, components.steering, self._pauses
         )
-        self._checker = Checker(
+        self._checker = HealthChecker(
             ports.probe,
             self._steering,
             self._forwarder,
--- a/tests/entry_checks_test.py
+++ b/tests/entry_checks_test.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from pollenmast.counters import CHECKS, CheckReason, Counters, Histograms
-from pollenmast.entry._checks import LAG_FACTOR, Checker
+from pollenmast.entry._checks import LAG_FACTOR, HealthChecker
 from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._ports import HealthProbe
 from pollenmast.events import EventLog
@@ -59,8 +59,8 @@
         self.resets += resets
 
 
-def _checker(probe, core, packets, pauses=None, counters=None) -> Checker:
-    return Checker(
+def _checker(probe, core, packets, pauses=None, counters=None) -> HealthChecker:
+    return HealthChecker(
         probe,
         core,
         packets,
