--- a/src/pollenmast/entry/_peers.py
+++ b/src/pollenmast/entry/_peers.py
@@ -16,7 +16,7 @@
 from pollenmast.events import PEER_TOLD, EventLog
 from pollenmast.steering import START_POSITION, Position, Steering
 
-PATH = "/snapshot"
+SNAPSHOT_PATH = "/snapshot"
 
 OUTAGE_S = 0.7
 """Length of a directory outage, in seconds, from which on peers are asked. In
@@ -100,7 +100,7 @@
             if self._needs_full_state
             else self._steering.position
         )
-        target = f"{PATH}?epoch={known.epoch}&after={known.revision}"
+        target = f"{SNAPSHOT_PATH}?epoch={known.epoch}&after={known.revision}"
         try:
             answer = await connection.get(target, TIMEOUTS)
         finally:
--- a/src/pollenmast/entry/_site.py
+++ b/src/pollenmast/entry/_site.py
@@ -52,7 +52,7 @@
         url = urllib.parse.urlsplit(request.target)
         if url.path == self._ready_path:
             return self._readiness()
-        if url.path == peers.PATH:
+        if url.path == peers.SNAPSHOT_PATH:
             return self._snapshot(url.query)
         if url.path == METRICS_PATH:
             return self._metrics()
