--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -420,7 +420,7 @@
             if record.health.down and record.presence is not Presence.GONE
         ]
         named = self._sample(
-            self._members.heard(zone, now), reports.MAX_MEMBERS
+            self._members.heard_from(zone, now), reports.MAX_MEMBERS
         )
         report = Report(
             kind,
--- a/src/pollenmast/steering/_members.py
+++ b/src/pollenmast/steering/_members.py
@@ -118,7 +118,7 @@
         zones = {m.zone for m in self._members.values()}
         return sorted(zones - {self._zone})
 
-    def heard(self, zone: str, now: float) -> list[str]:
+    def heard_from(self, zone: str, now: float) -> list[str]:
         """Returns the VMs of a zone that were heard from recently."""
         return [
             host
@@ -132,7 +132,7 @@
         Two VMs that each consider themselves the reader get in contact only if
         one of them queries the other.
         """
-        heard = self.heard(self._zone, now)
+        heard = self.heard_from(self._zone, now)
         return sorted(set(self.zone_peers) - set(heard))
 
     def contact_candidates(self) -> list[str]:
--- a/tests/steering_members_test.py
+++ b/tests/steering_members_test.py
@@ -135,10 +135,12 @@
         that reads nothing.
         """
         members = _members(3)
-        self.assertIn("10.0.0.1", members.heard(ZONE, HEARD_TIMEOUT_S - 0.1))
-        self.assertNotIn("10.0.0.1", members.heard(ZONE, HEARD_TIMEOUT_S))
+        self.assertIn(
+            "10.0.0.1", members.heard_from(ZONE, HEARD_TIMEOUT_S - 0.1)
+        )
+        self.assertNotIn("10.0.0.1", members.heard_from(ZONE, HEARD_TIMEOUT_S))
         members.on_named("10.0.0.1", ZONE, HEARD_TIMEOUT_S)
-        self.assertNotIn("10.0.0.1", members.heard(ZONE, HEARD_TIMEOUT_S))
+        self.assertNotIn("10.0.0.1", members.heard_from(ZONE, HEARD_TIMEOUT_S))
 
     def test_lost_vms_are_contacted(self):
         """Lost VMs are contacted again, a limited number of times.
