--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -222,7 +222,7 @@
             targets = [targets[self._round % len(targets)]]
         if self._host in readers:
             targets += self._sample(
-                self._members.unheard(now), MAX_DISCOVERY_TARGETS
+                self._members.not_heard_from(now), MAX_DISCOVERY_TARGETS
             )
         if not self._members.hosts or self._round % DISCOVERY_ROUNDS == 0:
             targets += self._sample(
--- a/src/pollenmast/steering/_members.py
+++ b/src/pollenmast/steering/_members.py
@@ -126,7 +126,7 @@
             if member.zone == zone and now - member.heard_at < HEARD_TIMEOUT_S
         ]
 
-    def unheard(self, now: float) -> list[str]:
+    def not_heard_from(self, now: float) -> list[str]:
         """Returns the VMs of this VM's zone known only from others.
 
         Two VMs that each consider themselves the reader get in contact only if
