--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -273,7 +273,9 @@
         self._heard_any_peer = True
         self._members.on_heard(host, report.zone, now, report.link_mbps)
         for named, link_mbps in report.members.items():
-            self._members.on_named(named, report.members_zone, now, link_mbps)
+            self._members.on_announced(
+                named, report.members_zone, now, link_mbps
+            )
         self._record_load(report, now)
         self._record_down(report, now)
         self._apply_changes(report, host, now)
--- a/src/pollenmast/steering/_members.py
+++ b/src/pollenmast/steering/_members.py
@@ -159,7 +159,7 @@
         """Handles any message received from a VM."""
         if host == self._own_host:
             return
-        self.on_named(host, zone, now, link_mbps)
+        self.on_announced(host, zone, now, link_mbps)
         member = self._members[host]
         if member.zone != zone or member.excluded_until > now:
             self._rankings.clear()
@@ -168,7 +168,7 @@
         member.queried_at = None
         member.excluded_until = float("-inf")
 
-    def on_named(
+    def on_announced(
         self, host: str, zone: str, now: float, link_mbps: int = 0
     ) -> None:
         """Handles another VM's announcement that it has heard from `host`."""
--- a/tests/steering_members_test.py
+++ b/tests/steering_members_test.py
@@ -100,7 +100,7 @@
         lost = next(h for h in members.readers(0.0) if h != "10.0.0.0")
         members.on_asked(lost, 0.0)
         members.expire(ANSWER_TIMEOUT_S)
-        members.on_named(lost, ZONE, 5.0)
+        members.on_announced(lost, ZONE, 5.0)
         self.assertIn(lost, members.readers(ANSWER_TIMEOUT_S + EXCLUSION_S))
 
     def test_lost_answer(self):
@@ -139,7 +139,7 @@
             "10.0.0.1", members.heard_from(ZONE, HEARD_TIMEOUT_S - 0.1)
         )
         self.assertNotIn("10.0.0.1", members.heard_from(ZONE, HEARD_TIMEOUT_S))
-        members.on_named("10.0.0.1", ZONE, HEARD_TIMEOUT_S)
+        members.on_announced("10.0.0.1", ZONE, HEARD_TIMEOUT_S)
         self.assertNotIn("10.0.0.1", members.heard_from(ZONE, HEARD_TIMEOUT_S))
 
     def test_lost_vms_are_contacted(self):
@@ -209,7 +209,7 @@
             if event == "heard":
                 members.on_heard(host, zone, now, mbps)
             elif event == "named":
-                members.on_named(host, zone, now, mbps)
+                members.on_announced(host, zone, now, mbps)
             elif event == "asked":
                 members.on_asked(host, now)
             else:
