--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -234,7 +234,7 @@
         )
         for host in targets:
             self._send(ask, host)
-            self._members.on_asked(host, now)
+            self._members.on_queried(host, now)
         if self._host in readers:
             self._steering.outliers.eject(now)
             self._report_to_zones(now)
--- a/src/pollenmast/steering/_members.py
+++ b/src/pollenmast/steering/_members.py
@@ -186,7 +186,7 @@
             member.link_mbps = link_mbps
             self._rankings.clear()
 
-    def on_asked(self, host: str, now: float) -> None:
+    def on_queried(self, host: str, now: float) -> None:
         """Records a query to another VM whose answer is now expected."""
         member = self._members.get(host)
         if member is not None and member.queried_at is None:
--- a/tests/steering_members_test.py
+++ b/tests/steering_members_test.py
@@ -54,8 +54,8 @@
         members = _members(25)
         first = members.readers(0.0)
         lost = next(host for host in first if host != "10.0.0.0")
-        members.on_asked(lost, 0.0)
-        members.on_asked(lost, 1.0)
+        members.on_queried(lost, 0.0)
+        members.on_queried(lost, 1.0)
         members.expire(ANSWER_TIMEOUT_S)
         self.assertNotIn(lost, members.readers(ANSWER_TIMEOUT_S))
         self.assertEqual(
@@ -88,7 +88,7 @@
             members.on_heard(host, ZONE, 0.0, 100)
         self.assertEqual(2, len(members.readers(0.0)))
         for host in members.readers(0.0):
-            members.on_asked(host, 0.0)
+            members.on_queried(host, 0.0)
         members.expire(ANSWER_TIMEOUT_S)
         left = set(members.readers(ANSWER_TIMEOUT_S))
         self.assertEqual(READERS_PER_ZONE, len(left))
@@ -98,7 +98,7 @@
         """An excluded VM is considered again after `EXCLUSION_S`."""
         members = _members(25)
         lost = next(h for h in members.readers(0.0) if h != "10.0.0.0")
-        members.on_asked(lost, 0.0)
+        members.on_queried(lost, 0.0)
         members.expire(ANSWER_TIMEOUT_S)
         members.on_announced(lost, ZONE, 5.0)
         self.assertIn(lost, members.readers(ANSWER_TIMEOUT_S + EXCLUSION_S))
@@ -108,7 +108,7 @@
         members = _members(25)
         first = members.readers(0.0)
         asked = next(host for host in first if host != "10.0.0.0")
-        members.on_asked(asked, 0.0)
+        members.on_queried(asked, 0.0)
         members.expire(1.0)
         members.on_heard(asked, ZONE, 1.1)
         members.expire(ANSWER_TIMEOUT_S)
@@ -211,7 +211,7 @@
             elif event == "named":
                 members.on_announced(host, zone, now, mbps)
             elif event == "asked":
-                members.on_asked(host, now)
+                members.on_queried(host, now)
             else:
                 members.expire(now)
             for each in (ZONE, OTHER):
