--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -7,7 +7,7 @@
 
 A removed entry is therefore first marked as lapsed. A lapsed endpoint keeps
 its open flows and gets new ones only if no other endpoint can take them. If
-the entry is still missing after `LAPSE_S` and a health check confirms the
+the entry is still missing after `LAPSE_GRACE_PERIOD_S` and a health check confirms the
 loss, the endpoint is gone; only then are its flows ended.
 """
 
@@ -29,7 +29,7 @@
 from pollenmast.steering._record import Presence, Record
 from pollenmast.steering._watchlist import Watchlist
 
-LAPSE_S = 2.3
+LAPSE_GRACE_PERIOD_S = 2.3
 """Grace period for the return of a removed entry, in seconds. The directory
 restores lost entries within about two seconds, and new flows may reach an
 endpoint that is leaving for at most three."""
@@ -107,7 +107,7 @@
         counting that time would needlessly leave a service without endpoints.
         """
         if record.presence is Presence.LAPSED:
-            return self._confirmed_at - record.lapsed_at >= LAPSE_S
+            return self._confirmed_at - record.lapsed_at >= LAPSE_GRACE_PERIOD_S
         return record.presence is Presence.GONE
 
     def is_drained(self, record: Record) -> bool:
--- a/tests/steering_check_policy_test.py
+++ b/tests/steering_check_policy_test.py
@@ -12,7 +12,7 @@
     Steering,
     Update,
 )
-from pollenmast.steering._catalog import FORGET_S, LAPSE_S
+from pollenmast.steering._catalog import FORGET_S, LAPSE_GRACE_PERIOD_S
 from pollenmast.steering._health import (
     MAX_DEFER_S,
     RECHECK_MAX_S,
@@ -93,9 +93,9 @@
         """
         core = _core(FIRST, SECOND)
         _remove_entry(core, FIRST, 1.0)
-        core.on_confirmed(1.0 + LAPSE_S)
-        core.tick(1.0 + LAPSE_S)
-        self.assertEqual([], core.due_checks(1.0 + LAPSE_S))
+        core.on_confirmed(1.0 + LAPSE_GRACE_PERIOD_S)
+        core.tick(1.0 + LAPSE_GRACE_PERIOD_S)
+        self.assertEqual([], core.due_checks(1.0 + LAPSE_GRACE_PERIOD_S))
         self.assertEqual(
             [SECOND], [r.endpoint for r in core.catalog.serving("registry")]
         )
--- a/tests/steering_core_test.py
+++ b/tests/steering_core_test.py
@@ -16,7 +16,7 @@
     RoutesPublished,
     Update,
 )
-from pollenmast.steering._catalog import FORGET_S, LAPSE_S
+from pollenmast.steering._catalog import FORGET_S, LAPSE_GRACE_PERIOD_S
 from pollenmast.steering._core import DIRECTORY_SETTLE_S, MAX_VIEW_AGE_S
 from tests import steering_group as group
 
@@ -235,7 +235,9 @@
         core.apply(Update((EndpointRemoved(FIRST.name, 11),), 11), 2.0)
         record = core.catalog.get(FIRST.name)
         core.on_check(record, CheckResult.ANSWERED, 2.0)
-        outcome = core.on_segment(group.syn(group.flow()), 2.0 + 3 * LAPSE_S)
+        outcome = core.on_segment(
+            group.syn(group.flow()), 2.0 + 3 * LAPSE_GRACE_PERIOD_S
+        )
         self.assertEqual(PlacementReason.LAST_RESORT, outcome.placed)
 
     def test_missing_but_alive(self):
@@ -249,7 +251,7 @@
         core.apply(Update((EndpointRemoved(FIRST.name, 11),), 11), 2.0)
         record = core.catalog.get(FIRST.name)
         core.on_check(record, CheckResult.ANSWERED, 2.0)
-        later = 2.0 + LAPSE_S
+        later = 2.0 + LAPSE_GRACE_PERIOD_S
         core.on_confirmed(later)
         outcome = core.on_segment(group.syn(group.flow()), later)
         self.assertEqual(ResetReason.NO_ENDPOINT, outcome.reason)
@@ -273,7 +275,7 @@
         core = group.steering(FIRST)
         core.apply(Update((EndpointRemoved(FIRST.name, 11),), 11), 2.0)
         record = core.catalog.get(FIRST.name)
-        later = 2.0 + LAPSE_S
+        later = 2.0 + LAPSE_GRACE_PERIOD_S
         core.on_confirmed(later)
         self.assertEqual([record], core.due_checks(later))
         core.on_check(record, CheckResult.REFUSED, later)
--- a/tests/steering_restore_test.py
+++ b/tests/steering_restore_test.py
@@ -15,7 +15,7 @@
     ZoneDrained,
     ZoneRestored,
 )
-from pollenmast.steering._catalog import LAPSE_S, RESTORE_SETTLE_S
+from pollenmast.steering._catalog import LAPSE_GRACE_PERIOD_S, RESTORE_SETTLE_S
 from tests import steering_group as group
 
 FIRST = group.endpoint(1)
@@ -161,7 +161,7 @@
         core = _core(FIRST, SECOND)
         removed = EndpointRemoved(FIRST.name, KNOWN_REVISION + 1)
         core.apply(Update((removed,), KNOWN_REVISION + 1, epoch=1), 1.0)
-        core.on_confirmed(1.5 + LAPSE_S)
+        core.on_confirmed(1.5 + LAPSE_GRACE_PERIOD_S)
         return core
 
     @parameterized.expand([("drained", "_left"), ("gone", "_gone")])
