--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -34,7 +34,7 @@
 restores lost entries within about two seconds, and new flows may reach an
 endpoint that is leaving for at most three."""
 
-FORGET_S = 90.0
+GONE_RETENTION_S = 90.0
 """How long an endpoint that is gone is kept, in seconds, so that the tokens of
 its flows can still be resolved. Flows last at most one minute."""
 
@@ -209,10 +209,10 @@
         return list(self._lapsed.values())
 
     def expire(self, now: float) -> None:
-        """Removes endpoints whose entries have been missing for `FORGET_S`."""
+        """Removes endpoints whose entries have been missing for `GONE_RETENTION_S`."""
         for name, record in list(self._records.items()):
             missing = self.is_missing(record)
-            if missing and now - record.lapsed_at >= FORGET_S:
+            if missing and now - record.lapsed_at >= GONE_RETENTION_S:
                 del self._records[name]
                 self._lapsed.pop(name, None)
                 del self._by_number[record.endpoint.number]
--- a/tests/steering_check_policy_test.py
+++ b/tests/steering_check_policy_test.py
@@ -12,7 +12,7 @@
     Steering,
     Update,
 )
-from pollenmast.steering._catalog import FORGET_S, LAPSE_GRACE_PERIOD_S
+from pollenmast.steering._catalog import GONE_RETENTION_S, LAPSE_GRACE_PERIOD_S
 from pollenmast.steering._health import (
     MAX_DEFER_S,
     RECHECK_MAX_S,
@@ -99,7 +99,7 @@
         self.assertEqual(
             [SECOND], [r.endpoint for r in core.catalog.serving("registry")]
         )
-        core.tick(1.0 + FORGET_S)
+        core.tick(1.0 + GONE_RETENTION_S)
         self.assertIsNone(core.catalog.get(FIRST.name))
 
     def test_forgotten_while_alive(self):
@@ -111,7 +111,7 @@
         core = _core(FIRST, SECOND, is_reader=True)
         _remove_entry(core, FIRST, 1.0)
         now = 1.0
-        while now < 2.0 + FORGET_S:
+        while now < 2.0 + GONE_RETENTION_S:
             core.on_confirmed(now)
             core.tick(now)
             for due in core.due_checks(now):
--- a/tests/steering_core_test.py
+++ b/tests/steering_core_test.py
@@ -16,7 +16,7 @@
     RoutesPublished,
     Update,
 )
-from pollenmast.steering._catalog import FORGET_S, LAPSE_GRACE_PERIOD_S
+from pollenmast.steering._catalog import GONE_RETENTION_S, LAPSE_GRACE_PERIOD_S
 from pollenmast.steering._core import DIRECTORY_SETTLE_S, MAX_VIEW_AGE_S
 from tests import steering_group as group
 
@@ -284,7 +284,7 @@
             group.segment(group.flow(), FIRST.token, length=1), later
         )
         self.assertEqual(ResetReason.ENDPOINT_GONE, outcome.reason)
-        core.tick(later + FORGET_S)
+        core.tick(later + GONE_RETENTION_S)
         self.assertIsNone(core.catalog.get(FIRST.name))
 
     def test_missing_from_full_list(self):
