--- a/src/pollenmast/steering/_journal.py
+++ b/src/pollenmast/steering/_journal.py
@@ -4,7 +4,7 @@
 
 from pollenmast.steering._changes import Change, Update
 
-MOST_CHANGES = 256
+MAX_CHANGES = 256
 """The number of changes kept: some minutes of usual operation, or one second
 of a large release. A peer further behind is sent a complete listing."""
 
@@ -34,7 +34,7 @@
         self._changes.extend(
             change for change in update.changes if change.revision > known
         )
-        while len(self._changes) > MOST_CHANGES:
+        while len(self._changes) > MAX_CHANGES:
             self._complete_after = self._changes.popleft().revision
 
     def since(self, revision: int) -> tuple[Change, ...] | None:
--- a/tests/entry_pause_test.py
+++ b/tests/entry_pause_test.py
@@ -20,7 +20,7 @@
     Split,
     Update,
 )
-from pollenmast.steering._journal import MOST_CHANGES
+from pollenmast.steering._journal import MAX_CHANGES
 from tests import steering_group as group
 
 
@@ -178,7 +178,7 @@
     def test_too_far_behind(self):
         """A peer that missed more changes than are kept receives everything."""
         known = group.steering(group.endpoint(1))
-        for revision in range(11, 20 + MOST_CHANGES):
+        for revision in range(11, 20 + MAX_CHANGES):
             changed = EndpointAnnounced(group.endpoint(2), revision)
             known.apply(Update((changed,), revision), 1.0)
         update = snapshot.decode(
