--- a/src/pollenmast/steering/_reach.py
+++ b/src/pollenmast/steering/_reach.py
@@ -10,7 +10,7 @@
 from pollenmast.steering._catalog import Catalog
 from pollenmast.steering._record import Presence, Record
 
-QUIET_S = 0.5
+PROBE_AFTER_S = 0.5
 """Time in seconds without progress of any client before the paths are probed: a
 few usual answer times."""
 
@@ -55,7 +55,7 @@
         # Once cut off, progress does not count: it may come from clients that
         # other VMs have served meanwhile.
         latest = max(record.health.last_alive_at for record in usable)
-        if not self.cut_off and now - latest < QUIET_S:
+        if not self.cut_off and now - latest < PROBE_AFTER_S:
             self._failed_rounds = 0
             return []
         by_zone: dict[str, Record] = {}
