--- a/src/pollenmast/steering/_reach.py
+++ b/src/pollenmast/steering/_reach.py
@@ -14,7 +14,7 @@
 """Time in seconds without progress of any client before the paths are probed: a
 few usual answer times."""
 
-FAILED_PROBES = 2
+MAX_FAILED_ROUNDS = 2
 """Consecutive probe rounds without a connection after which a VM is cut off.
 Connections to endpoints in several zones are not all lost by chance, but a link
 may be full for some tenths of a second."""
@@ -28,13 +28,13 @@
         self._catalog = catalog
         # A VM that starts counts as cut off until a probe succeeds: if it were
         # ready in a cut-off zone, it would attract all of the zone's clients.
-        self._failed_rounds = FAILED_PROBES
+        self._failed_rounds = MAX_FAILED_ROUNDS
 
     @property
     def cut_off(self) -> bool:
         """Whether this VM can reach no endpoint that may be used."""
         drained = self._catalog.drains.is_drained(self._zone)
-        return drained and self._failed_rounds >= FAILED_PROBES
+        return drained and self._failed_rounds >= MAX_FAILED_ROUNDS
 
     def targets(self, now: float) -> list[Record]:
         """Returns the endpoints to probe now by connecting, one per zone.
--- a/tests/entry_reach_test.py
+++ b/tests/entry_reach_test.py
@@ -19,7 +19,7 @@
     ZoneDrained,
     ZoneRestored,
 )
-from pollenmast.steering._reach import FAILED_PROBES, PROBE_AFTER_S
+from pollenmast.steering._reach import MAX_FAILED_ROUNDS, PROBE_AFTER_S
 from tests import steering_group as group
 from tests.entry_checks_test import _Probe
 
@@ -27,7 +27,7 @@
 FAR = group.endpoint(2, group.OTHER_ZONE)
 THIRD = group.endpoint(3, "pos-laventille")
 
-DETECTION_S = PROBE_AFTER_S + (FAILED_PROBES + 1) * (PROBE_INTERVAL_S + 0.1)
+DETECTION_S = PROBE_AFTER_S + (MAX_FAILED_ROUNDS + 1) * (PROBE_INTERVAL_S + 0.1)
 """Seconds within which a partition must be detected; routers check readiness
 twice a second."""
 
