--- a/src/pollenmast/steering/_health.py
+++ b/src/pollenmast/steering/_health.py
@@ -35,7 +35,7 @@
 a busy endpoint causes no check.
 """
 
-FAILED_CHECKS = 3
+FAILURE_THRESHOLD = 3
 """Consecutive unanswered health checks after which an endpoint is down. On a
 link that loses a twentieth of its packets one check in ten fails, and three in
 a row one time in a thousand."""
@@ -312,7 +312,7 @@
         self._failed_checks += 1
         if (
             result not in _CONCLUSIVE_FAILURES
-            and self._failed_checks < FAILED_CHECKS
+            and self._failed_checks < FAILURE_THRESHOLD
         ):
             self._schedule_check(now, CheckReason.UNANSWERED)
             return False
--- a/tests/entry_checks_test.py
+++ b/tests/entry_checks_test.py
@@ -12,7 +12,7 @@
 from pollenmast.entry._ports import HealthProbe
 from pollenmast.events import EventLog
 from pollenmast.steering import CheckResult
-from pollenmast.steering._health import FAILED_CHECKS
+from pollenmast.steering._health import FAILURE_THRESHOLD
 from tests import steering_group as group
 
 CHECK_S = 0.05
@@ -137,7 +137,7 @@
         pauses = PauseDetector(lambda: float(next(times)))
         probe = _Probe(CheckResult.TIMEOUT, pauses.check)
         self.assertEqual([], self._run(probe, 1.0, pauses))
-        self.assertGreater(probe.checks, FAILED_CHECKS)
+        self.assertGreater(probe.checks, FAILURE_THRESHOLD)
 
     def test_late_timer(self):
         """A timeout is ignored if this VM's timers fire late.
@@ -148,7 +148,7 @@
         """
         probe = _Probe(CheckResult.TIMEOUT, took_s=3 * CHECK_S)
         self.assertEqual([], self._run(probe, 1.0))
-        self.assertGreater(probe.checks, FAILED_CHECKS)
+        self.assertGreater(probe.checks, FAILURE_THRESHOLD)
 
     def test_slow_vm(self):
         """A VM with a slow processor extends the timeouts of its checks."""
@@ -239,8 +239,8 @@
         }
         expected = {
             CheckReason.TOLD: 1,
-            CheckReason.UNANSWERED: FAILED_CHECKS - 1,
-            CheckReason.CONTROL: 2 * (FAILED_CHECKS - 1),
+            CheckReason.UNANSWERED: FAILURE_THRESHOLD - 1,
+            CheckReason.CONTROL: 2 * (FAILURE_THRESHOLD - 1),
         }
         self.assertEqual(expected, counted)
 
--- a/tests/steering_health_test.py
+++ b/tests/steering_health_test.py
@@ -6,7 +6,7 @@
 from pollenmast.counters import CheckReason
 from pollenmast.steering._health import (
     ANSWER_VALID_S,
-    FAILED_CHECKS,
+    FAILURE_THRESHOLD,
     MAX_PENDING_SYNS,
     RECHECK_MAX_S,
     RECHECK_MIN_S,
@@ -173,7 +173,7 @@
         [
             ("refused", CheckResult.REFUSED, 1),
             ("other_process", CheckResult.OTHER, 1),
-            ("timeout", CheckResult.TIMEOUT, FAILED_CHECKS),
+            ("timeout", CheckResult.TIMEOUT, FAILURE_THRESHOLD),
         ]
     )
     def test_down(self, _, result, checks):
