--- a/src/pollenmast/steering/_load.py
+++ b/src/pollenmast/steering/_load.py
@@ -23,7 +23,7 @@
 """Length in seconds of the window in which requests are counted: long enough
 for a steady count, short enough to follow flows that move within seconds."""
 
-REPORT_LIFE_S = 4.0
+REPORT_MAX_AGE_S = 4.0
 """Age in seconds after which a report no longer counts; eight newer reports
 have then been missed."""
 
@@ -156,12 +156,12 @@
         others idle and place most flows there; a cut between zones would then
         break them.
         """
-        if now - self._last_received_at > REPORT_LIFE_S:
+        if now - self._last_received_at > REPORT_MAX_AGE_S:
             return False
         return now - self._receiving_since >= ZONES_SETTLE_S
 
     def _on_report_received(self, now: float) -> None:
-        if now - self._last_received_at > REPORT_LIFE_S:
+        if now - self._last_received_at > REPORT_MAX_AGE_S:
             self._receiving_since = now
         self._last_received_at = now
 
@@ -200,7 +200,7 @@
             The number of VMs, 0 if there is no current total.
         """
         total = self._total_report
-        if total is None or now - total.at > REPORT_LIFE_S:
+        if total is None or now - total.at > REPORT_MAX_AGE_S:
             return 0
         return total.vms
 
@@ -218,7 +218,7 @@
 
 def _fresh_rates(reports: dict[str, _Report], now: float) -> list[Rates]:
     for name, report in list(reports.items()):
-        if now - report.at > REPORT_LIFE_S:
+        if now - report.at > REPORT_MAX_AGE_S:
             del reports[name]
     return [report.rates for report in reports.values()]
 
--- a/tests/entry_gossip_test.py
+++ b/tests/entry_gossip_test.py
@@ -10,7 +10,7 @@
 from pollenmast.entry import _snapshot as snapshot
 from pollenmast.entry._gossip import REPORT_INTERVAL_S, SOLE_VM_ROUNDS, Gossip
 from pollenmast.steering import CheckResult, EndpointAnnounced, Update
-from pollenmast.steering._load import REPORT_LIFE_S
+from pollenmast.steering._load import REPORT_MAX_AGE_S
 from tests import steering_group as group
 
 ENDPOINTS = [group.endpoint(n) for n in range(1, 11)]
@@ -330,6 +330,6 @@
         network = self._network(a=5)
         network.round(12)
         self._send_load(network)
-        network.now += REPORT_LIFE_S
+        network.now += REPORT_MAX_AGE_S
         network.round(4)
         self.assertEqual(0.0, self._lowest_known_load(network))
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -8,7 +8,7 @@
 
 from pollenmast.counters import PlacementReason
 from pollenmast.steering import Catalog, EndpointLoads
-from pollenmast.steering._load import REPORT_LIFE_S, WINDOW_S, ZONES_SETTLE_S
+from pollenmast.steering._load import REPORT_MAX_AGE_S, WINDOW_S, ZONES_SETTLE_S
 from pollenmast.steering._placement import (
     ZONE_ADVANTAGE,
     ZONE_FACTOR,
@@ -78,7 +78,7 @@
         self.assertEqual(30.0, book.rate(1, 5.1))
         book.on_zone_report(group.OTHER_ZONE, {1: 20.0}, 25, 5.0)
         book.on_zone_report(group.OTHER_ZONE, {1: 1.0}, 2, 5.1)
-        after = 5.1 + REPORT_LIFE_S
+        after = 5.1 + REPORT_MAX_AGE_S
         self.assertEqual(0.0, book.rate(1, after))
 
     def test_expired_report(self):
@@ -88,7 +88,7 @@
         """
         book = EndpointLoads(group.ZONE)
         book.on_peer_report("vm-2", {1: 30.0}, 5.0)
-        after = 5.1 + REPORT_LIFE_S
+        after = 5.1 + REPORT_MAX_AGE_S
         self.assertEqual([0.0, 0.0, 0.0], _rates(book, after))
 
 
