--- a/src/pollenmast/steering/_placement.py
+++ b/src/pollenmast/steering/_placement.py
@@ -35,7 +35,7 @@
 from pollenmast.steering._model import Warmup
 from pollenmast.steering._record import Presence, Record
 
-ZONE_FACTOR = 1.3
+CROSS_ZONE_LOAD_FACTOR = 1.3
 """How many times the load of another zone's endpoint an endpoint of the own
 zone may have. The most and the least loaded endpoint of a zone differ by about
 this factor by chance."""
@@ -153,7 +153,10 @@
         if not self._load.is_settled(now):
             return own
         other = self._draw(far, now)
-        limit = ZONE_FACTOR * self._total_cost(other, now) + ZONE_ADVANTAGE
+        limit = (
+            CROSS_ZONE_LOAD_FACTOR * self._total_cost(other, now)
+            + ZONE_ADVANTAGE
+        )
         return other if self._total_cost(own, now) > limit else own
 
     def _last_resort(self, records: list[Record], now: float) -> Placement:
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -10,8 +10,8 @@
 from pollenmast.steering import Catalog, EndpointLoads
 from pollenmast.steering._load import REPORT_MAX_AGE_S, WINDOW_S, ZONES_SETTLE_S
 from pollenmast.steering._placement import (
+    CROSS_ZONE_LOAD_FACTOR,
     ZONE_ADVANTAGE,
-    ZONE_FACTOR,
     EndpointSelector,
 )
 from tests import steering_group as group
@@ -114,7 +114,10 @@
             ("a_little_more", {1: 10.0, 3: 5.0}, PlacementReason.OWN_ZONE),
             (
                 "at_the_margin",
-                {1: 2 * (ZONE_FACTOR * 10.0 + ZONE_ADVANTAGE), 3: 20.0},
+                {
+                    1: 2 * (CROSS_ZONE_LOAD_FACTOR * 10.0 + ZONE_ADVANTAGE),
+                    3: 20.0,
+                },
                 PlacementReason.OWN_ZONE,
             ),
             ("full", {1: 60.0, 3: 20.0}, PlacementReason.OTHER_ZONE),
