--- a/src/pollenmast/steering/_placement.py
+++ b/src/pollenmast/steering/_placement.py
@@ -40,7 +40,7 @@
 zone may have. The most and the least loaded endpoint of a zone differ by about
 this factor by chance."""
 
-ZONE_ADVANTAGE = 4.0
+CROSS_ZONE_LOAD_MARGIN = 4.0
 """Load that an endpoint of the own zone may have in addition, in requests per
 second and slot. At a small fraction of a slot's throughput no request waits,
 so crossing zones gains nothing."""
@@ -155,7 +155,7 @@
         other = self._draw(far, now)
         limit = (
             CROSS_ZONE_LOAD_FACTOR * self._total_cost(other, now)
-            + ZONE_ADVANTAGE
+            + CROSS_ZONE_LOAD_MARGIN
         )
         return other if self._total_cost(own, now) > limit else own
 
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -11,7 +11,7 @@
 from pollenmast.steering._load import REPORT_MAX_AGE_S, WINDOW_S, ZONES_SETTLE_S
 from pollenmast.steering._placement import (
     CROSS_ZONE_LOAD_FACTOR,
-    ZONE_ADVANTAGE,
+    CROSS_ZONE_LOAD_MARGIN,
     EndpointSelector,
 )
 from tests import steering_group as group
@@ -115,7 +115,8 @@
             (
                 "at_the_margin",
                 {
-                    1: 2 * (CROSS_ZONE_LOAD_FACTOR * 10.0 + ZONE_ADVANTAGE),
+                    1: 2
+                    * (CROSS_ZONE_LOAD_FACTOR * 10.0 + CROSS_ZONE_LOAD_MARGIN),
                     3: 20.0,
                 },
                 PlacementReason.OWN_ZONE,
