--- a/src/pollenmast/steering/_placement.py
+++ b/src/pollenmast/steering/_placement.py
@@ -181,10 +181,10 @@
         # Breaks ties at random; otherwise VMs that start at the same time
         # would all begin with the same endpoint.
         return min(
-            records, key=lambda r: (self._own_cost(r, now), self._rng.random())
+            records, key=lambda r: (self._own_load(r, now), self._rng.random())
         )
 
-    def _own_cost(self, record: Record, now: float) -> float:
+    def _own_load(self, record: Record, now: float) -> float:
         rate = self._load.own_rate(record.endpoint.number, now)
         return _cost(record, rate, now)
 
