--- a/src/pollenmast/steering/_placement.py
+++ b/src/pollenmast/steering/_placement.py
@@ -154,10 +154,10 @@
             return own
         other = self._draw(far, now)
         limit = (
-            CROSS_ZONE_LOAD_FACTOR * self._total_cost(other, now)
+            CROSS_ZONE_LOAD_FACTOR * self._total_load(other, now)
             + CROSS_ZONE_LOAD_MARGIN
         )
-        return other if self._total_cost(own, now) > limit else own
+        return other if self._total_load(own, now) > limit else own
 
     def _last_resort(self, records: list[Record], now: float) -> Placement:
         """Selects an endpoint although the health of every one is in doubt.
@@ -188,7 +188,7 @@
         rate = self._load.own_rate(record.endpoint.number, now)
         return _cost(record, rate, now)
 
-    def _total_cost(self, record: Record, now: float) -> float:
+    def _total_load(self, record: Record, now: float) -> float:
         rate = self._load.rate(record.endpoint.number, now)
         return _cost(record, rate, now)
 
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -312,6 +312,6 @@
         requests.
         """
         by_own = _count_rejected(vms, endpoints, 0.9)
-        self.patch(EndpointSelector, "_own_load", EndpointSelector._total_cost)
+        self.patch(EndpointSelector, "_own_load", EndpointSelector._total_load)
         by_total = _count_rejected(vms, endpoints, 0.9)
         self.assertLess(by_own, 0.5 * by_total)
