--- a/src/pollenmast/entry/_snapshot.py
+++ b/src/pollenmast/entry/_snapshot.py
@@ -22,7 +22,7 @@
     EndpointRemoved,
     Position,
     Route,
-    RoutesChanged,
+    RoutesDelta,
     RoutesPublished,
     RouteTable,
     Split,
@@ -126,7 +126,7 @@
         return _ANNOUNCED, change.revision, fields
     if isinstance(change, EndpointRemoved):
         return _REMOVED, change.revision, change.name
-    if isinstance(change, RoutesChanged):
+    if isinstance(change, RoutesDelta):
         *fields, _, revision = attrs.astuple(change)
         fields.append(_pack_warmups(change.warmups))
         return _ROUTES_CHANGED, revision, fields
@@ -173,12 +173,12 @@
     idle_timeout_s: float,
     warmups: dict[str, Any],
     revision: int,
-) -> RoutesChanged:
+) -> RoutesDelta:
     if not isinstance(base, int) or not isinstance(version, int):
         raise ValueError("version is not an integer")
     removed_addresses = tuple((str(host), int(port)) for host, port in removed)
     changed = tuple(_unpack_route(*each) for each in routes)
-    return RoutesChanged(
+    return RoutesDelta(
         base,
         version,
         changed,
--- a/src/pollenmast/steering/_changes.py
+++ b/src/pollenmast/steering/_changes.py
@@ -72,7 +72,7 @@
 
 
 @attrs.frozen
-class RoutesChanged:
+class RoutesDelta:
     """A published configuration as the difference from its predecessor.
 
     Load pattern: a configuration of hundreds of routes is published many
@@ -103,7 +103,7 @@
     @classmethod
     def between(
         cls, old: RouteTable, new: RouteTable, revision: int
-    ) -> "RoutesChanged":
+    ) -> "RoutesDelta":
         """Returns the difference that turns `old` into `new`."""
         changed = tuple(
             route
@@ -168,7 +168,7 @@
     EndpointAnnounced
     | EndpointRemoved
     | RoutesPublished
-    | RoutesChanged
+    | RoutesDelta
     | ZoneDrained
     | ZoneRestored
 )
--- a/src/pollenmast/steering/_routes.py
+++ b/src/pollenmast/steering/_routes.py
@@ -4,7 +4,7 @@
 
 from pollenmast.steering._changes import (
     Change,
-    RoutesChanged,
+    RoutesDelta,
     RoutesPublished,
 )
 from pollenmast.steering._model import RouteTable
@@ -31,7 +31,7 @@
         for change in changes:
             if isinstance(change, RoutesPublished):
                 version = max(version or 0, change.table.version)
-            elif isinstance(change, RoutesChanged):
+            elif isinstance(change, RoutesDelta):
                 if version is not None and change.version <= version:
                     continue
                 if change.base != version:
@@ -54,8 +54,8 @@
             self._table = change.table
             if old is None:
                 return change
-            return RoutesChanged.between(old, change.table, change.revision)
-        if isinstance(change, RoutesChanged):
+            return RoutesDelta.between(old, change.table, change.revision)
+        if isinstance(change, RoutesDelta):
             if old is None or change.base != old.version:
                 return None
             self._table = change.apply(old)
