--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -131,7 +131,7 @@
         )
         self._steering.check_policy.set_is_reader(self._gossip.is_reader)
         self._steering.outliers.set_on_ejected(self._on_ejected)
-        self._steering.cold_limit.join(self._gossip.allowance_peers)
+        self._steering.cold_limit.set_sharers(self._gossip.allowance_peers)
 
     async def run(self) -> int:
         """Runs until it is stopped; returns the exit code."""
--- a/src/pollenmast/steering/_cold_limit.py
+++ b/src/pollenmast/steering/_cold_limit.py
@@ -64,7 +64,9 @@
         self._sharers: Callable[[], tuple[str, list[str]] | None] = _no_sharers
         self._opened: dict[str, collections.deque[float]] = {}
 
-    def join(self, sharers: Callable[[], tuple[str, list[str]] | None]) -> None:
+    def set_sharers(
+        self, sharers: Callable[[], tuple[str, list[str]] | None]
+    ) -> None:
         """Sets the VMs among which the allowance is divided.
 
         Args:
--- a/tests/steering_cold_limit_test.py
+++ b/tests/steering_cold_limit_test.py
@@ -39,7 +39,7 @@
     limits = []
     for vm, others in views.items():
         limit = ColdLimit(group.ZONE, ALLOWANCE)
-        limit.join(lambda vm=vm, others=others: (vm, others))
+        limit.set_sharers(lambda vm=vm, others=others: (vm, others))
         limits.append(limit)
     return limits
 
@@ -155,7 +155,7 @@
         )
         core.apply(group.listing(*endpoints, routes=_table()), 0.0)
         core.on_confirmed(0.0)
-        core.cold_limit.join(lambda: sharers)
+        core.cold_limit.set_sharers(lambda: sharers)
         return core
 
     def open(self, core: Steering, flows: int, now: float) -> list:
