--- a/src/pollenmast/platform/_entries.py
+++ b/src/pollenmast/platform/_entries.py
@@ -58,7 +58,7 @@
                 slots=_int_field(entry, "slots", 1, _MAX_SLOTS),
                 draining=state == "draining",
                 # Milliseconds, counted from the time of the write.
-                warm_in_s=min(
+                warmup_left_s=min(
                     _int_field(entry, "warmupLeftMs", 0, 1 << 40) / 1000.0,
                     _MAX_WARM_IN_S,
                 ),
--- a/src/pollenmast/steering/_model.py
+++ b/src/pollenmast/steering/_model.py
@@ -81,7 +81,7 @@
         zone: Its availability zone.
         slots: The number of requests that it processes concurrently.
         draining: Whether it takes no new flows.
-        warm_in_s: The remaining warm-up time in seconds at the announcement.
+        warmup_left_s: The remaining warm-up time in seconds at the announcement.
     """
 
     name: str
@@ -93,7 +93,7 @@
     zone: str
     slots: int = 2
     draining: bool = False
-    warm_in_s: float = 0.0
+    warmup_left_s: float = 0.0
 
 
 @attrs.frozen
--- a/src/pollenmast/steering/_record.py
+++ b/src/pollenmast/steering/_record.py
@@ -63,7 +63,7 @@
 
     def is_cold(self, now: float) -> bool:
         """Whether the endpoint is still warming up."""
-        announced_until = self.announced_at + self.endpoint.warm_in_s
+        announced_until = self.announced_at + self.endpoint.warmup_left_s
         return now < max(announced_until, self.cold_until)
 
     def relative_capacity(self, now: float) -> float:
--- a/tests/platform_entries_test.py
+++ b/tests/platform_entries_test.py
@@ -84,7 +84,7 @@
         self.assertEqual(0x7F3A91C2, endpoint.number)
         self.assertEqual(0x7F3A91C2, endpoint.token)
         self.assertEqual(("10.128.0.9", 8080), (endpoint.host, endpoint.port))
-        self.assertEqual(1.5, endpoint.warm_in_s)
+        self.assertEqual(1.5, endpoint.warmup_left_s)
         self.assertFalse(endpoint.draining)
 
     def test_long_name(self):
--- a/tests/steering_cold_limit_test.py
+++ b/tests/steering_cold_limit_test.py
@@ -193,7 +193,7 @@
 
         The warm endpoint takes the rest.
         """
-        cold = group.endpoint(1, warm_in_s=2.0)
+        cold = group.endpoint(1, warmup_left_s=2.0)
         warm = group.endpoint(2)
         outcomes = self.open(self.core(cold, warm), 50, 0.5)
         self.assertEqual(
@@ -215,7 +215,7 @@
         These are VMs of other zones and VMs that do not know their zone's
         members yet.
         """
-        cold = group.endpoint(1, zone, warm_in_s=2.0)
+        cold = group.endpoint(1, zone, warmup_left_s=2.0)
         warm = group.endpoint(2)
         outcomes = self.open(self.core(cold, warm, sharers=sharers), 50, 0.5)
         self.assertEqual(0, _flows_to(outcomes, cold))
@@ -226,7 +226,7 @@
         Otherwise VMs that start at the same time would each use the whole
         allowance.
         """
-        cold = group.endpoint(1, warm_in_s=2.0)
+        cold = group.endpoint(1, warmup_left_s=2.0)
         warm = group.endpoint(2)
         core = Steering(
             group.ZONE, Counters(), random.Random(1), None, ALLOWANCE
@@ -241,7 +241,7 @@
         This happens when every other zone is lost. The client's next attempt
         may reach another VM that still has quota.
         """
-        cold = group.endpoint(1, warm_in_s=2.0)
+        cold = group.endpoint(1, warmup_left_s=2.0)
         outcomes = self.open(self.core(cold), 10, 0.5)
         quota = ALLOWANCE.allocated(NO_FLOW_RATE)
         self.assertEqual(quota, _flows_to(outcomes, cold))
@@ -251,7 +251,7 @@
     @parameterized.expand([("warm", 2.5, ALLOWANCE), ("no_limit", 0.5, None)])
     def test_unlimited(self, _, now, allowance):
         """Warm endpoints take all flows; so do cold ones without a limit."""
-        cold = group.endpoint(1, warm_in_s=2.0)
+        cold = group.endpoint(1, warmup_left_s=2.0)
         core = self.core(cold, allowance=allowance)
         self.assertEqual(30, _flows_to(self.open(core, 30, now), cold))
 
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -174,7 +174,7 @@
 
         It is still slow, and it keeps the flows that it gets now for long.
         """
-        cold = group.endpoint(2, warm_in_s=1000.0)
+        cold = group.endpoint(2, warmup_left_s=1000.0)
         placed = self._choose({}, FIRST, cold, own={1: 20, 2: requests})
         self.assertEqual(expected or cold, placed.record.endpoint)
 
