--- a/src/pollenmast/entry/_snapshot.py
+++ b/src/pollenmast/entry/_snapshot.py
@@ -25,10 +25,10 @@
     RoutesDelta,
     RoutesPublished,
     RouteTable,
-    Split,
     Steering,
     Update,
     Warmup,
+    WeightedService,
     ZoneDrained,
     ZoneRestored,
 )
@@ -224,4 +224,6 @@
 def _unpack_route(
     name: str, host: str, port: int, splits: list[Any], idempotent: bool
 ) -> Route:
-    return Route(name, host, port, tuple(Split(*s) for s in splits), idempotent)
+    return Route(
+        name, host, port, tuple(WeightedService(*s) for s in splits), idempotent
+    )
--- a/src/pollenmast/platform/_entries.py
+++ b/src/pollenmast/platform/_entries.py
@@ -7,7 +7,13 @@
 
 from result import Err, Ok, Result
 
-from pollenmast.steering import Endpoint, Route, RouteTable, Split, Warmup
+from pollenmast.steering import (
+    Endpoint,
+    Route,
+    RouteTable,
+    Warmup,
+    WeightedService,
+)
 
 OPERATOR_PREFIX = "op/"
 CONFIGURATION_KEY = "op/config"
@@ -126,14 +132,14 @@
     port = _parse_port(_str_field(entry, "prefix").strip("/"))
     if "trafficSplit" in entry:
         splits = tuple(
-            Split(
+            WeightedService(
                 _str_field(each, "service"),
                 _int_field(each, "weight", 0, 1 << 30),
             )
             for each in _object_list_field(entry, "trafficSplit")
         )
     else:
-        splits = (Split(_str_field(entry, "service"), 1),)
+        splits = (WeightedService(_str_field(entry, "service"), 1),)
     for split in splits:
         if split.service not in services:
             raise _FieldError("service")
--- a/src/pollenmast/steering/__init__.py
+++ b/src/pollenmast/steering/__init__.py
@@ -26,8 +26,8 @@
     Route,
     RouteTable,
     Segment,
-    Split,
     Warmup,
+    WeightedService,
 )
 from pollenmast.steering._outcomes import Drop, Forward, Outcome, Reset
 from pollenmast.steering._outliers import Failures, Outliers
@@ -69,7 +69,7 @@
     "RoutesDelta",
     "RoutesPublished",
     "Segment",
-    "Split",
+    "WeightedService",
     "Steering",
     "Update",
     "Warmup",
--- a/src/pollenmast/steering/_model.py
+++ b/src/pollenmast/steering/_model.py
@@ -97,7 +97,7 @@
 
 
 @attrs.frozen
-class Split:
+class WeightedService:
     """A service of a route and its share of the new flows.
 
     Attributes:
@@ -125,7 +125,7 @@
     name: str
     host: str
     port: int
-    splits: tuple[Split, ...]
+    splits: tuple[WeightedService, ...]
     idempotent: bool
 
     def services(self, digest: int) -> list[str]:
--- a/tests/entry_pause_test.py
+++ b/tests/entry_pause_test.py
@@ -17,8 +17,8 @@
     Route,
     RoutesPublished,
     RouteTable,
-    Split,
     Update,
+    WeightedService,
 )
 from pollenmast.steering._journal import MAX_CHANGES
 from tests import steering_group as group
@@ -28,7 +28,11 @@
     """Returns a configuration of many routes to one service."""
     routes = {
         (group.VIP, port): Route(
-            f"r-{port}", group.VIP, port, (Split("registry", 1),), True
+            f"r-{port}",
+            group.VIP,
+            port,
+            (WeightedService("registry", 1),),
+            True,
         )
         for port in range(443, 443 + count)
     }
--- a/tests/steering_group.py
+++ b/tests/steering_group.py
@@ -11,9 +11,9 @@
     RoutesPublished,
     RouteTable,
     Segment,
-    Split,
     Steering,
     Update,
+    WeightedService,
 )
 from standins import segments
 
@@ -39,7 +39,9 @@
 
 def table(version: int = 1, *services: str) -> RouteTable:
     """Returns a configuration with one route, split evenly among services."""
-    splits = tuple(Split(name, 1) for name in services or ("registry",))
+    splits = tuple(
+        WeightedService(name, 1) for name in services or ("registry",)
+    )
     route = Route("feed", VIP, PORT, splits, True)
     paths = {split.service: "/health" for split in splits}
     return RouteTable(version, {(VIP, PORT): route}, paths, 15.0)
