--- a/src/pollenmast/entry/_carrier.py
+++ b/src/pollenmast/entry/_carrier.py
@@ -20,7 +20,7 @@
 )
 from pollenmast.steering import Drop, Forward, Reset, Segment, Steering
 
-BATCH = 64
+MAX_BATCH = 64
 """Limit on the datagrams read in a row before other tasks run, about 3 ms."""
 
 _MAX_DATAGRAM_BYTES = 2048
@@ -70,12 +70,12 @@
         self._drop_queued_syns = True
 
     def forward_queued(self, now: float) -> None:
-        """Forwards the datagrams queued in the socket, at most `BATCH`.
+        """Forwards the datagrams queued in the socket, at most `MAX_BATCH`.
 
         Args:
             now: Time of the event loop's clock in seconds.
         """
-        for _ in range(BATCH):
+        for _ in range(MAX_BATCH):
             try:
                 datagram = self._sock.recv(_MAX_DATAGRAM_BYTES)
             except BlockingIOError:
--- a/tests/entry_boot_test.py
+++ b/tests/entry_boot_test.py
@@ -22,7 +22,7 @@
 )
 from pollenmast.entry import Boot, BootComponents, FirstRead
 from pollenmast.entry._boot import LOAD_RETRY_DELAY_S
-from pollenmast.entry._carrier import BATCH, Forwarder
+from pollenmast.entry._carrier import MAX_BATCH, Forwarder
 from pollenmast.entry._program import FIRST_READ_TIMEOUT_S, _Program
 from pollenmast.events import EventLog, JsonSink
 from pollenmast.platform._packet import PlatformPackets
@@ -175,9 +175,9 @@
         would stay out of rotation.
         """
         boot = self._boot(_FirstRead(Ok(self._listing)))
-        self._send(2 * BATCH + 5)
+        self._send(2 * MAX_BATCH + 5)
         boot.load(MODULES)
-        self.assertEqual(2 * BATCH + 5, self._forwarded())
+        self.assertEqual(2 * MAX_BATCH + 5, self._forwarded())
 
     @parameterized.expand([("once", 1), ("for_a_while", 3)])
     def test_module_fails(self, _, failures):
