--- a/src/pollenmast/entry/__init__.py
+++ b/src/pollenmast/entry/__init__.py
@@ -3,7 +3,12 @@
 Most of the program is loaded while packets are already forwarded; see `_boot`.
 """
 
-from pollenmast.entry._boot import Boot, BootComponents, FirstRead, early
+from pollenmast.entry._boot import (
+    Boot,
+    BootComponents,
+    FirstRead,
+    build_components,
+)
 from pollenmast.entry._ports import (
     EXIT_FAILED,
     EXIT_OK,
@@ -37,6 +42,6 @@
     "HealthProbe",
     "PacketFormat",
     "Ports",
-    "early",
+    "build_components",
     "run",
 ]
--- a/src/pollenmast/entry/_boot.py
+++ b/src/pollenmast/entry/_boot.py
@@ -118,7 +118,7 @@
     forwarder: Forwarder
 
 
-def early(
+def build_components(
     settings: EntrySettings,
     packets: PacketFormat,
     counters: Counters,
--- a/src/pollenmast/platform/_start.py
+++ b/src/pollenmast/platform/_start.py
@@ -44,7 +44,7 @@
     first_read = None
     if store_request is not None:
         first_read = StoreFirstRead(EarlyStoreClient(*store_request), counters)
-    parts = entry.early(settings, packets, counters, sock)
+    parts = entry.build_components(settings, packets, counters, sock)
     boot = entry.Boot(parts, first_read)
     boot.load()
     return entry.run(
