--- a/src/pollenmast/entry/__init__.py
+++ b/src/pollenmast/entry/__init__.py
@@ -6,7 +6,7 @@
 from pollenmast.entry._boot import (
     Boot,
     BootComponents,
-    FirstRead,
+    InitialRead,
     build_components,
 )
 from pollenmast.entry._ports import (
@@ -38,7 +38,7 @@
     "Boot",
     "BootComponents",
     "EntrySettings",
-    "FirstRead",
+    "InitialRead",
     "HealthProbe",
     "PacketFormat",
     "Ports",
--- a/src/pollenmast/entry/_boot.py
+++ b/src/pollenmast/entry/_boot.py
@@ -72,7 +72,7 @@
 on an idle machine (python -X importtime)."""
 
 
-class FirstRead(abc.ABC):
+class InitialRead(abc.ABC):
     """The directory's response to a VM's first request."""
 
     @property
@@ -143,7 +143,7 @@
     """Loads the program and forwards packets after each module."""
 
     def __init__(
-        self, components: BootComponents, first_read: FirstRead | None
+        self, components: BootComponents, first_read: InitialRead | None
     ):
         self._components = components
         self._first_read = first_read
--- a/src/pollenmast/platform/_first_read.py
+++ b/src/pollenmast/platform/_first_read.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from pollenmast.counters import PLATFORM_CALLS, Counters
-from pollenmast.entry import FirstRead
+from pollenmast.entry import InitialRead
 from pollenmast.exchange import EndedError, ProtocolError, TooLargeError
 from pollenmast.platform._early_client import EarlyStoreClient
 from pollenmast.platform._epoch import read_epoch
@@ -19,7 +19,7 @@
 _PageResult = Result[Any, DirectoryFault]
 
 
-class StoreFirstRead(FirstRead):
+class StoreFirstRead(InitialRead):
     """Lists all keys of the store, page by page, over one connection.
 
     Each page is requested as soon as the previous one has arrived, if need be
--- a/tests/entry_boot_test.py
+++ b/tests/entry_boot_test.py
@@ -20,7 +20,7 @@
     Counters,
     Histograms,
 )
-from pollenmast.entry import Boot, BootComponents, FirstRead
+from pollenmast.entry import Boot, BootComponents, InitialRead
 from pollenmast.entry._boot import LOAD_RETRY_DELAY_S
 from pollenmast.entry._carrier import MAX_BATCH, Forwarder
 from pollenmast.entry._program import FIRST_READ_TIMEOUT_S, _Program
@@ -33,7 +33,7 @@
 MODULES = ("json", "socket", "random")
 
 
-class _FirstRead(FirstRead):
+class _FirstRead(InitialRead):
     """Responds at a given poll, or never."""
 
     def __init__(self, response, at_poll: int = 1):
