--- a/src/pollenmast/entry/_boot.py
+++ b/src/pollenmast/entry/_boot.py
@@ -77,7 +77,7 @@
 
     @property
     @abc.abstractmethod
-    def begun(self) -> bool:
+    def is_arriving(self) -> bool:
         """Whether part of the response has arrived."""
 
     @abc.abstractmethod
@@ -166,7 +166,7 @@
         for name in modules:
             self._load(name)
             self.step()
-        if self._first_read is not None and not self._first_read.begun:
+        if self._first_read is not None and not self._first_read.is_arriving:
             self.cancel_request()
 
     def step(self, wait_s: float = 0.0) -> None:
--- a/src/pollenmast/platform/_first_read.py
+++ b/src/pollenmast/platform/_first_read.py
@@ -34,7 +34,7 @@
         self._listing = Listing()
 
     @property
-    def begun(self) -> bool:
+    def is_arriving(self) -> bool:
         """Whether any bytes of a response have arrived."""
         return self._client.response_started
 
--- a/tests/entry_boot_test.py
+++ b/tests/entry_boot_test.py
@@ -43,7 +43,7 @@
         self.closed = False
 
     @property
-    def begun(self):
+    def is_arriving(self):
         return 0 < self.polls < self._at_poll
 
     def poll(self, wait_s):
--- a/tests/platform_first_read_test.py
+++ b/tests/platform_first_read_test.py
@@ -148,5 +148,5 @@
         began = time.monotonic()
         self.store.sendall(b"H")
         self.assertIsNone(self.first_read.poll(0.01))
-        self.assertTrue(self.first_read.begun)
+        self.assertTrue(self.first_read.is_arriving)
         self.assertLess(time.monotonic() - began, 5.0)
