--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -126,7 +126,7 @@
         """Time at which the directory stopped answering, or None."""
         return self._lost_at
 
-    def join(
+    def divide_watching(
         self, is_reader: Callable[[], bool], on_change: Callable[[], None]
     ) -> None:
         """Divides the watching of the directory among several VMs.
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -126,7 +126,7 @@
             settings.link_mbps,
             self._pauses,
         )
-        self._follower.join(
+        self._follower.divide_watching(
             self._gossip.is_reader, self._gossip.schedule_broadcast
         )
         self._steering.check_policy.set_is_reader(self._gossip.is_reader)
--- a/tests/fleet_group.py
+++ b/tests/fleet_group.py
@@ -111,7 +111,7 @@
         self.peers = PeerReader(seeds, (host, 1), self.core, self.follower, log)
         self.gossip = _MemoryGossip(fleet, self, self.peers)
         self.site = Site("/ready", self.core, Counters(), Histograms())
-        self.follower.join(
+        self.follower.divide_watching(
             self.gossip.is_reader, self.gossip.schedule_broadcast
         )
 
--- a/tests/platform_store_test.py
+++ b/tests/platform_store_test.py
@@ -316,7 +316,7 @@
             self.assertEqual(9, core.table.version)
             self.assertTrue(updates)
 
-        self.follow(script, join=lambda: updates.append(1))
+        self.follow(script, on_change=lambda: updates.append(1))
 
     @parameterized.expand([("known", True, 0), ("unknown", False, 1)])
     def test_first_read(self, _, known, calls):
@@ -334,7 +334,7 @@
             await anyio.sleep(APPLY_S)
             self.assertEqual(9, core.table.version)
 
-        self.follow(script, join=lambda: None, known=known)
+        self.follow(script, on_change=lambda: None, known=known)
 
     def test_frequent_changes(self):
         """A release that changes a dozen entries per second needs few calls.
@@ -365,4 +365,4 @@
                 await anyio.sleep(0.5)
             self.assertEqual(calls, self.store.calls)
 
-        self.follow(script, join=lambda: None)
+        self.follow(script, on_change=lambda: None)
--- a/tests/store_group.py
+++ b/tests/store_group.py
@@ -102,13 +102,13 @@
         clock = trio.testing.MockClock(autojump_threshold=0)
         return trio.run(main, clock=clock)
 
-    def follow(self, script, join=None, known=False):
+    def follow(self, script, on_change=None, known=False):
         """Runs a script while a VM follows the store.
 
         Args:
             script: An async function, called with the VM's steering core and
                 its follower.
-            join: Called when an update arrives, if the VM leaves watching the
+            on_change: Called when an update arrives, if the VM leaves watching the
                 store to other VMs; None if it watches the store itself.
             known: Whether the VM has just read the whole store.
         """
@@ -121,8 +121,8 @@
             APPLY_S,
             random.Random(1),
         )
-        if join is not None:
-            follower.join(lambda: False, join)
+        if on_change is not None:
+            follower.divide_watching(lambda: False, on_change)
 
         async def main() -> None:
             async with anyio.create_task_group() as tasks:
