--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -162,7 +162,7 @@
             with anyio.CancelScope() as self._scope:
                 await self._step()
 
-    def take(self, update: Update, source: str) -> None:
+    def apply(self, update: Update, source: str) -> None:
         """Applies and logs an update from the directory or a peer.
 
         Args:
@@ -291,7 +291,7 @@
                 revision=update.revision,
                 epoch=update.epoch,
             )
-        self.take(update, "directory")
+        self.apply(update, "directory")
         # A watch responds when something is new; a list may be as old as the
         # request.
         listed = update.complete or update.all_drains
--- a/src/pollenmast/entry/_peers.py
+++ b/src/pollenmast/entry/_peers.py
@@ -132,4 +132,4 @@
             revision=update.revision,
             epoch=update.epoch,
         )
-        self._follower.take(update, source)
+        self._follower.apply(update, source)
