--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -122,7 +122,7 @@
         self._scope: anyio.CancelScope | None = None
 
     @property
-    def lost_at(self) -> float | None:
+    def unavailable_since(self) -> float | None:
         """Time at which the directory stopped answering, or None."""
         return self._lost_at
 
--- a/src/pollenmast/entry/_peers.py
+++ b/src/pollenmast/entry/_peers.py
@@ -69,9 +69,12 @@
     async def run(self) -> None:
         """Asks the seeds during directory outages, until cancelled."""
         while True:
-            lost_at = self._follower.lost_at
+            unavailable_since = self._follower.unavailable_since
             now = anyio.current_time()
-            if lost_at is not None and now - lost_at >= OUTAGE_S:
+            if (
+                unavailable_since is not None
+                and now - unavailable_since >= OUTAGE_S
+            ):
                 await self._ask_all()
             await anyio.sleep(POLL_INTERVAL_S if self._steering.ready else 0.2)
 
--- a/tests/platform_store_test.py
+++ b/tests/platform_store_test.py
@@ -264,7 +264,7 @@
             self.assertEqual(Position(9, 3), core.position)
             self.assertEqual(7, core.table.version)
             self.assertGreaterEqual(core.age_s(anyio.current_time()), 1.0)
-            self.assertIsNotNone(follower.lost_at)
+            self.assertIsNotNone(follower.unavailable_since)
 
         self.follow(script)
 
@@ -292,7 +292,7 @@
         async def script(core, follower):
             self.store.fault = Fault.DOWN
             await anyio.sleep(30.0)
-            self.assertIsNotNone(follower.lost_at)
+            self.assertIsNotNone(follower.unavailable_since)
             self.assertIs(Presence.LISTED, core.catalog.get(NAME).presence)
             calls = self.store.calls
             await anyio.sleep(10.0)
@@ -328,7 +328,7 @@
 
         async def script(core, follower):
             self.assertEqual(calls, self.store.calls)
-            self.assertIsNone(follower.lost_at)
+            self.assertIsNone(follower.unavailable_since)
             self.store.put("op/config", {**CONFIGURATION, "version": 9})
             core.on_confirmed(-APPLY_S)
             await anyio.sleep(APPLY_S)
--- a/tests/platform_storm_test.py
+++ b/tests/platform_storm_test.py
@@ -52,7 +52,7 @@
                     self.store.put("op/config", {**entry, "version": version})
                     tasks.start_soon(check_version, version)
                     await anyio.sleep(gap_s)
-            self.assertIsNone(follower.lost_at)
+            self.assertIsNone(follower.unavailable_since)
 
         self.follow(script)
         self.assertEqual([], late_versions)
