--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -35,7 +35,7 @@
     Update,
 )
 
-WATCH_S = 1.0
+WATCH_TIMEOUT_S = 1.0
 """Duration of one watch request, in seconds. Its response confirms, for this VM
 and the VMs it reports to, that nothing newer exists. A connection that stopped
 delivering data is detected half a second after this time."""
@@ -233,7 +233,7 @@
         if not self._has_read and not position.revision:
             return await self._read_all()
         if not self._lagging:
-            answer = await self._directory.watch(position, WATCH_S)
+            answer = await self._directory.watch(position, WATCH_TIMEOUT_S)
             if answer != Err(DirectoryFault.TOO_LONG):
                 return answer
             self._lagging = True
--- a/tests/platform_store_test.py
+++ b/tests/platform_store_test.py
@@ -7,7 +7,7 @@
 from result import Err
 
 from pollenmast.counters import PLATFORM_CALLS
-from pollenmast.entry._follow import STALE_PART, WATCH_S
+from pollenmast.entry._follow import STALE_PART, WATCH_TIMEOUT_S
 from pollenmast.http1 import Response
 from pollenmast.platform import _listing
 from pollenmast.platform._store import WATCH_MARGIN_S
@@ -138,7 +138,9 @@
 
     def _watch(self, after: int):
         position = Position(self.store.epoch, after)
-        return self.run_main(lambda: self.directory.watch(position, WATCH_S))
+        return self.run_main(
+            lambda: self.directory.watch(position, WATCH_TIMEOUT_S)
+        )
 
     def test_removed(self):
         """A deleted entry removes its endpoint."""
@@ -176,7 +178,7 @@
         self._respond_with({"events": [], "asOf": 12}, {"store-era": "2"})
         position = Position(epoch, revision)
         watch = self.directory.watch
-        result = self.run_main(lambda: watch(position, WATCH_S))
+        result = self.run_main(lambda: watch(position, WATCH_TIMEOUT_S))
         self.assertEqual(Err(expected), result)
         self.assertEqual(1, self.counters.value(PLATFORM_CALLS, expected))
 
@@ -185,7 +187,7 @@
         """A response without an epoch counts as one of the known epoch."""
         self._respond_with({"events": [], "asOf": 12}, headers)
         watch = self.directory.watch
-        result = self.run_main(lambda: watch(Position(3, 11), WATCH_S))
+        result = self.run_main(lambda: watch(Position(3, 11), WATCH_TIMEOUT_S))
         self.assertEqual(Position(3, 12), result.ok_value.position)
 
     @parameterized.expand(
@@ -225,10 +227,10 @@
 
         async def script(core, follower):
             self.store.fault = Fault.SILENT
-            await anyio.sleep(WATCH_S)
+            await anyio.sleep(WATCH_TIMEOUT_S)
             self.store.fault = Fault.NONE
             self.store.put("op/config", {**CONFIGURATION, "version": 9})
-            await anyio.sleep(WATCH_S + WATCH_MARGIN_S)
+            await anyio.sleep(WATCH_TIMEOUT_S + WATCH_MARGIN_S)
             self.assertEqual(9, core.table.version)
 
         self.follow(script)
