--- a/soak/without.py
+++ b/soak/without.py
@@ -34,7 +34,7 @@
 def _no_proof() -> None:
     """A watch may be silent for ever, and nobody asks for himself."""
     _follow.WATCH_TIMEOUT_S = 60.0
-    _follow.STALE_PART = 1000.0
+    _follow.STALE_FRACTION = 1000.0
 
 
 def _no_epoch() -> None:
--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -46,13 +46,13 @@
 and each would cost every reader one call. A change may take seconds to come
 into force."""
 
-STALE_PART = 0.55
+STALE_FRACTION = 0.55
 """Fraction of the time limit for applying a change after which a VM without a
 confirmation asks the directory itself. After a call and a timeout a quarter of
 the limit is left."""
 
 STALE_JITTER = 0.15
-"""Upper bound of the random addition to `STALE_PART`. It makes one VM ask first
+"""Upper bound of the random addition to `STALE_FRACTION`. It makes one VM ask first
 and tell the others."""
 
 MAX_IDLE_S = 0.4
@@ -206,7 +206,7 @@
         return min(max(left_s, MIN_IDLE_S), MAX_IDLE_S)
 
     def _randomize_stale_after(self) -> None:
-        fraction = STALE_PART + STALE_JITTER * self._rng.random()
+        fraction = STALE_FRACTION + STALE_JITTER * self._rng.random()
         self._stale_after_s = fraction * self._apply_s
 
     async def _step(self) -> None:
--- a/tests/platform_store_test.py
+++ b/tests/platform_store_test.py
@@ -7,7 +7,7 @@
 from result import Err
 
 from pollenmast.counters import PLATFORM_CALLS
-from pollenmast.entry._follow import STALE_PART, WATCH_TIMEOUT_S
+from pollenmast.entry._follow import STALE_FRACTION, WATCH_TIMEOUT_S
 from pollenmast.http1 import Response
 from pollenmast.platform import _listing
 from pollenmast.platform._store import WATCH_MARGIN_S
@@ -311,7 +311,7 @@
 
         async def script(core, follower):
             calls = self.store.calls
-            await anyio.sleep(APPLY_S * STALE_PART - 1.0)
+            await anyio.sleep(APPLY_S * STALE_FRACTION - 1.0)
             self.assertEqual(calls, self.store.calls)
             self.store.put("op/config", {**CONFIGURATION, "version": 9})
             await anyio.sleep(APPLY_S)
