--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -19,7 +19,7 @@
 from pollenmast.entry._peers import PeerReader
 from pollenmast.entry._ports import EXIT_FAILED, EXIT_OK, Ports
 from pollenmast.entry._reach import ZoneProber
-from pollenmast.entry._site import Site
+from pollenmast.entry._site import HttpHandler
 from pollenmast.events import (
     ENDPOINT_EJECTED,
     PAUSED,
@@ -67,7 +67,7 @@
         self._rng = components.rng
         self._steering = components.steering
         self._forwarder = components.forwarder
-        self._site = Site(
+        self._site = HttpHandler(
             components.settings.ready_path,
             components.steering,
             components.counters,
--- a/src/pollenmast/entry/_site.py
+++ b/src/pollenmast/entry/_site.py
@@ -26,7 +26,7 @@
 _NO_CONTENT = Answer(204)
 
 
-class Site:
+class HttpHandler:
     """Handles the HTTP requests to one VM."""
 
     def __init__(
--- a/tests/entry_reach_test.py
+++ b/tests/entry_reach_test.py
@@ -9,7 +9,7 @@
 from pollenmast.counters import CHECKS, CheckReason, Counters, Histograms
 from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._reach import PROBE_INTERVAL_S, ZoneProber
-from pollenmast.entry._site import Site
+from pollenmast.entry._site import HttpHandler
 from pollenmast.events import EventLog
 from pollenmast.http1 import Request
 from pollenmast.steering import (
@@ -55,7 +55,7 @@
     ) -> None:
         core = group.steering(NEAR, FAR, THIRD)
         counters = Counters()
-        site = Site("/ready", core, counters, Histograms())
+        site = HttpHandler("/ready", core, counters, Histograms())
         self.counters = counters
 
         async def ready() -> bool:
--- a/tests/fleet_group.py
+++ b/tests/fleet_group.py
@@ -13,7 +13,7 @@
 from pollenmast.entry._follow import Follower
 from pollenmast.entry._gossip import Gossip
 from pollenmast.entry._peers import PeerReader
-from pollenmast.entry._site import Site
+from pollenmast.entry._site import HttpHandler
 from pollenmast.events import EventLog
 from pollenmast.http1 import HttpFault, Response
 from pollenmast.platform._store import StoreDirectory
@@ -34,7 +34,7 @@
 class _PeerConnection:
     """Asks another VM without a network."""
 
-    def __init__(self, site: Site | None):
+    def __init__(self, site: HttpHandler | None):
         self._site = site
 
     async def get(self, target: str, patience, most=None):
@@ -110,7 +110,7 @@
         seeds = tuple((seed, 1) for seed in fleet.seeds)
         self.peers = PeerReader(seeds, (host, 1), self.core, self.follower, log)
         self.gossip = _MemoryGossip(fleet, self, self.peers)
-        self.site = Site("/ready", self.core, Counters(), Histograms())
+        self.site = HttpHandler("/ready", self.core, Counters(), Histograms())
         self.follower.divide_watching(
             self.gossip.is_reader, self.gossip.schedule_broadcast
         )
