--- a/src/pollenmast/entry/_snapshot.py
+++ b/src/pollenmast/entry/_snapshot.py
@@ -37,7 +37,7 @@
 """Version of this format. Data in another version is rejected, and the VM asks
 the directory instead."""
 
-MOST_BYTES = 8 << 20
+MAX_DECODED_BYTES = 8 << 20
 """Maximum size of a decompressed body: four times what 11,000 endpoints and
 2,500 routes take, and little compared with the memory of a VM."""
 
@@ -81,7 +81,7 @@
     """Returns the update that a peer has sent, or why it cannot be decoded."""
     try:
         inflater = zlib.decompressobj()
-        body = inflater.decompress(data, MOST_BYTES)
+        body = inflater.decompress(data, MAX_DECODED_BYTES)
         if not inflater.eof:
             return Err("truncated, or too long when inflated")
         version, epoch, revision, complete, changes = msgpack.unpackb(body)
--- a/tests/entry_pause_test.py
+++ b/tests/entry_pause_test.py
@@ -107,7 +107,7 @@
 
         A few bytes of a peer could otherwise exhaust the VM's memory.
         """
-        huge = zlib.compress(bytes(2 * snapshot.MOST_BYTES), 9)
+        huge = zlib.compress(bytes(2 * snapshot.MAX_DECODED_BYTES), 9)
         self.assertLess(len(huge), 100_000)
         self.assertTrue(snapshot.decode(huge).is_err())
 
