--- a/src/pollenmast/entry/__init__.py
+++ b/src/pollenmast/entry/__init__.py
@@ -3,7 +3,12 @@
 Most of the program is loaded while packets are already forwarded; see `_boot`.
 """
 
-from pollenmast.entry._boot import Boot, BootComponents, FirstRead, early
+from pollenmast.entry._boot import (
+    Boot,
+    BootComponents,
+    InitialRead,
+    build_components,
+)
 from pollenmast.entry._ports import (
     EXIT_FAILED,
     EXIT_OK,
@@ -33,10 +38,10 @@
     "Boot",
     "BootComponents",
     "EntrySettings",
-    "FirstRead",
+    "InitialRead",
     "HealthProbe",
     "PacketFormat",
     "Ports",
-    "early",
+    "build_components",
     "run",
 ]
--- a/src/pollenmast/entry/_carrier.py
+++ b/src/pollenmast/entry/_carrier.py
@@ -20,13 +20,13 @@
 )
 from pollenmast.steering import Drop, Forward, Reset, Segment, Steering
 
-BATCH = 64
+MAX_BATCH = 64
 """Limit on the datagrams read in a row before other tasks run, about 3 ms."""
 
 _MAX_DATAGRAM_BYTES = 2048
 
 
-class Carrier:
+class Forwarder:
     """Receives clients' datagrams and forwards them as steering decides.
 
     Args:
@@ -50,7 +50,7 @@
         self._steering = steering
         self._counters = counters
         self._log = log
-        self._skip_syns = False
+        self._drop_queued_syns = False
 
     @property
     def sock(self) -> socket.socket:
@@ -61,25 +61,25 @@
         """Closes the socket."""
         self._sock.close()
 
-    def skip_syns(self) -> None:
+    def drop_queued_syns(self) -> None:
         """Drops the SYNs that are queued in the socket after a pause.
 
         Their clients have given up long ago. Forwarded, each SYN would occupy
         a connection of an endpoint that no client uses.
         """
-        self._skip_syns = True
+        self._drop_queued_syns = True
 
-    def carry_waiting(self, now: float) -> None:
-        """Forwards the datagrams queued in the socket, at most `BATCH`.
+    def forward_queued(self, now: float) -> None:
+        """Forwards the datagrams queued in the socket, at most `MAX_BATCH`.
 
         Args:
             now: Time of the event loop's clock in seconds.
         """
-        for _ in range(BATCH):
+        for _ in range(MAX_BATCH):
             try:
                 datagram = self._sock.recv(_MAX_DATAGRAM_BYTES)
             except BlockingIOError:
-                self._skip_syns = False
+                self._drop_queued_syns = False
                 return
             except OSError:
                 # The error concerns a datagram sent earlier, to an address
@@ -101,7 +101,7 @@
             )
             return
         segment = decoded.ok_value
-        if segment.syn and self._skip_syns:
+        if segment.syn and self._drop_queued_syns:
             self._counters.add(c.DROPS, DropReason.BACKLOG)
             return
         outcome = self._steering.on_segment(segment, now)
--- a/src/pollenmast/entry/_checks.py
+++ b/src/pollenmast/entry/_checks.py
@@ -11,8 +11,8 @@
     Counters,
     Histograms,
 )
-from pollenmast.entry._carrier import Carrier
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._carrier import Forwarder
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._ports import HealthProbe
 from pollenmast.events import (
     CHECKS_UNSURE,
@@ -54,13 +54,13 @@
 once, and each check takes a file descriptor and some processor time."""
 
 
-class Checker:
+class HealthChecker:
     """Runs the health checks that steering requests.
 
     Args:
         probe: Makes the connections.
         steering: Decides which checks are due, and what their results mean.
-        carrier: Sends resets to clients of dead endpoints.
+        forwarder: Sends resets to clients of dead endpoints.
         pauses: Detects pauses and the lag of this VM.
         counters: Counts checks and their results.
         histograms: Records how long checks take.
@@ -71,15 +71,15 @@
         self,
         probe: HealthProbe,
         steering: Steering,
-        carrier: Carrier,
-        pauses: PauseWatch,
+        forwarder: Forwarder,
+        pauses: PauseDetector,
         counters: Counters,
         histograms: Histograms,
         log: EventLog,
     ):
         self._probe = probe
         self._steering = steering
-        self._carrier = carrier
+        self._forwarder = forwarder
         self._pauses = pauses
         self._counters = counters
         self._histograms = histograms
@@ -88,7 +88,7 @@
         self._logged_down: set[str] = set()
         self._woken = anyio.Event()
         self._watchlist = steering.catalog.watchlist
-        self._watchlist.notify(self._wake)
+        self._watchlist.set_on_schedule(self._wake)
 
     async def run(self) -> None:
         """Starts due checks until cancelled."""
@@ -149,7 +149,9 @@
         extra_s = min(LAG_FACTOR * self._pauses.lag_s, MAX_EXTRA_S)
         controls = []
         if record.health.failing:
-            controls = self._steering.doubts.controls(record, MAX_CONTROLS)
+            controls = self._steering.check_policy.controls(
+                record, MAX_CONTROLS
+            )
         reached: list[bool] = []
         async with anyio.create_task_group() as tasks:
             for other in controls:
@@ -216,7 +218,7 @@
         before = record.presence
         now = anyio.current_time()
         resets = self._steering.on_check(record, result, now)
-        self._carrier.send_resets(resets, now)
+        self._forwarder.send_resets(resets, now)
         event = self._state_event(record, before)
         if event is not None:
             self._log.write(
--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -27,7 +27,7 @@
     EventLog,
 )
 from pollenmast.steering import (
-    NOTHING_KNOWN,
+    START_POSITION,
     Directory,
     DirectoryFault,
     RoutesPublished,
@@ -35,7 +35,7 @@
     Update,
 )
 
-WATCH_S = 1.0
+WATCH_TIMEOUT_S = 1.0
 """Duration of one watch request, in seconds. Its response confirms, for this VM
 and the VMs it reports to, that nothing newer exists. A connection that stopped
 delivering data is detected half a second after this time."""
@@ -46,13 +46,13 @@
 and each would cost every reader one call. A change may take seconds to come
 into force."""
 
-STALE_PART = 0.55
+STALE_FRACTION = 0.55
 """Fraction of the time limit for applying a change after which a VM without a
 confirmation asks the directory itself. After a call and a timeout a quarter of
 the limit is left."""
 
 STALE_JITTER = 0.15
-"""Upper bound of the random addition to `STALE_PART`. It makes one VM ask first
+"""Upper bound of the random addition to `STALE_FRACTION`. It makes one VM ask first
 and tell the others."""
 
 MAX_IDLE_S = 0.4
@@ -122,11 +122,11 @@
         self._scope: anyio.CancelScope | None = None
 
     @property
-    def lost_at(self) -> float | None:
+    def unavailable_since(self) -> float | None:
         """Time at which the directory stopped answering, or None."""
         return self._lost_at
 
-    def join(
+    def divide_watching(
         self, is_reader: Callable[[], bool], on_change: Callable[[], None]
     ) -> None:
         """Divides the watching of the directory among several VMs.
@@ -162,7 +162,7 @@
             with anyio.CancelScope() as self._scope:
                 await self._step()
 
-    def take(self, update: Update, source: str) -> None:
+    def apply(self, update: Update, source: str) -> None:
         """Applies and logs an update from the directory or a peer.
 
         Args:
@@ -175,19 +175,19 @@
         position = self._steering.position
         if position > before:
             self._on_change()
-        if position.epoch > before.epoch and before != NOTHING_KNOWN:
+        if position.epoch > before.epoch and before != START_POSITION:
             self._update_log.log_restore(before, update, source)
         self._update_log.log_refused(update, source)
         self._update_log.log_routes(applied, update.position, source)
         self._update_log.log_zones(applied, update.epoch, source)
         self._update_log.log_endpoints(applied, update.epoch, source)
 
-    def settle(self) -> None:
+    def adopt_restored_state(self) -> None:
         """Accepts what a restored directory lists, replacing earlier state.
 
         This happens only once its writers have had time to write again.
         """
-        applied = self._steering.settle(anyio.current_time())
+        applied = self._steering.adopt_restored_state(anyio.current_time())
         epoch = self._steering.position.epoch
         self._update_log.log_zones(applied, epoch, "settled")
         self._update_log.log_endpoints(applied, epoch, "settled")
@@ -206,7 +206,7 @@
         return min(max(left_s, MIN_IDLE_S), MAX_IDLE_S)
 
     def _randomize_stale_after(self) -> None:
-        fraction = STALE_PART + STALE_JITTER * self._rng.random()
+        fraction = STALE_FRACTION + STALE_JITTER * self._rng.random()
         self._stale_after_s = fraction * self._apply_s
 
     async def _step(self) -> None:
@@ -233,7 +233,7 @@
         if not self._has_read and not position.revision:
             return await self._read_all()
         if not self._lagging:
-            answer = await self._directory.watch(position, WATCH_S)
+            answer = await self._directory.watch(position, WATCH_TIMEOUT_S)
             if answer != Err(DirectoryFault.TOO_LONG):
                 return answer
             self._lagging = True
@@ -284,17 +284,17 @@
         if self._lost_at is not None:
             outage_s = now - self._lost_at
             self._lost_at = None
-            self._steering.on_return(now)
+            self._steering.on_directory_return(now)
             self._log.write(
                 PLATFORM_BACK,
                 away_s=round(outage_s, 3),
                 revision=update.revision,
                 epoch=update.epoch,
             )
-        self.take(update, "directory")
+        self.apply(update, "directory")
         # A watch responds when something is new; a list may be as old as the
         # request.
-        listed = update.whole or update.all_drains
+        listed = update.complete or update.all_drains
         self._steering.on_confirmed(asked_at if listed else now)
 
     async def _on_fault(self, fault: DirectoryFault) -> None:
--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -27,12 +27,12 @@
 from pollenmast.counters import CONTROL_BYTES, ENVELOPE_FAULTS, Counters
 from pollenmast.entry import _report as reports
 from pollenmast.entry import _snapshot as snapshot
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._peers import PeerReader
 from pollenmast.entry._ports import Address
 from pollenmast.entry._report import MAX_CHANGE_BYTES, Kind, Report
 from pollenmast.steering import (
-    NOTHING_KNOWN,
+    START_POSITION,
     Failures,
     Members,
     Position,
@@ -102,9 +102,9 @@
         counters: Counters,
         rng: random.Random,
         link_mbps: int = 0,
-        pauses: PauseWatch | None = None,
+        pauses: PauseDetector | None = None,
     ):
-        self._pauses = pauses or PauseWatch()
+        self._pauses = pauses or PauseDetector()
         self._vm = vm
         self._zone = zone
         self._link_mbps = link_mbps
@@ -117,8 +117,8 @@
         self._rng = rng
         self._round = 0
         self._heard_any_peer = False
-        self._broadcast_position = NOTHING_KNOWN
-        self._cached_answer = (float("-inf"), NOTHING_KNOWN, b"")
+        self._broadcast_position = START_POSITION
+        self._cached_answer = (float("-inf"), START_POSITION, b"")
         self._changes_pending = anyio.Event()
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.setblocking(False)
@@ -132,7 +132,7 @@
         """Returns whether this VM watches the directory for its zone."""
         return self._members.is_reader(anyio.current_time())
 
-    def sharers(self) -> tuple[str, list[str]] | None:
+    def allowance_peers(self) -> tuple[str, list[str]] | None:
         """Returns the VMs that share an endpoint's allowance during warm-up.
 
         Returns:
@@ -142,23 +142,23 @@
         return self.sharers_at(anyio.current_time())
 
     def sharers_at(self, now: float) -> tuple[str, list[str]] | None:
-        """Returns `sharers` for a given time.
+        """Returns `allowance_peers` for a given time.
 
         Args:
             now: Time of the event loop's clock in seconds.
         """
         load = self._steering.load
         if load.is_settled(now):
-            mates = self._members.mates
+            peers = self._members.zone_peers
             # A reader hears from all VMs of the zone; other VMs know only
             # those that reports have named.
-            complete = len(mates) + 1 >= load.told_vms(now)
+            complete = len(peers) + 1 >= load.total_vm_count(now)
             stable = now - self._members.joined_at >= MEMBERS_STABLE_S
-            return (self._host, mates) if complete and stable else None
+            return (self._host, peers) if complete and stable else None
         alone = not self._heard_any_peer and self._round >= SOLE_VM_ROUNDS
         return (self._host, []) if alone else None
 
-    def push(self) -> None:
+    def schedule_broadcast(self) -> None:
         """Schedules a broadcast of changes to the other VMs."""
         self._changes_pending.set()
 
@@ -168,15 +168,15 @@
             self.send_reports(anyio.current_time())
             await anyio.sleep(REPORT_INTERVAL_S * self._rng.uniform(0.9, 1.1))
 
-    async def send_news(self) -> None:
-        """Broadcasts changes after each `push` until cancelled."""
+    async def run_broadcasts(self) -> None:
+        """Broadcasts changes when they are scheduled, until cancelled."""
         while True:
             await self._changes_pending.wait()
             self._changes_pending = anyio.Event()
             self.broadcast_changes(anyio.current_time())
             await anyio.sleep(MIN_CHANGES_INTERVAL_S)
 
-    def discard_waiting(self) -> None:
+    def discard_queued(self) -> None:
         """Discards the datagrams that are queued in the socket after a pause.
 
         They were sent before or during the pause. A report states the age of
@@ -208,7 +208,7 @@
                     # The error concerns a datagram sent earlier, to a peer
                     # that no longer listens.
                     continue
-                self.take(datagram, sender[0], now)
+                self.on_datagram(datagram, sender[0], now)
             await anyio.lowlevel.checkpoint()
 
     def send_reports(self, now: float) -> None:
@@ -222,19 +222,19 @@
             targets = [targets[self._round % len(targets)]]
         if self._host in readers:
             targets += self._sample(
-                self._members.unheard(now), MAX_DISCOVERY_TARGETS
+                self._members.not_heard_from(now), MAX_DISCOVERY_TARGETS
             )
         if not self._members.hosts or self._round % DISCOVERY_ROUNDS == 0:
             targets += self._sample(
-                self._members.strangers(), MAX_DISCOVERY_TARGETS
+                self._members.contact_candidates(), MAX_DISCOVERY_TARGETS
             )
-        failures = self._steering.outliers.own(now)
+        failures = self._steering.outliers.own_failures(now)
         ask = self._report(
             Kind.ASK, now, 1, load.report(now), failures=failures
         )
         for host in targets:
             self._send(ask, host)
-            self._members.on_asked(host, now)
+            self._members.on_queried(host, now)
         if self._host in readers:
             self._steering.outliers.eject(now)
             self._report_to_zones(now)
@@ -257,11 +257,11 @@
         report = self._report(
             Kind.CHANGES, now, after=after.revision, changes=changes
         )
-        for host in set(self._members.mates) - set(readers):
+        for host in set(self._members.zone_peers) - set(readers):
             if zlib.crc32(host.encode()) % len(readers) == own:
                 self._send(report, host)
 
-    def take(self, datagram: bytes, host: str, now: float) -> None:
+    def on_datagram(self, datagram: bytes, host: str, now: float) -> None:
         """Handles a datagram from another VM."""
         decoded = reports.decode(datagram)
         if isinstance(decoded, Err):
@@ -273,7 +273,9 @@
         self._heard_any_peer = True
         self._members.on_heard(host, report.zone, now, report.link_mbps)
         for named, link_mbps in report.members.items():
-            self._members.on_named(named, report.members_zone, now, link_mbps)
+            self._members.on_announced(
+                named, report.members_zone, now, link_mbps
+            )
         self._record_load(report, now)
         self._record_down(report, now)
         self._apply_changes(report, host, now)
@@ -295,23 +297,25 @@
         # checks would all stop checking.
         if self._members.is_reader(now):
             for number in report.down:
-                self._steering.doubts.on_reported_down(number, now)
+                self._steering.check_policy.on_peer_reported_down(number, now)
         elif report.kind is Kind.ANSWER and report.zone == self._zone:
             for number in report.down:
-                self._steering.doubts.on_told_down(number, now)
+                self._steering.check_policy.on_reader_reported_down(number, now)
 
     def _record_load(self, report: Report, now: float) -> None:
         load = self._steering.load
         if report.kind is Kind.ANSWER and report.zone == self._zone:
-            load.on_total(
+            load.on_total_report(
                 report.rates, report.vms, now, report.unlisted_rate_bound
             )
-            self._steering.outliers.on_told(report.ejected, now)
+            self._steering.outliers.on_ejections_reported(report.ejected, now)
         elif report.kind is Kind.ZONE:
-            load.on_zone(report.zone, report.rates, report.vms, now)
+            load.on_zone_report(report.zone, report.rates, report.vms, now)
         elif report.kind is Kind.ASK and report.zone == self._zone:
-            load.on_mate(report.vm, report.rates, now)
-            self._steering.outliers.on_mate(report.vm, report.failures, now)
+            load.on_peer_report(report.vm, report.rates, now)
+            self._steering.outliers.on_peer_report(
+                report.vm, report.failures, now
+            )
 
     def _apply_changes(self, report: Report, host: str, now: float) -> None:
         """Applies a report's changes and compares the peer's position."""
@@ -329,7 +333,7 @@
         return same_epoch and position <= self._position
 
     def _answer(self, report: Report, host: str, now: float) -> None:
-        if NOTHING_KNOWN < report.position < self._position:
+        if START_POSITION < report.position < self._position:
             after = report.position
             changes = self._changes(after)
             answer = self._total_report(
@@ -360,7 +364,7 @@
             changes: Encoded changes, empty if none.
         """
         load = self._steering.load
-        vms, rates = load.vms(now), load.gathered(now)
+        vms, rates = load.vms(now), load.sum_of_reports(now)
         ejected = ()
         if zone == self._zone and self._members.is_reader(now):
             ejected = tuple(self._steering.outliers.eject(now))
@@ -418,7 +422,7 @@
             if record.health.down and record.presence is not Presence.GONE
         ]
         named = self._sample(
-            self._members.heard(zone, now), reports.MAX_MEMBERS
+            self._members.heard_from(zone, now), reports.MAX_MEMBERS
         )
         report = Report(
             kind,
--- a/src/pollenmast/entry/_peers.py
+++ b/src/pollenmast/entry/_peers.py
@@ -14,9 +14,9 @@
 from pollenmast.entry._follow import Follower
 from pollenmast.entry._ports import Address
 from pollenmast.events import PEER_TOLD, EventLog
-from pollenmast.steering import NOTHING_KNOWN, Position, Steering
+from pollenmast.steering import START_POSITION, Position, Steering
 
-PATH = "/snapshot"
+SNAPSHOT_PATH = "/snapshot"
 
 OUTAGE_S = 0.7
 """Length of a directory outage, in seconds, from which on peers are asked. In
@@ -69,9 +69,12 @@
     async def run(self) -> None:
         """Asks the seeds during directory outages, until cancelled."""
         while True:
-            lost_at = self._follower.lost_at
+            unavailable_since = self._follower.unavailable_since
             now = anyio.current_time()
-            if lost_at is not None and now - lost_at >= OUTAGE_S:
+            if (
+                unavailable_since is not None
+                and now - unavailable_since >= OUTAGE_S
+            ):
                 await self._ask_all()
             await anyio.sleep(POLL_INTERVAL_S if self._steering.ready else 0.2)
 
@@ -96,9 +99,11 @@
     async def _ask(self, seed: Address) -> None:
         connection = http1.Connection(*seed)
         known = (
-            NOTHING_KNOWN if self._needs_full_state else self._steering.position
+            START_POSITION
+            if self._needs_full_state
+            else self._steering.position
         )
-        target = f"{PATH}?epoch={known.epoch}&after={known.revision}"
+        target = f"{SNAPSHOT_PATH}?epoch={known.epoch}&after={known.revision}"
         try:
             answer = await connection.get(target, TIMEOUTS)
         finally:
@@ -123,11 +128,11 @@
             return
         # If the changes start from a route table that this VM does not have,
         # the next request asks for the complete state.
-        self._needs_full_state = not self._steering.fits(update)
+        self._needs_full_state = not self._steering.can_apply(update)
         self._log.write(
             PEER_TOLD,
             peer=source,
             revision=update.revision,
             epoch=update.epoch,
         )
-        self._follower.take(update, source)
+        self._follower.apply(update, source)
--- a/src/pollenmast/entry/_program.py
+++ b/src/pollenmast/entry/_program.py
@@ -11,15 +11,15 @@
 from pollenmast import http1
 from pollenmast.counters import EJECTIONS
 from pollenmast.entry._boot import Boot, BootComponents
-from pollenmast.entry._checks import Checker
+from pollenmast.entry._checks import HealthChecker
 from pollenmast.entry._follow import Follower
 from pollenmast.entry._gossip import Gossip
 from pollenmast.entry._packets import PacketLoop
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._peers import PeerReader
 from pollenmast.entry._ports import EXIT_FAILED, EXIT_OK, Ports
-from pollenmast.entry._reach import ReachWatch
-from pollenmast.entry._site import Site
+from pollenmast.entry._reach import ZoneProber
+from pollenmast.entry._site import HttpHandler
 from pollenmast.events import (
     ENDPOINT_EJECTED,
     PAUSED,
@@ -66,27 +66,27 @@
         self._log = components.log
         self._rng = components.rng
         self._steering = components.steering
-        self._carrier = components.carrier
-        self._site = Site(
+        self._forwarder = components.forwarder
+        self._site = HttpHandler(
             components.settings.ready_path,
             components.steering,
             components.counters,
             components.histograms,
         )
-        self._pauses = PauseWatch()
+        self._pauses = PauseDetector()
         self._packets = PacketLoop(
-            components.carrier, components.steering, self._pauses
+            components.forwarder, components.steering, self._pauses
         )
-        self._checker = Checker(
+        self._checker = HealthChecker(
             ports.probe,
             self._steering,
-            self._carrier,
+            self._forwarder,
             self._pauses,
             self._counters,
             self._histograms,
             self._log,
         )
-        self._reach_watch = ReachWatch(
+        self._zone_prober = ZoneProber(
             ports.probe,
             self._steering.reach,
             self._pauses,
@@ -126,10 +126,12 @@
             settings.link_mbps,
             self._pauses,
         )
-        self._follower.join(self._gossip.is_reader, self._gossip.push)
-        self._steering.doubts.join(self._gossip.is_reader)
-        self._steering.outliers.notify(self._on_ejected)
-        self._steering.cold_limit.join(self._gossip.sharers)
+        self._follower.divide_watching(
+            self._gossip.is_reader, self._gossip.schedule_broadcast
+        )
+        self._steering.check_policy.set_is_reader(self._gossip.is_reader)
+        self._steering.outliers.set_on_ejected(self._on_ejected)
+        self._steering.cold_limit.set_sharers(self._gossip.allowance_peers)
 
     async def run(self) -> int:
         """Runs until it is stopped; returns the exit code."""
@@ -142,15 +144,15 @@
                 tasks.start_soon(self._peers.run)
                 tasks.start_soon(self._peers.catch_up)
                 tasks.start_soon(self._gossip.send)
-                tasks.start_soon(self._gossip.send_news)
+                tasks.start_soon(self._gossip.run_broadcasts)
                 tasks.start_soon(self._gossip.receive)
                 tasks.start_soon(self._checker.run)
-                tasks.start_soon(self._reach_watch.run)
+                tasks.start_soon(self._zone_prober.run)
                 tasks.start_soon(self._pauses.run)
                 tasks.start_soon(self._run_maintenance)
                 await self._handle_signals(received)
                 tasks.cancel_scope.cancel()
-        self._carrier.close()
+        self._forwarder.close()
         self._gossip.close()
         self._log.write(STOPPED, flows=len(self._steering.flows))
         self._log.flush()
@@ -220,15 +222,15 @@
     def _on_pause(self, gap_s: float) -> None:
         self._log.write(PAUSED, gap_s=round(gap_s, 3))
         self._steering.on_pause(gap_s)
-        self._carrier.skip_syns()
-        self._gossip.discard_waiting()
+        self._forwarder.drop_queued_syns()
+        self._gossip.discard_queued()
         self._follower.refresh()
 
     async def _run_maintenance(self) -> None:
         while True:
             await anyio.sleep(MAINTENANCE_INTERVAL_S)
             self._steering.tick(anyio.current_time())
-            self._follower.settle()
+            self._follower.adopt_restored_state()
             self._stream.flush()
 
 
--- a/src/pollenmast/entry/_reach.py
+++ b/src/pollenmast/entry/_reach.py
@@ -3,7 +3,7 @@
 import anyio
 
 from pollenmast.counters import CHECKS, PROBES, CheckReason, Counters
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._ports import HealthProbe
 from pollenmast.events import ZONES_REACHED, ZONES_UNREACHED, EventLog
 from pollenmast.steering import Reach, Record
@@ -12,14 +12,14 @@
 """Seconds between two rounds of probes."""
 
 
-class ReachWatch:
+class ZoneProber:
     """Connects to the endpoints that `steering.Reach` selects."""
 
     def __init__(
         self,
         probe: HealthProbe,
         reach: Reach,
-        pauses: PauseWatch,
+        pauses: PauseDetector,
         counters: Counters,
         log: EventLog,
     ):
--- a/src/pollenmast/entry/_site.py
+++ b/src/pollenmast/entry/_site.py
@@ -11,7 +11,7 @@
 from pollenmast.entry import _peers as peers
 from pollenmast.entry import _snapshot as snapshot
 from pollenmast.http1 import Answer, Request
-from pollenmast.steering import NOTHING_KNOWN, Position, Steering
+from pollenmast.steering import START_POSITION, Position, Steering
 
 METRICS_PATH = "/metrics"
 
@@ -26,7 +26,7 @@
 _NO_CONTENT = Answer(204)
 
 
-class Site:
+class HttpHandler:
     """Handles the HTTP requests to one VM."""
 
     def __init__(
@@ -41,7 +41,7 @@
         self._counters = counters
         self._histograms = histograms
         self._stopping = False
-        self._snapshot_cache = (NOTHING_KNOWN, dict[Position, bytes]())
+        self._snapshot_cache = (START_POSITION, dict[Position, bytes]())
 
     def stop(self) -> None:
         """Reports the VM as not ready from now on, as it shuts down."""
@@ -52,7 +52,7 @@
         url = urllib.parse.urlsplit(request.target)
         if url.path == self._ready_path:
             return self._readiness()
-        if url.path == peers.PATH:
+        if url.path == peers.SNAPSHOT_PATH:
             return self._snapshot(url.query)
         if url.path == METRICS_PATH:
             return self._metrics()
--- a/src/pollenmast/entry/_snapshot.py
+++ b/src/pollenmast/entry/_snapshot.py
@@ -15,20 +15,20 @@
 from result import Err, Ok, Result
 
 from pollenmast.steering import (
-    NOTHING_KNOWN,
+    START_POSITION,
     Change,
     Endpoint,
     EndpointAnnounced,
     EndpointRemoved,
     Position,
     Route,
-    RoutesChanged,
+    RoutesDelta,
     RoutesPublished,
     RouteTable,
-    Split,
     Steering,
     Update,
     Warmup,
+    WeightedService,
     ZoneDrained,
     ZoneRestored,
 )
@@ -37,7 +37,7 @@
 """Version of this format. Data in another version is rejected, and the VM asks
 the directory instead."""
 
-MOST_BYTES = 8 << 20
+MAX_DECODED_BYTES = 8 << 20
 """Maximum size of a decompressed body: four times what 11,000 endpoints and
 2,500 routes take, and little compared with the memory of a VM."""
 
@@ -49,7 +49,7 @@
 _DRAINED, _RESTORED = 5, 6
 
 
-def encode(steering: Steering, after: Position = NOTHING_KNOWN) -> bytes:
+def encode(steering: Steering, after: Position = START_POSITION) -> bytes:
     """Encodes the changes after a position.
 
     Args:
@@ -60,11 +60,11 @@
         The changes, or the whole state where some of them are no longer known.
     """
     changes = changes_since(steering, after)
-    whole = changes is None
+    complete = changes is None
     if changes is None:
         changes = _full_state(steering)
     epoch, revision = attrs.astuple(steering.position)
-    body = (FORMAT, epoch, revision, whole, [_pack(c) for c in changes])
+    body = (FORMAT, epoch, revision, complete, [_pack(c) for c in changes])
     return zlib.compress(msgpack.packb(body), _COMPRESSION_LEVEL)
 
 
@@ -81,16 +81,16 @@
     """Returns the update that a peer has sent, or why it cannot be decoded."""
     try:
         inflater = zlib.decompressobj()
-        body = inflater.decompress(data, MOST_BYTES)
+        body = inflater.decompress(data, MAX_DECODED_BYTES)
         if not inflater.eof:
             return Err("truncated, or too long when inflated")
-        version, epoch, revision, whole, changes = msgpack.unpackb(body)
+        version, epoch, revision, complete, changes = msgpack.unpackb(body)
         if version != FORMAT or not _are_non_negative_ints(epoch, revision):
             return Err(
                 f"unsupported format or invalid position: format {version!r}"
             )
         unpacked = tuple(_unpack(*each) for each in changes)
-        return Ok(Update(unpacked, revision, whole is True, epoch=epoch))
+        return Ok(Update(unpacked, revision, complete is True, epoch=epoch))
     except (
         ValueError,
         TypeError,
@@ -126,7 +126,7 @@
         return _ANNOUNCED, change.revision, fields
     if isinstance(change, EndpointRemoved):
         return _REMOVED, change.revision, change.name
-    if isinstance(change, RoutesChanged):
+    if isinstance(change, RoutesDelta):
         *fields, _, revision = attrs.astuple(change)
         fields.append(_pack_warmups(change.warmups))
         return _ROUTES_CHANGED, revision, fields
@@ -173,12 +173,12 @@
     idle_timeout_s: float,
     warmups: dict[str, Any],
     revision: int,
-) -> RoutesChanged:
+) -> RoutesDelta:
     if not isinstance(base, int) or not isinstance(version, int):
         raise ValueError("version is not an integer")
     removed_addresses = tuple((str(host), int(port)) for host, port in removed)
     changed = tuple(_unpack_route(*each) for each in routes)
-    return RoutesChanged(
+    return RoutesDelta(
         base,
         version,
         changed,
@@ -224,4 +224,6 @@
 def _unpack_route(
     name: str, host: str, port: int, splits: list[Any], idempotent: bool
 ) -> Route:
-    return Route(name, host, port, tuple(Split(*s) for s in splits), idempotent)
+    return Route(
+        name, host, port, tuple(WeightedService(*s) for s in splits), idempotent
+    )
--- a/src/pollenmast/steering/__init__.py
+++ b/src/pollenmast/steering/__init__.py
@@ -2,13 +2,13 @@
 
 from pollenmast.steering._catalog import Catalog
 from pollenmast.steering._changes import (
-    NOTHING_KNOWN,
+    START_POSITION,
     Change,
     Directory,
     DirectoryFault,
     EndpointAnnounced,
     EndpointRemoved,
-    RoutesChanged,
+    RoutesDelta,
     RoutesPublished,
     Update,
     ZoneDrained,
@@ -18,7 +18,7 @@
 from pollenmast.steering._core import Applied, Steering
 from pollenmast.steering._drains import Drains
 from pollenmast.steering._health import CheckResult, Health
-from pollenmast.steering._load import LoadBook, Rates
+from pollenmast.steering._load import EndpointLoads, Rates
 from pollenmast.steering._members import Members
 from pollenmast.steering._model import (
     Endpoint,
@@ -26,8 +26,8 @@
     Route,
     RouteTable,
     Segment,
-    Split,
     Warmup,
+    WeightedService,
 )
 from pollenmast.steering._outcomes import Drop, Forward, Outcome, Reset
 from pollenmast.steering._outliers import Failures, Outliers
@@ -36,7 +36,7 @@
 from pollenmast.steering._record import Presence, Record
 
 __all__ = [
-    "NOTHING_KNOWN",
+    "START_POSITION",
     "Applied",
     "Catalog",
     "Change",
@@ -54,7 +54,7 @@
     "FlowKey",
     "Forward",
     "Health",
-    "LoadBook",
+    "EndpointLoads",
     "Members",
     "Outcome",
     "Outliers",
@@ -66,10 +66,10 @@
     "Reset",
     "Route",
     "RouteTable",
-    "RoutesChanged",
+    "RoutesDelta",
     "RoutesPublished",
     "Segment",
-    "Split",
+    "WeightedService",
     "Steering",
     "Update",
     "Warmup",
--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -7,7 +7,7 @@
 
 A removed entry is therefore first marked as lapsed. A lapsed endpoint keeps
 its open flows and gets new ones only if no other endpoint can take them. If
-the entry is still missing after `LAPSE_S` and a health check confirms the
+the entry is still missing after `LAPSE_GRACE_PERIOD_S` and a health check confirms the
 loss, the endpoint is gone; only then are its flows ended.
 """
 
@@ -29,12 +29,12 @@
 from pollenmast.steering._record import Presence, Record
 from pollenmast.steering._watchlist import Watchlist
 
-LAPSE_S = 2.3
+LAPSE_GRACE_PERIOD_S = 2.3
 """Grace period for the return of a removed entry, in seconds. The directory
 restores lost entries within about two seconds, and new flows may reach an
 endpoint that is leaving for at most three."""
 
-FORGET_S = 90.0
+GONE_RETENTION_S = 90.0
 """How long an endpoint that is gone is kept, in seconds, so that the tokens of
 its flows can still be resolved. Flows last at most one minute."""
 
@@ -107,7 +107,7 @@
         counting that time would needlessly leave a service without endpoints.
         """
         if record.presence is Presence.LAPSED:
-            return self._confirmed_at - record.lapsed_at >= LAPSE_S
+            return self._confirmed_at - record.lapsed_at >= LAPSE_GRACE_PERIOD_S
         return record.presence is Presence.GONE
 
     def is_drained(self, record: Record) -> bool:
@@ -138,7 +138,7 @@
                 changed += self._announce(change, now)
             elif isinstance(change, EndpointRemoved):
                 changed += self._remove(change.name, change.revision, now)
-        if update.whole:
+        if update.complete:
             for name, record in list(self._records.items()):
                 if name not in listed and record.revision <= update.revision:
                     changed += self._remove(name, update.revision, now)
@@ -155,7 +155,9 @@
             record.revision = EARLIER_EPOCH_REVISION
             record.listed = None
 
-    def settle(self, now: float) -> tuple[list[Record], list[ZoneRestored]]:
+    def adopt_restored_state(
+        self, now: float
+    ) -> tuple[list[Record], list[ZoneRestored]]:
         """Adopts the state of a restored directory after `RESTORE_SETTLE_S`.
 
         Until then the state of the earlier epoch takes precedence where the
@@ -170,9 +172,9 @@
         listed = [r for r in self._records.values() if r.listed is not None]
         for record in listed:
             self._mark_listed(record, record.listed, now)
-        return listed, self._drains.settle()
+        return listed, self._drains.adopt_restored_state()
 
-    def cool(
+    def mark_cold(
         self,
         zones: Iterable[ZoneDrained | ZoneRestored],
         warmups: dict[str, Warmup],
@@ -189,12 +191,12 @@
             if record.endpoint.zone in restored and warmup is not None:
                 record.cold_until = now + warmup.duration_s
 
-    def extend_lapses(self, now: float) -> None:
+    def restart_grace_periods(self, now: float) -> None:
         """Restarts every grace period: the directory has just returned."""
         for record in self._still_lapsed():
             record.lapsed_at = now
 
-    def overdue(self) -> list[Record]:
+    def expired_lapses(self) -> list[Record]:
         """Returns the lapsed endpoints whose grace period has passed."""
         return [r for r in self._still_lapsed() if self.is_missing(r)]
 
@@ -207,10 +209,10 @@
         return list(self._lapsed.values())
 
     def expire(self, now: float) -> None:
-        """Removes endpoints whose entries have been missing for `FORGET_S`."""
+        """Removes endpoints whose entries have been missing for `GONE_RETENTION_S`."""
         for name, record in list(self._records.items()):
             missing = self.is_missing(record)
-            if missing and now - record.lapsed_at >= FORGET_S:
+            if missing and now - record.lapsed_at >= GONE_RETENTION_S:
                 del self._records[name]
                 self._lapsed.pop(name, None)
                 del self._by_number[record.endpoint.number]
@@ -221,7 +223,9 @@
         record = self._records.get(endpoint.name)
         if record is None:
             record = Record(endpoint, change.revision, now)
-            record.health.notify(functools.partial(self._watchlist.add, record))
+            record.health.set_on_schedule(
+                functools.partial(self._watchlist.add, record)
+            )
             self._records[endpoint.name] = record
             self._by_number[endpoint.number] = record
             same_token = self._by_token.setdefault(endpoint.token, [])
--- a/src/pollenmast/steering/_changes.py
+++ b/src/pollenmast/steering/_changes.py
@@ -9,7 +9,7 @@
 from pollenmast.steering._model import Endpoint, Route, RouteTable, Warmup
 from pollenmast.steering._position import Position
 
-NOTHING_KNOWN = Position()
+START_POSITION = Position()
 """The position before the first answer."""
 
 
@@ -72,7 +72,7 @@
 
 
 @attrs.frozen
-class RoutesChanged:
+class RoutesDelta:
     """A published configuration as the difference from its predecessor.
 
     Load pattern: a configuration of hundreds of routes is published many
@@ -103,7 +103,7 @@
     @classmethod
     def between(
         cls, old: RouteTable, new: RouteTable, revision: int
-    ) -> "RoutesChanged":
+    ) -> "RoutesDelta":
         """Returns the difference that turns `old` into `new`."""
         changed = tuple(
             route
@@ -168,7 +168,7 @@
     EndpointAnnounced
     | EndpointRemoved
     | RoutesPublished
-    | RoutesChanged
+    | RoutesDelta
     | ZoneDrained
     | ZoneRestored
 )
@@ -181,7 +181,7 @@
     Attributes:
         changes: Changes, oldest first.
         revision: The revision up to which the answer is complete.
-        whole: Whether this is a complete listing, so that anything not in it
+        complete: Whether this is a complete listing, so that anything not in it
             no longer exists.
         refused: Descriptions of the entries and configurations that could not
             be parsed.
@@ -195,7 +195,7 @@
 
     changes: tuple[Change, ...]
     revision: int
-    whole: bool = False
+    complete: bool = False
     refused: tuple[str, ...] = ()
     unclear_zones: tuple[str, ...] = ()
     all_drains: bool = False
@@ -212,7 +212,7 @@
 
     @abc.abstractmethod
     async def read(
-        self, known: Position = NOTHING_KNOWN
+        self, known: Position = START_POSITION
     ) -> Result[Update, DirectoryFault]:
         """Returns a complete listing.
 
--- a/src/pollenmast/steering/_check_policy.py
+++ b/src/pollenmast/steering/_check_policy.py
@@ -26,7 +26,7 @@
         self._flows = flows
         self._is_reader: Callable[[], bool] = _always
 
-    def join(self, is_reader: Callable[[], bool]) -> None:
+    def set_is_reader(self, is_reader: Callable[[], bool]) -> None:
         """Shares the checks with the other VMs of the zone.
 
         Args:
@@ -37,14 +37,14 @@
     def on_lapsed(self, records: list[Record], now: float) -> None:
         """Schedules checks of endpoints whose directory entries disappeared."""
         for record in self._to_check(records):
-            record.health.ask(now, CheckReason.LAPSED)
+            record.health.request_check(now, CheckReason.LAPSED)
 
     def schedule_overdue(self, now: float) -> None:
         """Schedules checks of endpoints whose entries did not come back."""
-        for record in self._to_check(self._catalog.overdue()):
-            record.health.ask_unless_recent(now, CheckReason.MISSING)
+        for record in self._to_check(self._catalog.expired_lapses()):
+            record.health.request_check_unless_recent(now, CheckReason.MISSING)
 
-    def on_reported_down(self, number: int, now: float) -> None:
+    def on_peer_reported_down(self, number: int, now: float) -> None:
         """Handles another VM's report to this reader that an endpoint is down.
 
         The endpoint is checked first. If the report were believed without a
@@ -54,9 +54,9 @@
         record = self._catalog.by_number(number)
         if record is None or record.health.down or self._is_unused(record):
             return
-        record.health.ask(now, CheckReason.REPORTED)
+        record.health.request_check(now, CheckReason.REPORTED)
 
-    def on_told_down(self, number: int, now: float) -> None:
+    def on_reader_reported_down(self, number: int, now: float) -> None:
         """Handles a report by this zone's reader that an endpoint is down.
 
         The reader has checked the endpoint itself, so new flows are kept away.
@@ -71,7 +71,7 @@
             return
         record.health.avoid(now)
         if self._flows.count(record.endpoint.name):
-            record.health.ask_unless_recent(now, CheckReason.TOLD)
+            record.health.request_check_unless_recent(now, CheckReason.TOLD)
 
     def cancel_if_unused(self, record: Record) -> bool:
         """Cancels a check that nobody needs; returns whether it did.
@@ -90,9 +90,9 @@
         This VM may not have checked the flow's endpoint yet.
         """
         if record.presence is Presence.LAPSED:
-            record.health.ask_unless_recent(now, CheckReason.LAPSED)
+            record.health.request_check_unless_recent(now, CheckReason.LAPSED)
         elif record.health.is_avoided(now):
-            record.health.ask_unless_recent(now, CheckReason.TOLD)
+            record.health.request_check_unless_recent(now, CheckReason.TOLD)
 
     def controls(self, but: Record, most: int) -> list[Record]:
         """Returns endpoints to check for comparison with an unresponsive one.
--- a/src/pollenmast/steering/_core.py
+++ b/src/pollenmast/steering/_core.py
@@ -28,16 +28,20 @@
 from pollenmast.steering._cold_limit import ColdAllowance, ColdLimit
 from pollenmast.steering._flows import MIN_RETRANSMIT_S, FlowTable
 from pollenmast.steering._health import CheckResult
-from pollenmast.steering._journal import Journal
-from pollenmast.steering._load import LoadBook
+from pollenmast.steering._journal import ChangeLog
+from pollenmast.steering._load import EndpointLoads
 from pollenmast.steering._model import FlowKey, Route, RouteTable, Segment
 from pollenmast.steering._outcomes import Drop, Forward, Outcome, Reset
 from pollenmast.steering._outliers import Outliers
-from pollenmast.steering._placement import Placed, Placement, Unplaced
+from pollenmast.steering._placement import (
+    EndpointSelector,
+    Placement,
+    PlacementFailure,
+)
 from pollenmast.steering._position import Position
 from pollenmast.steering._reach import Reach
 from pollenmast.steering._record import Presence, Record
-from pollenmast.steering._routes import RouteBook
+from pollenmast.steering._routes import ActiveRoutes
 from pollenmast.steering._traffic_observer import TrafficObserver
 
 MAX_VIEW_AGE_S = 2.5
@@ -84,7 +88,7 @@
         self._catalog = Catalog()
         self._flows = FlowTable()
         self._check_policy = CheckPolicy(self._catalog, self._flows)
-        self._load = LoadBook(zone)
+        self._load = EndpointLoads(zone)
         self._cold_limit = ColdLimit(zone, allowance)
         self._outliers = Outliers(self._catalog)
         self._observer = TrafficObserver(
@@ -95,11 +99,11 @@
             histograms or Histograms(),
         )
         self._reach = Reach(zone, self._catalog)
-        self._placement = Placement(
+        self._selector = EndpointSelector(
             zone, self._catalog, self._load, rng, self._cold_limit
         )
-        self._journal = Journal()
-        self._routes = RouteBook()
+        self._journal = ChangeLog()
+        self._routes = ActiveRoutes()
         self._position = Position()
         self._confirmed_at = float("-inf")
         self._returned_at = float("-inf")
@@ -115,12 +119,12 @@
         return self._flows
 
     @property
-    def doubts(self) -> CheckPolicy:
+    def check_policy(self) -> CheckPolicy:
         """The policy that selects the endpoints this VM health-checks."""
         return self._check_policy
 
     @property
-    def load(self) -> LoadBook:
+    def load(self) -> EndpointLoads:
         """The load of the endpoints."""
         return self._load
 
@@ -140,7 +144,7 @@
         return self._reach
 
     @property
-    def journal(self) -> Journal:
+    def journal(self) -> ChangeLog:
         """The most recent changes."""
         return self._journal
 
@@ -194,20 +198,20 @@
         self._confirmed_at -= gap_s
         self._catalog.confirm(self._confirmed_at)
 
-    def on_return(self, now: float) -> None:
+    def on_directory_return(self, now: float) -> None:
         """Handles the return of the directory after an outage."""
         self._returned_at = now
-        self._catalog.extend_lapses(now)
+        self._catalog.restart_grace_periods(now)
 
-    def fits(self, update: Update) -> bool:
+    def can_apply(self, update: Update) -> bool:
         """Whether an update can be applied to this VM's current view.
 
         An update of another epoch is accepted only if it is a complete list and
         its epoch is later than the current one.
         """
         if update.epoch != self._position.epoch:
-            return update.whole and update.epoch > self._position.epoch
-        return self._routes.fits(update.changes)
+            return update.complete and update.epoch > self._position.epoch
+        return self._routes.can_apply(update.changes)
 
     def apply(self, update: Update, now: float) -> Applied:
         """Applies an update from the directory or from a peer.
@@ -215,16 +219,16 @@
         Returns:
             What changed; nothing if the update does not fit the current view.
         """
-        if not self.fits(update):
+        if not self.can_apply(update):
             return Applied([], None)
         if update.epoch > self._position.epoch:
             self._catalog.begin_epoch(now)
         before = self.table
-        changes = [self._routes.take(change) for change in update.changes]
+        changes = [self._routes.apply(change) for change in update.changes]
         zones = self._catalog.drains.apply(update)
         table = self.table if self.table is not before else None
         if table is not None:
-            self._placement.set_warmups(table.warmups)
+            self._selector.set_warmups(table.warmups)
         self._mark_cold(zones, now)
         records = self._catalog.apply(update, now)
         lapsed = [r for r in records if r.presence is Presence.LAPSED]
@@ -232,17 +236,17 @@
         if update.position > self._position:
             implied = [zone for zone in zones if zone not in update.changes]
             applied = tuple(c for c in (*changes, *implied) if c is not None)
-            effective = Update(applied, update.revision, update.whole)
+            effective = Update(applied, update.revision, update.complete)
             self._journal.add(effective, self._position.revision)
             self._position = update.position
         return Applied(records, table, zones)
 
-    def settle(self, now: float) -> Applied:
+    def adopt_restored_state(self, now: float) -> Applied:
         """Applies a restored directory's entries once its writers had time.
 
-        See `Catalog.settle`.
+        See `Catalog.adopt_restored_state`.
         """
-        records, zones = self._catalog.settle(now)
+        records, zones = self._catalog.adopt_restored_state(now)
         self._mark_cold(zones, now)
         return Applied(records, None, list(zones))
 
@@ -275,7 +279,7 @@
     def due_checks(self, now: float) -> list[Record]:
         """Returns the endpoints to health-check now."""
         self._check_policy.schedule_overdue(now)
-        due = self._catalog.watchlist.look(now)
+        due = self._catalog.watchlist.evaluate(now)
         return [
             record
             for record in due
@@ -294,7 +298,7 @@
         self, zones: Sequence[ZoneDrained | ZoneRestored], now: float
     ) -> None:
         if self.table is not None:
-            self._catalog.cool(zones, self.table.warmups, now)
+            self._catalog.mark_cold(zones, self.table.warmups, now)
 
     def _decide(self, segment: Segment, now: float) -> Outcome:
         if segment.syn:
@@ -334,9 +338,9 @@
             return Drop(DropReason.DUPLICATE_SYN)
         for name in tried[-1:]:
             self._on_syn_repeated(name, now)
-        self._catalog.watchlist.look(now)
+        self._catalog.watchlist.evaluate(now)
         placed = self._place(route, segment.flow, tried, now)
-        if placed is None or isinstance(placed, Unplaced):
+        if placed is None or isinstance(placed, PlacementFailure):
             return self._refuse(segment, placed, now)
         endpoint = placed.record.endpoint
         flow = self._flows.bind(segment.flow, endpoint.name, now)
@@ -344,17 +348,17 @@
         flow.opened = False
         flow.syn_sent_at = now
         placed.record.health.on_syn(segment.flow, now)
-        self._placement.on_opened(placed.record, now)
+        self._selector.on_opened(placed.record, now)
         # Count the flow now rather than with its first request: otherwise
         # flows that arrive together would all pick the same endpoint as the
         # least loaded.
-        self._load.on_work(endpoint.number, now)
+        self._load.on_request(endpoint.number, now)
         self._counters.add(c.PLACEMENTS, placed.reason)
         return Forward(endpoint, placed.reason)
 
     def _place(
         self, route: Route, flow: FlowKey, tried: tuple[str, ...], now: float
-    ) -> Placed | Unplaced | None:
+    ) -> Placement | PlacementFailure | None:
         """Returns an endpoint of the route's first service that has one.
 
         Returns:
@@ -363,18 +367,18 @@
         """
         first = None
         for service in route.services(flow.digest):
-            placed = self._placement.choose(service, tried, now)
-            if isinstance(placed, Placed):
+            placed = self._selector.choose(service, tried, now)
+            if isinstance(placed, Placement):
                 return placed
             first = first or placed
         return first
 
     def _refuse(
-        self, segment: Segment, reason: Unplaced | None, now: float
+        self, segment: Segment, reason: PlacementFailure | None, now: float
     ) -> Outcome:
-        if reason is Unplaced.ZONE_DRAINED:
+        if reason is PlacementFailure.ZONE_DRAINED:
             return self._reset(segment, ResetReason.ZONE_DRAINED)
-        if reason is Unplaced.WARMING_UP:
+        if reason is PlacementFailure.WARMING_UP:
             return self._reset(segment, ResetReason.WARMING_UP)
         current = self.age_s(now) < MAX_VIEW_AGE_S
         settled = now - self._returned_at >= DIRECTORY_SETTLE_S
--- a/src/pollenmast/steering/_health.py
+++ b/src/pollenmast/steering/_health.py
@@ -35,7 +35,7 @@
 a busy endpoint causes no check.
 """
 
-FAILED_CHECKS = 3
+FAILURE_THRESHOLD = 3
 """Consecutive unanswered health checks after which an endpoint is down. On a
 link that loses a twentieth of its packets one check in ten fails, and three in
 a row one time in a thousand."""
@@ -128,8 +128,8 @@
         self._on_schedule: Callable[[], None] = _nothing
 
     @property
-    def look_at(self) -> float:
-        """When `look` or a check is next due, infinite if none is."""
+    def next_due_at(self) -> float:
+        """When `evaluate` or a check is next due, infinite if none is."""
         if self._check_at is not None:
             return self._check_at
         at = math.inf
@@ -165,8 +165,8 @@
         """When it last showed that it is alive, in seconds."""
         return self._last_alive_at
 
-    def notify(self, on_schedule: Callable[[], None]) -> None:
-        """Sets the callback for when `look_at` may have become earlier."""
+    def set_on_schedule(self, on_schedule: Callable[[], None]) -> None:
+        """Sets the callback for when `next_due_at` may have become earlier."""
         self._on_schedule = on_schedule
 
     def on_syn(self, flow: FlowKey, now: float) -> None:
@@ -194,7 +194,7 @@
             )
             self._on_schedule()
 
-    def look(self, now: float) -> None:
+    def evaluate(self, now: float) -> None:
         """Schedules a check if the endpoint has been silent for too long."""
         reason = None
         if self._syn_timed_out(now):
@@ -202,7 +202,7 @@
         elif self._request_timed_out(now):
             reason = CheckReason.SILENT
         if reason is not None and now - self._answered_at >= ANSWER_VALID_S:
-            self.ask(now, reason)
+            self.request_check(now, reason)
 
     def _syn_timed_out(self, now: float) -> bool:
         oldest = next(iter(self._pending_syns.values()), now)
@@ -224,7 +224,7 @@
         self._request_at = None
         return True
 
-    def on_advance(self, now: float) -> None:
+    def on_progress(self, now: float) -> None:
         """Handles progress of a client, which shows that the endpoint is alive.
 
         When every endpoint of a service is down, new flows still try one. The
@@ -250,15 +250,17 @@
         ):
             self._schedule_check(now, CheckReason.REPEATED)
 
-    def ask(self, now: float, reason: CheckReason) -> None:
+    def request_check(self, now: float, reason: CheckReason) -> None:
         """Schedules a check now, regardless of the traffic seen."""
         if self._check_at is None:
             self._schedule_check(now, reason)
 
-    def ask_unless_recent(self, now: float, reason: CheckReason) -> None:
+    def request_check_unless_recent(
+        self, now: float, reason: CheckReason
+    ) -> None:
         """Schedules a check unless one was answered recently."""
         if now - self._answered_at >= RECHECK_MAX_S:
-            self.ask(now, reason)
+            self.request_check(now, reason)
 
     def forget(self) -> None:
         """Marks the endpoint as up and cancels its check.
@@ -294,7 +296,7 @@
         """Whether another VM recently reported the endpoint down."""
         return now < self._reported_down_until
 
-    def is_sure(self, now: float) -> bool:
+    def accepts_new_flows(self, now: float) -> bool:
         """Whether nothing speaks against placing new flows here."""
         return not self.check_pending and not self.is_avoided(now)
 
@@ -310,7 +312,7 @@
         self._failed_checks += 1
         if (
             result not in _CONCLUSIVE_FAILURES
-            and self._failed_checks < FAILED_CHECKS
+            and self._failed_checks < FAILURE_THRESHOLD
         ):
             self._schedule_check(now, CheckReason.UNANSWERED)
             return False
--- a/src/pollenmast/steering/_journal.py
+++ b/src/pollenmast/steering/_journal.py
@@ -4,12 +4,12 @@
 
 from pollenmast.steering._changes import Change, Update
 
-MOST_CHANGES = 256
+MAX_CHANGES = 256
 """The number of changes kept: some minutes of usual operation, or one second
 of a large release. A peer further behind is sent a complete listing."""
 
 
-class Journal:
+class ChangeLog:
     """The most recent changes in order of revision, without gaps."""
 
     def __init__(self):
@@ -20,13 +20,13 @@
         """Appends the changes of an update.
 
         The first update and each complete listing leave a gap in the sequence
-        of changes, so the journal starts anew after them.
+        of changes, so the log starts anew after them.
 
         Args:
             update: An update from the directory or a peer.
             known: The revision known before; changes up to it are left out.
         """
-        starts_anew = self._complete_after is None or update.whole
+        starts_anew = self._complete_after is None or update.complete
         if starts_anew:
             self._changes.clear()
             self._complete_after = update.revision
@@ -34,14 +34,14 @@
         self._changes.extend(
             change for change in update.changes if change.revision > known
         )
-        while len(self._changes) > MOST_CHANGES:
+        while len(self._changes) > MAX_CHANGES:
             self._complete_after = self._changes.popleft().revision
 
     def since(self, revision: int) -> tuple[Change, ...] | None:
         """Returns all changes after a revision.
 
         Returns:
-            The changes, None if the journal no longer holds all of them.
+            The changes, None if the log no longer holds all of them.
         """
         if self._complete_after is None or revision < self._complete_after:
             return None
--- a/src/pollenmast/steering/_load.py
+++ b/src/pollenmast/steering/_load.py
@@ -23,7 +23,7 @@
 """Length in seconds of the window in which requests are counted: long enough
 for a steady count, short enough to follow flows that move within seconds."""
 
-REPORT_LIFE_S = 4.0
+REPORT_MAX_AGE_S = 4.0
 """Age in seconds after which a report no longer counts; eight newer reports
 have then been missed."""
 
@@ -60,7 +60,7 @@
         return self.at - other.at >= PREFER_LARGER_SUM_S
 
 
-class LoadBook:
+class EndpointLoads:
     """One VM's view of the load of all endpoints."""
 
     def __init__(self, zone: str):
@@ -74,7 +74,7 @@
         self._receiving_since = float("-inf")
         self._last_received_at = float("-inf")
 
-    def on_work(self, endpoint: int, now: float) -> None:
+    def on_request(self, endpoint: int, now: float) -> None:
         """Counts a request, or a new flow, that this VM sent to an endpoint."""
         self._meters.setdefault(endpoint, Meter(WINDOW_S)).add(now)
 
@@ -82,19 +82,21 @@
         """Counts a late request that this VM had sent to an endpoint."""
         self._late_meters.setdefault(endpoint, Meter(LATE_WINDOW_S)).add(now)
 
-    def on_mate(self, vm: str, rates: Rates, now: float) -> None:
+    def on_peer_report(self, vm: str, rates: Rates, now: float) -> None:
         """Handles a report by a VM of the same zone of what it sends."""
         self._on_report_received(now)
         self._peer_reports[vm] = _Report(now, rates)
 
-    def on_zone(self, zone: str, rates: Rates, vms: int, now: float) -> None:
+    def on_zone_report(
+        self, zone: str, rates: Rates, vms: int, now: float
+    ) -> None:
         """Handles a report by another zone's reader of what its VMs send."""
         self._on_report_received(now)
         report = _Report(now, rates, vms)
         if report.replaces(self._zone_reports.get(zone)):
             self._zone_reports[zone] = report
 
-    def on_total(
+    def on_total_report(
         self, rates: Rates, vms: int, now: float, floor: float = 0.0
     ) -> None:
         """Handles a report by this zone's reader of what all VMs send.
@@ -116,10 +118,10 @@
 
     def report(self, now: float) -> Rates:
         """Returns what this VM sends, for its report to a reader."""
-        self._own_report = self.own(now)
+        self._own_report = self.own_rates(now)
         return self._own_report
 
-    def own(self, now: float) -> Rates:
+    def own_rates(self, now: float) -> Rates:
         """Returns what this VM sends; idle endpoints are left out."""
         rates = _meter_rates(self._meters, 1.0 / WINDOW_S, now)
         late = _meter_rates(self._late_meters, LATE_RATE, now)
@@ -128,14 +130,14 @@
     def zone(self, now: float) -> Rates:
         """Returns what this zone's VMs send."""
         return _sum_rates(
-            [self.own(now), *_fresh_rates(self._peer_reports, now)]
+            [self.own_rates(now), *_fresh_rates(self._peer_reports, now)]
         )
 
     def vms(self, now: float) -> int:
         """Returns how many of the zone's VMs this VM's own sum covers."""
         return len(_fresh_rates(self._peer_reports, now)) + 1
 
-    def gathered(self, now: float) -> Rates:
+    def sum_of_reports(self, now: float) -> Rates:
         """Returns what all VMs send, from the reports received here.
 
         Only this is passed on. If two VMs reported to each other the totals
@@ -154,12 +156,12 @@
         others idle and place most flows there; a cut between zones would then
         break them.
         """
-        if now - self._last_received_at > REPORT_LIFE_S:
+        if now - self._last_received_at > REPORT_MAX_AGE_S:
             return False
         return now - self._receiving_since >= ZONES_SETTLE_S
 
     def _on_report_received(self, now: float) -> None:
-        if now - self._last_received_at > REPORT_LIFE_S:
+        if now - self._last_received_at > REPORT_MAX_AGE_S:
             self._receiving_since = now
         self._last_received_at = now
 
@@ -172,7 +174,7 @@
         most of the time of a placement.
         """
         own = self.own_rate(endpoint, now)
-        if self.told_vms(now) <= self.vms(now):
+        if self.total_vm_count(now) <= self.vms(now):
             reports = [
                 *_fresh_rates(self._peer_reports, now),
                 *_fresh_rates(self._zone_reports, now),
@@ -191,14 +193,14 @@
         rate = meter.count(now) / WINDOW_S if meter is not None else 0.0
         return rate + (LATE_RATE * late.count(now) if late is not None else 0.0)
 
-    def told_vms(self, now: float) -> int:
+    def total_vm_count(self, now: float) -> int:
         """Returns how many of the zone's VMs the reader's total covers.
 
         Returns:
             The number of VMs, 0 if there is no current total.
         """
         total = self._total_report
-        if total is None or now - total.at > REPORT_LIFE_S:
+        if total is None or now - total.at > REPORT_MAX_AGE_S:
             return 0
         return total.vms
 
@@ -216,7 +218,7 @@
 
 def _fresh_rates(reports: dict[str, _Report], now: float) -> list[Rates]:
     for name, report in list(reports.items()):
-        if now - report.at > REPORT_LIFE_S:
+        if now - report.at > REPORT_MAX_AGE_S:
             del reports[name]
     return [report.rates for report in reports.values()]
 
--- a/src/pollenmast/steering/_members.py
+++ b/src/pollenmast/steering/_members.py
@@ -104,7 +104,7 @@
         return list(self._members)
 
     @property
-    def mates(self) -> list[str]:
+    def zone_peers(self) -> list[str]:
         """The addresses of the other VMs of this VM's zone."""
         return [
             host
@@ -118,7 +118,7 @@
         zones = {m.zone for m in self._members.values()}
         return sorted(zones - {self._zone})
 
-    def heard(self, zone: str, now: float) -> list[str]:
+    def heard_from(self, zone: str, now: float) -> list[str]:
         """Returns the VMs of a zone that were heard from recently."""
         return [
             host
@@ -126,16 +126,16 @@
             if member.zone == zone and now - member.heard_at < HEARD_TIMEOUT_S
         ]
 
-    def unheard(self, now: float) -> list[str]:
+    def not_heard_from(self, now: float) -> list[str]:
         """Returns the VMs of this VM's zone known only from others.
 
         Two VMs that each consider themselves the reader get in contact only if
         one of them queries the other.
         """
-        heard = self.heard(self._zone, now)
-        return sorted(set(self.mates) - set(heard))
+        heard = self.heard_from(self._zone, now)
+        return sorted(set(self.zone_peers) - set(heard))
 
-    def strangers(self) -> list[str]:
+    def contact_candidates(self) -> list[str]:
         """Returns VMs to contact that are no members: seeds and lost VMs.
 
         Each call counts as one attempt to contact every lost VM.
@@ -159,7 +159,7 @@
         """Handles any message received from a VM."""
         if host == self._own_host:
             return
-        self.on_named(host, zone, now, link_mbps)
+        self.on_announced(host, zone, now, link_mbps)
         member = self._members[host]
         if member.zone != zone or member.excluded_until > now:
             self._rankings.clear()
@@ -168,7 +168,7 @@
         member.queried_at = None
         member.excluded_until = float("-inf")
 
-    def on_named(
+    def on_announced(
         self, host: str, zone: str, now: float, link_mbps: int = 0
     ) -> None:
         """Handles another VM's announcement that it has heard from `host`."""
@@ -186,7 +186,7 @@
             member.link_mbps = link_mbps
             self._rankings.clear()
 
-    def on_asked(self, host: str, now: float) -> None:
+    def on_queried(self, host: str, now: float) -> None:
         """Records a query to another VM whose answer is now expected."""
         member = self._members.get(host)
         if member is not None and member.queried_at is None:
--- a/src/pollenmast/steering/_model.py
+++ b/src/pollenmast/steering/_model.py
@@ -81,7 +81,7 @@
         zone: Its availability zone.
         slots: The number of requests that it processes concurrently.
         draining: Whether it takes no new flows.
-        warm_in_s: The remaining warm-up time in seconds at the announcement.
+        warmup_left_s: The remaining warm-up time in seconds at the announcement.
     """
 
     name: str
@@ -93,11 +93,11 @@
     zone: str
     slots: int = 2
     draining: bool = False
-    warm_in_s: float = 0.0
+    warmup_left_s: float = 0.0
 
 
 @attrs.frozen
-class Split:
+class WeightedService:
     """A service of a route and its share of the new flows.
 
     Attributes:
@@ -125,7 +125,7 @@
     name: str
     host: str
     port: int
-    splits: tuple[Split, ...]
+    splits: tuple[WeightedService, ...]
     idempotent: bool
 
     def services(self, digest: int) -> list[str]:
--- a/src/pollenmast/steering/_outliers.py
+++ b/src/pollenmast/steering/_outliers.py
@@ -67,7 +67,7 @@
         self._ejected_until: dict[int, float] = {}
         self._on_ejected: Callable[[Record, int], None] = _nothing
 
-    def notify(self, on_ejected: Callable[[Record, int], None]) -> None:
+    def set_on_ejected(self, on_ejected: Callable[[Record, int], None]) -> None:
         """Sets the callback for an ejection.
 
         Args:
@@ -79,11 +79,11 @@
         """Counts a failed request that this VM had sent to an endpoint."""
         self._meters.setdefault(endpoint, Meter(WINDOW_S)).add(now)
 
-    def on_mate(self, vm: str, failures: Failures, now: float) -> None:
+    def on_peer_report(self, vm: str, failures: Failures, now: float) -> None:
         """Handles a report of failures by a VM of the same zone."""
         self._peer_reports[vm] = _Report(now, failures)
 
-    def own(self, now: float) -> Failures:
+    def own_failures(self, now: float) -> Failures:
         """Returns this VM's failures, for its report to a reader."""
         failures = {}
         for endpoint, meter in list(self._meters.items()):
@@ -108,10 +108,10 @@
         for number in self._find_outliers(totals):
             self._ejected_until[number] = now + EJECTION_S
             self._notify_ejected(number, totals[number])
-        self.on_told(self._ejected_until, now)
+        self.on_ejections_reported(self._ejected_until, now)
         return list(self._ejected_until)
 
-    def on_told(self, ejected: Iterable[int], now: float) -> None:
+    def on_ejections_reported(self, ejected: Iterable[int], now: float) -> None:
         """Keeps new flows away from the outliers that a reader reports."""
         for number in ejected:
             record = self._catalog.by_number(number)
@@ -159,7 +159,7 @@
         for vm, report in list(self._peer_reports.items()):
             if now - report.at > REPORT_LIFE_S:
                 del self._peer_reports[vm]
-        totals = self.own(now)
+        totals = self.own_failures(now)
         for report in self._peer_reports.values():
             for endpoint, count in report.failures.items():
                 totals[endpoint] = totals.get(endpoint, 0) + count
--- a/src/pollenmast/steering/_placement.py
+++ b/src/pollenmast/steering/_placement.py
@@ -31,16 +31,16 @@
 from pollenmast.counters import PlacementReason
 from pollenmast.steering._catalog import Catalog
 from pollenmast.steering._cold_limit import ColdLimit
-from pollenmast.steering._load import LoadBook
+from pollenmast.steering._load import EndpointLoads
 from pollenmast.steering._model import Warmup
 from pollenmast.steering._record import Presence, Record
 
-ZONE_FACTOR = 1.3
+CROSS_ZONE_LOAD_FACTOR = 1.3
 """How many times the load of another zone's endpoint an endpoint of the own
 zone may have. The most and the least loaded endpoint of a zone differ by about
 this factor by chance."""
 
-ZONE_ADVANTAGE = 4.0
+CROSS_ZONE_LOAD_MARGIN = 4.0
 """Load that an endpoint of the own zone may have in addition, in requests per
 second and slot. At a small fraction of a slot's throughput no request waits,
 so crossing zones gains nothing."""
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen
-class Placed:
+class Placement:
     """The endpoint selected for a flow.
 
     Attributes:
@@ -64,7 +64,7 @@
     reason: PlacementReason
 
 
-class Unplaced(str, enum.Enum):
+class PlacementFailure(str, enum.Enum):
     """Why no endpoint of a service can take a new flow."""
 
     NO_ENDPOINT = "no_endpoint"
@@ -72,14 +72,14 @@
     WARMING_UP = "warming_up"
 
 
-class Placement:
+class EndpointSelector:
     """Selects endpoints for the new flows of one VM."""
 
     def __init__(
         self,
         zone: str,
         catalog: Catalog,
-        load: LoadBook,
+        load: EndpointLoads,
         rng: random.Random,
         cold_limit: ColdLimit | None = None,
     ):
@@ -96,7 +96,7 @@
 
     def choose(
         self, service: str, tried: tuple[str, ...], now: float
-    ) -> Placed | Unplaced:
+    ) -> Placement | PlacementFailure:
         """Selects an endpoint for a new flow.
 
         Args:
@@ -109,27 +109,29 @@
         """
         serving = self._catalog.serving(service)
         if not serving:
-            return Unplaced.NO_ENDPOINT
+            return PlacementFailure.NO_ENDPOINT
         undrained = [r for r in serving if not self._catalog.is_drained(r)]
         if not undrained:
-            return Unplaced.ZONE_DRAINED
+            return PlacementFailure.ZONE_DRAINED
         candidates = [r for r in undrained if self._catalog.owns_token(r)]
         if not candidates:
-            return Unplaced.NO_ENDPOINT
+            return PlacementFailure.NO_ENDPOINT
         candidates = [r for r in candidates if self._admits(r, now)]
         if not candidates:
-            return Unplaced.WARMING_UP
+            return PlacementFailure.WARMING_UP
         untried = [r for r in candidates if r.endpoint.name not in tried]
         usable = [r for r in untried if _usable(r)]
-        reliable = [r for r in usable if r.health.is_sure(now)] or usable
+        reliable = [
+            r for r in usable if r.health.accepts_new_flows(now)
+        ] or usable
         if not reliable:
             return self._last_resort(untried or candidates, now)
         chosen = self._nearest(reliable, now)
         if tried:
-            return Placed(chosen, PlacementReason.RETRY)
+            return Placement(chosen, PlacementReason.RETRY)
         if chosen.endpoint.zone == self._zone:
-            return Placed(chosen, PlacementReason.OWN_ZONE)
-        return Placed(chosen, PlacementReason.OTHER_ZONE)
+            return Placement(chosen, PlacementReason.OWN_ZONE)
+        return Placement(chosen, PlacementReason.OTHER_ZONE)
 
     def on_opened(self, record: Record, now: float) -> None:
         """Counts a flow that was opened to an endpoint."""
@@ -151,10 +153,13 @@
         if not self._load.is_settled(now):
             return own
         other = self._draw(far, now)
-        limit = ZONE_FACTOR * self._total_cost(other, now) + ZONE_ADVANTAGE
-        return other if self._total_cost(own, now) > limit else own
+        limit = (
+            CROSS_ZONE_LOAD_FACTOR * self._total_load(other, now)
+            + CROSS_ZONE_LOAD_MARGIN
+        )
+        return other if self._total_load(own, now) > limit else own
 
-    def _last_resort(self, records: list[Record], now: float) -> Placed:
+    def _last_resort(self, records: list[Record], now: float) -> Placement:
         """Selects an endpoint although the health of every one is in doubt.
 
         Doubt alone must not leave a service without endpoints: a VM that is
@@ -165,7 +170,9 @@
         # A VM checks lapsed endpoints only if it carries flows to them. About
         # the others it knows only what a reader reports.
         not_avoided = [r for r in up if not r.health.is_avoided(now)] or up
-        return Placed(self._draw(not_avoided, now), PlacementReason.LAST_RESORT)
+        return Placement(
+            self._draw(not_avoided, now), PlacementReason.LAST_RESORT
+        )
 
     def _draw(self, records: list[Record], now: float) -> Record:
         """Returns the least loaded of `DRAWN_ENDPOINTS` random records."""
@@ -174,14 +181,14 @@
         # Breaks ties at random; otherwise VMs that start at the same time
         # would all begin with the same endpoint.
         return min(
-            records, key=lambda r: (self._own_cost(r, now), self._rng.random())
+            records, key=lambda r: (self._own_load(r, now), self._rng.random())
         )
 
-    def _own_cost(self, record: Record, now: float) -> float:
+    def _own_load(self, record: Record, now: float) -> float:
         rate = self._load.own_rate(record.endpoint.number, now)
         return _cost(record, rate, now)
 
-    def _total_cost(self, record: Record, now: float) -> float:
+    def _total_load(self, record: Record, now: float) -> float:
         rate = self._load.rate(record.endpoint.number, now)
         return _cost(record, rate, now)
 
--- a/src/pollenmast/steering/_routes.py
+++ b/src/pollenmast/steering/_routes.py
@@ -4,13 +4,13 @@
 
 from pollenmast.steering._changes import (
     Change,
-    RoutesChanged,
+    RoutesDelta,
     RoutesPublished,
 )
 from pollenmast.steering._model import RouteTable
 
 
-class RouteBook:
+class ActiveRoutes:
     """Holds the configuration with the highest version received.
 
     The operator assigns the versions. An older configuration listed by a
@@ -25,13 +25,13 @@
         """The configuration in force, None before the first."""
         return self._table
 
-    def fits(self, changes: Iterable[Change]) -> bool:
+    def can_apply(self, changes: Iterable[Change]) -> bool:
         """Whether changes can be applied to the configuration in force."""
         version = self._table.version if self._table is not None else None
         for change in changes:
             if isinstance(change, RoutesPublished):
                 version = max(version or 0, change.table.version)
-            elif isinstance(change, RoutesChanged):
+            elif isinstance(change, RoutesDelta):
                 if version is not None and change.version <= version:
                     continue
                 if change.base != version:
@@ -39,7 +39,7 @@
                 version = change.version
         return True
 
-    def take(self, change: Change) -> Change | None:
+    def apply(self, change: Change) -> Change | None:
         """Applies a change if it is one of the configuration.
 
         Returns:
@@ -54,8 +54,8 @@
             self._table = change.table
             if old is None:
                 return change
-            return RoutesChanged.between(old, change.table, change.revision)
-        if isinstance(change, RoutesChanged):
+            return RoutesDelta.between(old, change.table, change.revision)
+        if isinstance(change, RoutesDelta):
             if old is None or change.base != old.version:
                 return None
             self._table = change.apply(old)
--- a/src/pollenmast/steering/_traffic_observer.py
+++ b/src/pollenmast/steering/_traffic_observer.py
@@ -9,7 +9,7 @@
 from pollenmast.steering._check_policy import CheckPolicy
 from pollenmast.steering._flows import FlowTable, update_flow
 from pollenmast.steering._lengths import AnswerLengths
-from pollenmast.steering._load import LoadBook
+from pollenmast.steering._load import EndpointLoads
 from pollenmast.steering._model import FlowKey, Segment
 from pollenmast.steering._outliers import Outliers
 from pollenmast.steering._record import Record
@@ -27,7 +27,7 @@
         self,
         flows: FlowTable,
         check_policy: CheckPolicy,
-        load: LoadBook,
+        load: EndpointLoads,
         outliers: Outliers,
         histograms: Histograms,
     ):
@@ -55,10 +55,10 @@
             )
         # A request also acknowledges the previous answer: handle that first.
         if progress.advanced:
-            record.health.on_advance(now)
+            record.health.on_progress(now)
             self._pending.end(segment.flow)
         if progress.request:
-            self._load.on_work(record.endpoint.number, now)
+            self._load.on_request(record.endpoint.number, now)
             record.health.on_request(now, self._usual_answer_s)
             self._pending.begin(segment.flow, record.endpoint.number, now)
         if progress.repeated:
--- a/src/pollenmast/steering/_watchlist.py
+++ b/src/pollenmast/steering/_watchlist.py
@@ -17,34 +17,34 @@
     def __init__(self):
         self._records: dict[str, Record] = {}
         self._next_at = math.inf
-        self._on_earlier: Callable[[], None] = _do_nothing
+        self._on_schedule: Callable[[], None] = _do_nothing
 
-    def notify(self, on_earlier: Callable[[], None]) -> None:
+    def set_on_schedule(self, on_schedule: Callable[[], None]) -> None:
         """Sets a callback for when the next evaluation moves forward.
 
         Args:
-            on_earlier: Called when an evaluation is due earlier than the last
+            on_schedule: Called when an evaluation is due earlier than the last
                 result of `next_at`.
         """
-        self._on_earlier = on_earlier
+        self._on_schedule = on_schedule
 
     def add(self, record: Record) -> None:
         """Adds an endpoint if its health has to be evaluated later."""
-        at = record.health.look_at
+        at = record.health.next_due_at
         if at == math.inf:
             return
         self._records[record.endpoint.name] = record
         if at < self._next_at:
             self._next_at = at
-            self._on_earlier()
+            self._on_schedule()
 
-    def look(self, now: float) -> list[Record]:
+    def evaluate(self, now: float) -> list[Record]:
         """Evaluates all endpoints on the list; returns those to check now."""
         due = []
         for name, record in list(self._records.items()):
-            record.health.look(now)
+            record.health.evaluate(now)
             gone = record.presence is Presence.GONE
-            if gone or record.health.look_at == math.inf:
+            if gone or record.health.next_due_at == math.inf:
                 del self._records[name]
             elif record.health.due(now):
                 due.append(record)
@@ -58,7 +58,7 @@
                 whose result triggers the next evaluation.
         """
         times = (
-            record.health.look_at
+            record.health.next_due_at
             for name, record in self._records.items()
             if name not in in_progress
         )
--- a/tests/entry_boot_test.py
+++ b/tests/entry_boot_test.py
@@ -20,9 +20,9 @@
     Counters,
     Histograms,
 )
-from pollenmast.entry import Boot, BootComponents, FirstRead
+from pollenmast.entry import Boot, BootComponents, InitialRead
 from pollenmast.entry._boot import LOAD_RETRY_DELAY_S
-from pollenmast.entry._carrier import BATCH, Carrier
+from pollenmast.entry._carrier import MAX_BATCH, Forwarder
 from pollenmast.entry._program import FIRST_READ_TIMEOUT_S, _Program
 from pollenmast.events import EventLog, JsonSink
 from pollenmast.platform._packet import PlatformPackets
@@ -33,7 +33,7 @@
 MODULES = ("json", "socket", "random")
 
 
-class _FirstRead(FirstRead):
+class _FirstRead(InitialRead):
     """Responds at a given poll, or never."""
 
     def __init__(self, response, at_poll: int = 1):
@@ -43,7 +43,7 @@
         self.closed = False
 
     @property
-    def begun(self):
+    def is_arriving(self):
         return 0 < self.polls < self._at_poll
 
     def poll(self, wait_s):
@@ -73,7 +73,7 @@
         stream = self._stream = io.BytesIO()
         log = EventLog("t", "vm", sink=JsonSink(stream))
         self.steering = Steering(group.ZONE, self._counters, random.Random(1))
-        carrier = Carrier(
+        forwarder = Forwarder(
             sock, PlatformPackets(9), self.steering, self._counters, log
         )
         components = BootComponents(
@@ -84,7 +84,7 @@
             log,
             random.Random(1),
             self.steering,
-            carrier,
+            forwarder,
         )
         return Boot(components, first_read)
 
@@ -175,9 +175,9 @@
         would stay out of rotation.
         """
         boot = self._boot(_FirstRead(Ok(self._listing)))
-        self._send(2 * BATCH + 5)
+        self._send(2 * MAX_BATCH + 5)
         boot.load(MODULES)
-        self.assertEqual(2 * BATCH + 5, self._forwarded())
+        self.assertEqual(2 * MAX_BATCH + 5, self._forwarded())
 
     @parameterized.expand([("once", 1), ("for_a_while", 3)])
     def test_module_fails(self, _, failures):
--- a/tests/entry_checks_test.py
+++ b/tests/entry_checks_test.py
@@ -7,12 +7,12 @@
 from testtools import TestCase
 
 from pollenmast.counters import CHECKS, CheckReason, Counters, Histograms
-from pollenmast.entry._checks import LAG_FACTOR, Checker
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._checks import LAG_FACTOR, HealthChecker
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._ports import HealthProbe
 from pollenmast.events import EventLog
 from pollenmast.steering import CheckResult
-from pollenmast.steering._health import FAILED_CHECKS
+from pollenmast.steering._health import FAILURE_THRESHOLD
 from tests import steering_group as group
 
 CHECK_S = 0.05
@@ -59,12 +59,12 @@
         self.resets += resets
 
 
-def _checker(probe, core, packets, pauses=None, counters=None) -> Checker:
-    return Checker(
+def _checker(probe, core, packets, pauses=None, counters=None) -> HealthChecker:
+    return HealthChecker(
         probe,
         core,
         packets,
-        pauses or PauseWatch(lambda: 0.0),
+        pauses or PauseDetector(lambda: 0.0),
         counters or Counters(),
         Histograms(),
         EventLog("t", "vm"),
@@ -96,7 +96,7 @@
             key = group.flow()
             core.on_segment(group.syn(key), now)
             core.on_segment(group.segment(key, 1), now)
-            core.catalog.get(group.endpoint(1).name).health.ask(
+            core.catalog.get(group.endpoint(1).name).health.request_check(
                 now, CheckReason.REPORTED
             )
             checker = _checker(probe, core, packets, pauses)
@@ -134,10 +134,10 @@
         flows would disconnect all its clients.
         """
         times = iter(range(0, 10_000, 5))
-        pauses = PauseWatch(lambda: float(next(times)))
+        pauses = PauseDetector(lambda: float(next(times)))
         probe = _Probe(CheckResult.TIMEOUT, pauses.check)
         self.assertEqual([], self._run(probe, 1.0, pauses))
-        self.assertGreater(probe.checks, FAILED_CHECKS)
+        self.assertGreater(probe.checks, FAILURE_THRESHOLD)
 
     def test_late_timer(self):
         """A timeout is ignored if this VM's timers fire late.
@@ -148,11 +148,11 @@
         """
         probe = _Probe(CheckResult.TIMEOUT, took_s=3 * CHECK_S)
         self.assertEqual([], self._run(probe, 1.0))
-        self.assertGreater(probe.checks, FAILED_CHECKS)
+        self.assertGreater(probe.checks, FAILURE_THRESHOLD)
 
     def test_slow_vm(self):
         """A VM with a slow processor extends the timeouts of its checks."""
-        pauses = PauseWatch(lambda: 0.0)
+        pauses = PauseDetector(lambda: 0.0)
         pauses._lag_s = 0.1
         probe = _Probe(CheckResult.ANSWERED)
         self._run(probe, 1.0, pauses)
@@ -180,7 +180,7 @@
         async def main() -> None:
             now = anyio.current_time()
             known, core = _three_endpoints(now)
-            core.catalog.get(known[0].name).health.ask(
+            core.catalog.get(known[0].name).health.request_check(
                 now, CheckReason.REPORTED
             )
             checker = _checker(Probe(None), core, packets)
@@ -226,7 +226,7 @@
             now = anyio.current_time()
             known, core = _three_endpoints(now)
             record = core.catalog.get(known[0].name)
-            record.health.ask(now, CheckReason.TOLD)
+            record.health.request_check(now, CheckReason.TOLD)
             checker = _checker(Probe(None), core, _Packets(), None, counters)
             with anyio.move_on_after(0.4):
                 await checker.run()
@@ -239,8 +239,8 @@
         }
         expected = {
             CheckReason.TOLD: 1,
-            CheckReason.UNANSWERED: FAILED_CHECKS - 1,
-            CheckReason.CONTROL: 2 * (FAILED_CHECKS - 1),
+            CheckReason.UNANSWERED: FAILURE_THRESHOLD - 1,
+            CheckReason.CONTROL: 2 * (FAILURE_THRESHOLD - 1),
         }
         self.assertEqual(expected, counted)
 
@@ -274,7 +274,7 @@
                     for each in known:
                         record = core.catalog.get(each.name)
                         now = anyio.current_time()
-                        record.health.ask(now, CheckReason.REPORTED)
+                        record.health.request_check(now, CheckReason.REPORTED)
                     await anyio.sleep(1.0)
                 tasks.cancel_scope.cancel()
 
@@ -322,7 +322,7 @@
             ]
             now = anyio.current_time()
             core = group.steering(*known, now=now)
-            core.doubts.join(lambda: is_reader)
+            core.check_policy.set_is_reader(lambda: is_reader)
             for number in numbers:
                 request = group.segment(group.flow(number), number, length=10)
                 core.on_segment(request, now)
--- a/tests/entry_gossip_test.py
+++ b/tests/entry_gossip_test.py
@@ -10,7 +10,7 @@
 from pollenmast.entry import _snapshot as snapshot
 from pollenmast.entry._gossip import REPORT_INTERVAL_S, SOLE_VM_ROUNDS, Gossip
 from pollenmast.steering import CheckResult, EndpointAnnounced, Update
-from pollenmast.steering._load import REPORT_LIFE_S
+from pollenmast.steering._load import REPORT_MAX_AGE_S
 from tests import steering_group as group
 
 ENDPOINTS = [group.endpoint(n) for n in range(1, 11)]
@@ -85,7 +85,7 @@
     def deliver(self):
         while self.queue:
             sender, host, datagram = self.queue.pop(0)
-            self.vms[host].take(datagram, sender, self.now)
+            self.vms[host].on_datagram(datagram, sender, self.now)
 
     def round(self, count: int = 1):
         for _ in range(count):
@@ -152,7 +152,7 @@
         for _ in range(rounds):
             for vm in network.up():
                 for endpoint in ENDPOINTS:
-                    vm.core.load.on_work(endpoint.number, network.now)
+                    vm.core.load.on_request(endpoint.number, network.now)
             network.round()
 
     def _assert_load_known(self, network: _Network, vms: int) -> None:
@@ -323,13 +323,13 @@
         asking = set(self._checking_vms(network)) - set(readers)
         self.assertEqual({plain[0].name}, asking)
         health = plain[1].core.catalog.get(dead.name).health
-        self.assertFalse(health.is_sure(network.now))
+        self.assertFalse(health.accepts_new_flows(network.now))
 
     def test_load_expires(self):
         """The load of VMs that died leaves the total within seconds."""
         network = self._network(a=5)
         network.round(12)
         self._send_load(network)
-        network.now += REPORT_LIFE_S
+        network.now += REPORT_MAX_AGE_S
         network.round(4)
         self.assertEqual(0.0, self._lowest_known_load(network))
--- a/tests/entry_pause_test.py
+++ b/tests/entry_pause_test.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from pollenmast.entry import _snapshot as snapshot
-from pollenmast.entry._pause import MIN_PAUSE_S, PauseWatch
+from pollenmast.entry._pause import MIN_PAUSE_S, PauseDetector
 from pollenmast.steering import (
     EndpointAnnounced,
     EndpointRemoved,
@@ -17,10 +17,10 @@
     Route,
     RoutesPublished,
     RouteTable,
-    Split,
     Update,
+    WeightedService,
 )
-from pollenmast.steering._journal import MOST_CHANGES
+from pollenmast.steering._journal import MAX_CHANGES
 from tests import steering_group as group
 
 
@@ -28,7 +28,11 @@
     """Returns a configuration of many routes to one service."""
     routes = {
         (group.VIP, port): Route(
-            f"r-{port}", group.VIP, port, (Split("registry", 1),), True
+            f"r-{port}",
+            group.VIP,
+            port,
+            (WeightedService("registry", 1),),
+            True,
         )
         for port in range(443, 443 + count)
     }
@@ -48,10 +52,10 @@
         seconds old.
         """
         times = iter([0.0, 0.1, 0.1 + gap])
-        watch = PauseWatch(lambda: next(times))
-        self.assertEqual(0.0, watch.check())
-        self.assertEqual(bool(count), watch.check() > 0.0)
-        self.assertEqual(count, watch.count)
+        detector = PauseDetector(lambda: next(times))
+        self.assertEqual(0.0, detector.check())
+        self.assertEqual(bool(count), detector.check() > 0.0)
+        self.assertEqual(count, detector.count)
 
 
 class SnapshotTest(TestCase):
@@ -77,7 +81,7 @@
         update = snapshot.decode(
             snapshot.encode(known, Position(0, 10))
         ).ok_value
-        self.assertEqual(((removed,), False), (update.changes, update.whole))
+        self.assertEqual(((removed,), False), (update.changes, update.complete))
         learner.apply(update, 1.0)
         self.assertEqual(11, learner.revision)
         record = learner.catalog.get(group.endpoint(1).name)
@@ -103,7 +107,7 @@
 
         A few bytes of a peer could otherwise exhaust the VM's memory.
         """
-        huge = zlib.compress(bytes(2 * snapshot.MOST_BYTES), 9)
+        huge = zlib.compress(bytes(2 * snapshot.MAX_DECODED_BYTES), 9)
         self.assertLess(len(huge), 100_000)
         self.assertTrue(snapshot.decode(huge).is_err())
 
@@ -153,12 +157,12 @@
         update = snapshot.decode(
             snapshot.encode(known, Position(0, 10))
         ).ok_value
-        self.assertFalse(learner.fits(update))
+        self.assertFalse(learner.can_apply(update))
         learner.apply(update, 1.0)
         self.assertEqual((1, 10), (learner.table.version, learner.revision))
-        whole = snapshot.decode(snapshot.encode(known)).ok_value
-        self.assertTrue(learner.fits(whole))
-        learner.apply(whole, 1.0)
+        complete = snapshot.decode(snapshot.encode(known)).ok_value
+        self.assertTrue(learner.can_apply(complete))
+        learner.apply(complete, 1.0)
         self.assertEqual(known.table, learner.table)
 
     def test_already_known(self):
@@ -171,20 +175,20 @@
         update = snapshot.decode(
             snapshot.encode(known, Position(0, 10))
         ).ok_value
-        self.assertTrue(learner.fits(update))
+        self.assertTrue(learner.can_apply(update))
         learner.apply(update, 1.0)
         self.assertEqual(known.table, learner.table)
 
     def test_too_far_behind(self):
         """A peer that missed more changes than are kept receives everything."""
         known = group.steering(group.endpoint(1))
-        for revision in range(11, 20 + MOST_CHANGES):
+        for revision in range(11, 20 + MAX_CHANGES):
             changed = EndpointAnnounced(group.endpoint(2), revision)
             known.apply(Update((changed,), revision), 1.0)
         update = snapshot.decode(
             snapshot.encode(known, Position(0, 10))
         ).ok_value
-        self.assertTrue(update.whole)
+        self.assertTrue(update.complete)
         self.assertEqual(3, len(update.changes))
 
     @given(st.binary(max_size=200))
--- a/tests/entry_reach_test.py
+++ b/tests/entry_reach_test.py
@@ -7,9 +7,9 @@
 from testtools import TestCase
 
 from pollenmast.counters import CHECKS, CheckReason, Counters, Histograms
-from pollenmast.entry._pause import PauseWatch
-from pollenmast.entry._reach import PROBE_INTERVAL_S, ReachWatch
-from pollenmast.entry._site import Site
+from pollenmast.entry._pause import PauseDetector
+from pollenmast.entry._reach import PROBE_INTERVAL_S, ZoneProber
+from pollenmast.entry._site import HttpHandler
 from pollenmast.events import EventLog
 from pollenmast.http1 import Request
 from pollenmast.steering import (
@@ -19,7 +19,7 @@
     ZoneDrained,
     ZoneRestored,
 )
-from pollenmast.steering._reach import FAILED_PROBES, QUIET_S
+from pollenmast.steering._reach import MAX_FAILED_ROUNDS, PROBE_AFTER_S
 from tests import steering_group as group
 from tests.entry_checks_test import _Probe
 
@@ -27,7 +27,7 @@
 FAR = group.endpoint(2, group.OTHER_ZONE)
 THIRD = group.endpoint(3, "pos-laventille")
 
-DETECTION_S = QUIET_S + (FAILED_PROBES + 1) * (PROBE_INTERVAL_S + 0.1)
+DETECTION_S = PROBE_AFTER_S + (MAX_FAILED_ROUNDS + 1) * (PROBE_INTERVAL_S + 0.1)
 """Seconds within which a partition must be detected; routers check readiness
 twice a second."""
 
@@ -55,7 +55,7 @@
     ) -> None:
         core = group.steering(NEAR, FAR, THIRD)
         counters = Counters()
-        site = Site("/ready", core, counters, Histograms())
+        site = HttpHandler("/ready", core, counters, Histograms())
         self.counters = counters
 
         async def ready() -> bool:
@@ -66,14 +66,14 @@
             if drained:
                 self._change(core, ZoneDrained(group.ZONE, 11))
             async with anyio.create_task_group() as tasks:
-                watch = ReachWatch(
+                prober = ZoneProber(
                     probe,
                     core.reach,
-                    PauseWatch(lambda: 0.0),
+                    PauseDetector(lambda: 0.0),
                     counters,
                     EventLog("t", "vm"),
                 )
-                tasks.start_soon(watch.run)
+                tasks.start_soon(prober.run)
                 await script(core, ready)
                 tasks.cancel_scope.cancel()
 
@@ -118,7 +118,7 @@
         update = group.listing(NEAR, FAR)
         drained = ZoneDrained(group.ZONE, 10)
         changes = (*update.changes, drained)
-        catalog.apply(Update(changes, 10, whole=True), 0.1)
+        catalog.apply(Update(changes, 10, complete=True), 0.1)
         catalog.drains.apply(Update((drained,), 10))
         self.assertTrue(reach.cut_off)
 
@@ -133,7 +133,7 @@
             await anyio.sleep(DETECTION_S)
             for _ in range(20):
                 now = anyio.current_time()
-                core.catalog.get(FAR.name).health.on_advance(now)
+                core.catalog.get(FAR.name).health.on_progress(now)
                 await anyio.sleep(PROBE_INTERVAL_S)
                 self.assertFalse(await ready())
 
@@ -188,7 +188,7 @@
             await anyio.sleep(PROBE_INTERVAL_S)
             for step in range(50):
                 now = anyio.current_time()
-                core.catalog.get(FAR.name).health.on_advance(now)
+                core.catalog.get(FAR.name).health.on_progress(now)
                 if not step:
                     self._change(core, ZoneDrained(group.ZONE, 11))
                 await anyio.sleep(0.2)
--- a/tests/entry_report_test.py
+++ b/tests/entry_report_test.py
@@ -18,7 +18,7 @@
 )
 from pollenmast.entry import _gossip as gossip
 from pollenmast.entry import _report as reports
-from pollenmast.entry._pause import PauseWatch
+from pollenmast.entry._pause import PauseDetector
 from pollenmast.entry._report import Kind, Report
 from pollenmast.steering import (
     CheckResult,
@@ -145,7 +145,7 @@
 
     def _receive(self, now: float = 1.0, **fields) -> None:
         report = Report(**{**_values(REPORT), **fields})
-        self.gossip.take(reports.encode(report), "127.0.0.2", now)
+        self.gossip.on_datagram(reports.encode(report), "127.0.0.2", now)
 
     def test_dead_endpoint(self):
         """A VM checks an endpoint that another VM reported as dead.
@@ -176,7 +176,7 @@
     def test_load(self):
         """The load that another VM reports is added to the total."""
         self._receive()
-        self.assertEqual({1: 2.5}, dict(self.core.load.gathered(1.0)))
+        self.assertEqual({1: 2.5}, dict(self.core.load.sum_of_reports(1.0)))
         self.assertEqual(2.5, self.core.load.rate(1, 1.0))
 
     def test_silent_connection(self):
@@ -232,7 +232,7 @@
             report = attrs.evolve(
                 REPORT, kind=Kind.ANSWER, rates=rates, vms=40, down=()
             )
-            self.gossip.take(reports.encode(report), "127.0.0.2", now)
+            self.gossip.on_datagram(reports.encode(report), "127.0.0.2", now)
         placed = [
             self.core.on_segment(group.syn(group.flow(n)), 5.0).placed
             for n in range(100)
@@ -248,11 +248,13 @@
         clients of a route that was added meanwhile.
         """
         times = iter([0.0, *[gap_s] * 1000])
-        pauses = PauseWatch(lambda: next(times))
+        pauses = PauseDetector(lambda: next(times))
         woken = self._gossip(pauses=pauses)
-        pauses.notify(lambda gap_s: woken.discard_waiting())
+        pauses.notify(lambda gap_s: woken.discard_queued())
         received = []
-        woken.take = lambda datagram, host, now: received.append(datagram)
+        woken.on_datagram = lambda datagram, host, now: received.append(
+            datagram
+        )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
             peer.sendto(b"report", woken._sock.getsockname())
 
@@ -268,9 +270,9 @@
     )
     def test_malformed(self, _, data):
         """Malformed datagrams are counted and change nothing."""
-        self.gossip.take(data, "127.0.0.2", 1.0)
+        self.gossip.on_datagram(data, "127.0.0.2", 1.0)
         self.assertEqual(1, self.counters.value(ENVELOPE_FAULTS, "malformed"))
-        self.assertEqual({}, dict(self.core.load.gathered(1.0)))
+        self.assertEqual({}, dict(self.core.load.sum_of_reports(1.0)))
 
 
 def _values(report: Report) -> dict[str, object]:
--- a/tests/fleet_group.py
+++ b/tests/fleet_group.py
@@ -13,7 +13,7 @@
 from pollenmast.entry._follow import Follower
 from pollenmast.entry._gossip import Gossip
 from pollenmast.entry._peers import PeerReader
-from pollenmast.entry._site import Site
+from pollenmast.entry._site import HttpHandler
 from pollenmast.events import EventLog
 from pollenmast.http1 import HttpFault, Response
 from pollenmast.platform._store import StoreDirectory
@@ -34,7 +34,7 @@
 class _PeerConnection:
     """Asks another VM without a network."""
 
-    def __init__(self, site: Site | None):
+    def __init__(self, site: HttpHandler | None):
         self._site = site
 
     async def get(self, target: str, patience, most=None):
@@ -88,7 +88,7 @@
         vm = self._fleet.vms.get(host)
         if vm is not None and host not in self._fleet.deaf:
             now = anyio.current_time()
-            vm.gossip.take(datagram, self._host, now)
+            vm.gossip.on_datagram(datagram, self._host, now)
 
 
 class FleetVm:
@@ -110,8 +110,10 @@
         seeds = tuple((seed, 1) for seed in fleet.seeds)
         self.peers = PeerReader(seeds, (host, 1), self.core, self.follower, log)
         self.gossip = _MemoryGossip(fleet, self, self.peers)
-        self.site = Site("/ready", self.core, Counters(), Histograms())
-        self.follower.join(self.gossip.is_reader, self.gossip.push)
+        self.site = HttpHandler("/ready", self.core, Counters(), Histograms())
+        self.follower.divide_watching(
+            self.gossip.is_reader, self.gossip.schedule_broadcast
+        )
 
     async def run(self) -> None:
         """Runs until cancelled."""
@@ -120,7 +122,7 @@
             tasks.start_soon(self.peers.run)
             tasks.start_soon(self.peers.catch_up)
             tasks.start_soon(self.gossip.send)
-            tasks.start_soon(self.gossip.send_news)
+            tasks.start_soon(self.gossip.run_broadcasts)
             tasks.start_soon(self._tick)
 
     async def _tick(self) -> None:
--- a/tests/platform_store_test.py
+++ b/tests/platform_store_test.py
@@ -7,7 +7,7 @@
 from result import Err
 
 from pollenmast.counters import PLATFORM_CALLS
-from pollenmast.entry._follow import STALE_PART, WATCH_S
+from pollenmast.entry._follow import STALE_FRACTION, WATCH_TIMEOUT_S
 from pollenmast.http1 import Response
 from pollenmast.platform import _listing
 from pollenmast.platform._store import WATCH_MARGIN_S
@@ -34,7 +34,7 @@
     def test_single_page(self):
         """Configuration and endpoints are read with a single call."""
         update = self._read().ok_value
-        self.assertTrue(update.whole)
+        self.assertTrue(update.complete)
         self.assertEqual(self.store.revision, update.revision)
         self.assertEqual(2, len(update.changes))
         self.assertEqual(1, self.store.calls)
@@ -138,7 +138,9 @@
 
     def _watch(self, after: int):
         position = Position(self.store.epoch, after)
-        return self.run_main(lambda: self.directory.watch(position, WATCH_S))
+        return self.run_main(
+            lambda: self.directory.watch(position, WATCH_TIMEOUT_S)
+        )
 
     def test_removed(self):
         """A deleted entry removes its endpoint."""
@@ -176,7 +178,7 @@
         self._respond_with({"events": [], "asOf": 12}, {"store-era": "2"})
         position = Position(epoch, revision)
         watch = self.directory.watch
-        result = self.run_main(lambda: watch(position, WATCH_S))
+        result = self.run_main(lambda: watch(position, WATCH_TIMEOUT_S))
         self.assertEqual(Err(expected), result)
         self.assertEqual(1, self.counters.value(PLATFORM_CALLS, expected))
 
@@ -185,7 +187,7 @@
         """A response without an epoch counts as one of the known epoch."""
         self._respond_with({"events": [], "asOf": 12}, headers)
         watch = self.directory.watch
-        result = self.run_main(lambda: watch(Position(3, 11), WATCH_S))
+        result = self.run_main(lambda: watch(Position(3, 11), WATCH_TIMEOUT_S))
         self.assertEqual(Position(3, 12), result.ok_value.position)
 
     @parameterized.expand(
@@ -225,10 +227,10 @@
 
         async def script(core, follower):
             self.store.fault = Fault.SILENT
-            await anyio.sleep(WATCH_S)
+            await anyio.sleep(WATCH_TIMEOUT_S)
             self.store.fault = Fault.NONE
             self.store.put("op/config", {**CONFIGURATION, "version": 9})
-            await anyio.sleep(WATCH_S + WATCH_MARGIN_S)
+            await anyio.sleep(WATCH_TIMEOUT_S + WATCH_MARGIN_S)
             self.assertEqual(9, core.table.version)
 
         self.follow(script)
@@ -264,7 +266,7 @@
             self.assertEqual(Position(9, 3), core.position)
             self.assertEqual(7, core.table.version)
             self.assertGreaterEqual(core.age_s(anyio.current_time()), 1.0)
-            self.assertIsNotNone(follower.lost_at)
+            self.assertIsNotNone(follower.unavailable_since)
 
         self.follow(script)
 
@@ -292,7 +294,7 @@
         async def script(core, follower):
             self.store.fault = Fault.DOWN
             await anyio.sleep(30.0)
-            self.assertIsNotNone(follower.lost_at)
+            self.assertIsNotNone(follower.unavailable_since)
             self.assertIs(Presence.LISTED, core.catalog.get(NAME).presence)
             calls = self.store.calls
             await anyio.sleep(10.0)
@@ -309,14 +311,14 @@
 
         async def script(core, follower):
             calls = self.store.calls
-            await anyio.sleep(APPLY_S * STALE_PART - 1.0)
+            await anyio.sleep(APPLY_S * STALE_FRACTION - 1.0)
             self.assertEqual(calls, self.store.calls)
             self.store.put("op/config", {**CONFIGURATION, "version": 9})
             await anyio.sleep(APPLY_S)
             self.assertEqual(9, core.table.version)
             self.assertTrue(updates)
 
-        self.follow(script, join=lambda: updates.append(1))
+        self.follow(script, on_change=lambda: updates.append(1))
 
     @parameterized.expand([("known", True, 0), ("unknown", False, 1)])
     def test_first_read(self, _, known, calls):
@@ -328,13 +330,13 @@
 
         async def script(core, follower):
             self.assertEqual(calls, self.store.calls)
-            self.assertIsNone(follower.lost_at)
+            self.assertIsNone(follower.unavailable_since)
             self.store.put("op/config", {**CONFIGURATION, "version": 9})
             core.on_confirmed(-APPLY_S)
             await anyio.sleep(APPLY_S)
             self.assertEqual(9, core.table.version)
 
-        self.follow(script, join=lambda: None, known=known)
+        self.follow(script, on_change=lambda: None, known=known)
 
     def test_frequent_changes(self):
         """A release that changes a dozen entries per second needs few calls.
@@ -365,4 +367,4 @@
                 await anyio.sleep(0.5)
             self.assertEqual(calls, self.store.calls)
 
-        self.follow(script, join=lambda: None)
+        self.follow(script, on_change=lambda: None)
--- a/tests/steering_check_policy_test.py
+++ b/tests/steering_check_policy_test.py
@@ -12,7 +12,7 @@
     Steering,
     Update,
 )
-from pollenmast.steering._catalog import FORGET_S, LAPSE_S
+from pollenmast.steering._catalog import GONE_RETENTION_S, LAPSE_GRACE_PERIOD_S
 from pollenmast.steering._health import (
     MAX_DEFER_S,
     RECHECK_MAX_S,
@@ -29,7 +29,7 @@
 
 def _core(*endpoints, is_reader: bool = False) -> Steering:
     core = group.steering(*endpoints)
-    core.doubts.join(lambda: is_reader)
+    core.check_policy.set_is_reader(lambda: is_reader)
     return core
 
 
@@ -93,13 +93,13 @@
         """
         core = _core(FIRST, SECOND)
         _remove_entry(core, FIRST, 1.0)
-        core.on_confirmed(1.0 + LAPSE_S)
-        core.tick(1.0 + LAPSE_S)
-        self.assertEqual([], core.due_checks(1.0 + LAPSE_S))
+        core.on_confirmed(1.0 + LAPSE_GRACE_PERIOD_S)
+        core.tick(1.0 + LAPSE_GRACE_PERIOD_S)
+        self.assertEqual([], core.due_checks(1.0 + LAPSE_GRACE_PERIOD_S))
         self.assertEqual(
             [SECOND], [r.endpoint for r in core.catalog.serving("registry")]
         )
-        core.tick(1.0 + FORGET_S)
+        core.tick(1.0 + GONE_RETENTION_S)
         self.assertIsNone(core.catalog.get(FIRST.name))
 
     def test_forgotten_while_alive(self):
@@ -111,14 +111,14 @@
         core = _core(FIRST, SECOND, is_reader=True)
         _remove_entry(core, FIRST, 1.0)
         now = 1.0
-        while now < 2.0 + FORGET_S:
+        while now < 2.0 + GONE_RETENTION_S:
             core.on_confirmed(now)
             core.tick(now)
             for due in core.due_checks(now):
                 core.on_check(due, CheckResult.ANSWERED, now)
             now += 0.5
         self.assertIsNone(core.catalog.get(FIRST.name))
-        self.assertEqual([], core.catalog.overdue())
+        self.assertEqual([], core.catalog.expired_lapses())
 
     def test_entry_returns(self):
         """An endpoint whose entry returns gets flows again without a check."""
@@ -142,7 +142,7 @@
         core = _core(FIRST, SECOND)
         for endpoint in (FIRST, SECOND):
             _remove_entry(core, endpoint, 1.0)
-        core.doubts.on_told_down(FIRST.number, 1.1)
+        core.check_policy.on_reader_reported_down(FIRST.number, 1.1)
         chosen = set()
         for number in range(8):
             outcome = core.on_segment(group.syn(group.flow(number)), 1.2)
@@ -173,7 +173,7 @@
         while now < until:
             now = round(now + 0.05, 2)
             if now < reports_until and round(now * 100) % 50 == 0:
-                core.doubts.on_told_down(FIRST.number, now)
+                core.check_policy.on_reader_reported_down(FIRST.number, now)
             for due in core.due_checks(now):
                 times.append(now)
                 core.on_check(due, CheckResult.REFUSED, now)
@@ -215,7 +215,7 @@
         check at once.
         """
         core = _core(FIRST, SECOND)
-        core.doubts.on_told_down(FIRST.number, 1.0)
+        core.check_policy.on_reader_reported_down(FIRST.number, 1.0)
         self.assertEqual([], core.due_checks(1.0))
         _forward(core, 1, FIRST, 1.2)
         due = core.due_checks(1.2)
@@ -245,7 +245,7 @@
                 if reports and index >= READERS:
                     for record in vms[index % READERS].catalog.records:
                         if record.health.down:
-                            core.doubts.on_told_down(
+                            core.check_policy.on_reader_reported_down(
                                 record.endpoint.number, now
                             )
                 for due in core.due_checks(now):
--- a/tests/steering_health_test.py
+++ b/tests/steering_health_test.py
@@ -6,7 +6,7 @@
 from pollenmast.counters import CheckReason
 from pollenmast.steering._health import (
     ANSWER_VALID_S,
-    FAILED_CHECKS,
+    FAILURE_THRESHOLD,
     MAX_PENDING_SYNS,
     RECHECK_MAX_S,
     RECHECK_MIN_S,
@@ -40,7 +40,7 @@
         Such checks would take up the slots of a healthy endpoint.
         """
         health = Health()
-        health.on_advance(1.0)
+        health.on_progress(1.0)
         health.on_retransmission(1.0 + REPEAT_GRACE_S / 2)
         self.assertFalse(health.due(2.0))
 
@@ -57,13 +57,13 @@
         """
         health = Health()
         health.on_syn(group.flow(), 1.0)
-        health.look(1.0 + SYN_FOLLOWUP_TIMEOUT_S)
+        health.evaluate(1.0 + SYN_FOLLOWUP_TIMEOUT_S)
         self.assertTrue(health.due(1.0 + SYN_FOLLOWUP_TIMEOUT_S))
 
     @parameterized.expand(
         [
             ("opened", lambda health: health.on_open(group.flow())),
-            ("another_advanced", lambda health: health.on_advance(1.01)),
+            ("another_advanced", lambda health: health.on_progress(1.01)),
         ]
     )
     def test_no_check(self, _, happens):
@@ -71,7 +71,7 @@
         health = Health()
         health.on_syn(group.flow(), 1.0)
         happens(health)
-        health.look(1.0 + SYN_FOLLOWUP_TIMEOUT_S)
+        health.evaluate(1.0 + SYN_FOLLOWUP_TIMEOUT_S)
         self.assertFalse(health.check_pending)
 
     def test_rotation_changes(self):
@@ -82,13 +82,13 @@
         a healthy endpoint.
         """
         health = Health()
-        health.ask(1.0, CheckReason.REPORTED)
+        health.request_check(1.0, CheckReason.REPORTED)
         health.on_check(CheckResult.ANSWERED, 1.0)
         health.on_syn(group.flow(), 1.1)
-        health.look(1.1 + SYN_FOLLOWUP_TIMEOUT_S)
+        health.evaluate(1.1 + SYN_FOLLOWUP_TIMEOUT_S)
         self.assertFalse(health.check_pending)
         health.on_syn(group.flow(), 1.0 + ANSWER_VALID_S)
-        health.look(1.0 + ANSWER_VALID_S + SYN_FOLLOWUP_TIMEOUT_S)
+        health.evaluate(1.0 + ANSWER_VALID_S + SYN_FOLLOWUP_TIMEOUT_S)
         self.assertTrue(health.check_pending)
 
     def test_pending_syns_bounded(self):
@@ -111,17 +111,17 @@
         """
         health = Health()
         health.on_request(1.0)
-        health.look(1.0 + SILENCE_TIMEOUT_S / 2)
+        health.evaluate(1.0 + SILENCE_TIMEOUT_S / 2)
         self.assertFalse(health.check_pending)
-        health.look(1.0 + SILENCE_TIMEOUT_S)
+        health.evaluate(1.0 + SILENCE_TIMEOUT_S)
         self.assertTrue(health.due(1.0 + SILENCE_TIMEOUT_S))
 
     def test_long_request(self):
         """A long request triggers no check while others make progress."""
         health = Health()
         health.on_request(1.0)
-        health.on_advance(1.05)
-        health.look(1.0 + SILENCE_TIMEOUT_S)
+        health.on_progress(1.05)
+        health.evaluate(1.0 + SILENCE_TIMEOUT_S)
         self.assertFalse(health.check_pending)
 
     def test_slow_service(self):
@@ -134,7 +134,7 @@
         for step in range(100):
             now = step * 0.05
             health.on_request(now)
-            health.look(now)
+            health.evaluate(now)
             if health.due(now):
                 checks += 1
                 health.on_check(CheckResult.ANSWERED, now)
@@ -152,18 +152,18 @@
         """
         health = Health()
         health.on_request(1.0, 0.1)
-        health.look(1.0 + 0.9 * SILENCE_FACTOR * 0.1)
+        health.evaluate(1.0 + 0.9 * SILENCE_FACTOR * 0.1)
         self.assertFalse(health.due(2.0))
-        health.look(1.0 + 1.01 * SILENCE_FACTOR * 0.1)
+        health.evaluate(1.0 + 1.01 * SILENCE_FACTOR * 0.1)
         self.assertTrue(health.due(2.0))
 
     def test_avoided(self):
         """An endpoint reported down by another VM is avoided for a while."""
         health = Health()
-        self.assertTrue(health.is_sure(1.0))
+        self.assertTrue(health.accepts_new_flows(1.0))
         health.avoid(1.0)
-        self.assertFalse(health.is_sure(1.0 + REPORTED_DOWN_S / 2))
-        self.assertTrue(health.is_sure(1.0 + REPORTED_DOWN_S))
+        self.assertFalse(health.accepts_new_flows(1.0 + REPORTED_DOWN_S / 2))
+        self.assertTrue(health.accepts_new_flows(1.0 + REPORTED_DOWN_S))
 
 
 class CheckTest(TestCase):
@@ -173,7 +173,7 @@
         [
             ("refused", CheckResult.REFUSED, 1),
             ("other_process", CheckResult.OTHER, 1),
-            ("timeout", CheckResult.TIMEOUT, FAILED_CHECKS),
+            ("timeout", CheckResult.TIMEOUT, FAILURE_THRESHOLD),
         ]
     )
     def test_down(self, _, result, checks):
@@ -205,11 +205,11 @@
         reset within 0.2 s.
         """
         health, down_at = Health(), None
-        health.ask(1.0, CheckReason.REPORTED)
+        health.request_check(1.0, CheckReason.REPORTED)
         for step in range(100):
             now = 1.0 + step / 100.0
             if answer_s is not None and step % int(100 * answer_s) == 0:
-                health.on_advance(now)
+                health.on_progress(now)
             if step % 5 == 4 and health.due(now):
                 health.on_check(CheckResult.TIMEOUT, now)
             if health.down and down_at is None:
--- a/tests/steering_load_test.py
+++ b/tests/steering_load_test.py
@@ -7,12 +7,12 @@
 from testtools import TestCase
 
 from pollenmast.counters import PlacementReason
-from pollenmast.steering import Catalog, LoadBook
-from pollenmast.steering._load import REPORT_LIFE_S, WINDOW_S, ZONES_SETTLE_S
+from pollenmast.steering import Catalog, EndpointLoads
+from pollenmast.steering._load import REPORT_MAX_AGE_S, WINDOW_S, ZONES_SETTLE_S
 from pollenmast.steering._placement import (
-    ZONE_ADVANTAGE,
-    ZONE_FACTOR,
-    Placement,
+    CROSS_ZONE_LOAD_FACTOR,
+    CROSS_ZONE_LOAD_MARGIN,
+    EndpointSelector,
 )
 from tests import steering_group as group
 
@@ -25,7 +25,7 @@
 FAR = group.endpoint(3, zone=group.OTHER_ZONE)
 
 
-def _rates(book: LoadBook, now: float) -> list[float]:
+def _rates(book: EndpointLoads, now: float) -> list[float]:
     """Returns the rates of the first three endpoints."""
     return [book.rate(number, now) for number in (1, 2, 3)]
 
@@ -35,18 +35,18 @@
 
     def test_window(self):
         """A request counts for two seconds."""
-        book = LoadBook(group.ZONE)
+        book = EndpointLoads(group.ZONE)
         for _ in range(10):
-            book.on_work(1, 5.0)
-        self.assertEqual({1: 10 / WINDOW_S}, book.own(5.1))
-        self.assertEqual({}, book.own(5.0 + WINDOW_S + 0.5))
+            book.on_request(1, 5.0)
+        self.assertEqual({1: 10 / WINDOW_S}, book.own_rates(5.1))
+        self.assertEqual({}, book.own_rates(5.0 + WINDOW_S + 0.5))
 
     def test_sums(self):
         """Own requests, those of the zone's VMs and of other zones add up."""
-        book = LoadBook(group.ZONE)
-        book.on_work(1, 5.0)
-        book.on_mate("vm-2", {1: 3.0}, 5.0)
-        book.on_zone(group.OTHER_ZONE, {1: 4.0, 3: 9.0}, 3, 5.0)
+        book = EndpointLoads(group.ZONE)
+        book.on_request(1, 5.0)
+        book.on_peer_report("vm-2", {1: 3.0}, 5.0)
+        book.on_zone_report(group.OTHER_ZONE, {1: 4.0, 3: 9.0}, 3, 5.0)
         self.assertEqual(3.5, book.zone(5.0)[1])
         self.assertEqual([7.5, 0.0, 9.0], _rates(book, 5.0))
 
@@ -56,13 +56,13 @@
         Otherwise flows that arrive between two reports would all find the same
         endpoint idle.
         """
-        book = LoadBook(group.ZONE)
-        book.on_work(1, 5.0)
+        book = EndpointLoads(group.ZONE)
+        book.on_request(1, 5.0)
         self.assertEqual({1: 0.5}, book.report(5.0))
-        book.on_total({1: 8.5, 2: 4.0}, 25, 5.1)
-        book.on_work(2, 5.2)
+        book.on_total_report({1: 8.5, 2: 4.0}, 25, 5.1)
+        book.on_request(2, 5.2)
         self.assertEqual([8.5, 4.5, 0.0], _rates(book, 5.2))
-        self.assertEqual({1: 0.5, 2: 0.5}, dict(book.gathered(5.2)))
+        self.assertEqual({1: 0.5, 2: 0.5}, dict(book.sum_of_reports(5.2)))
 
     def test_new_reader(self):
         """A total over many VMs is kept against one over few.
@@ -70,15 +70,15 @@
         A VM that has just become a reader has received reports from two others
         only. Its own sum would make busy endpoints look idle.
         """
-        book = LoadBook(group.ZONE)
-        book.on_total({1: 30.0}, 25, 5.0)
-        book.on_mate("vm-2", {1: 1.0}, 5.0)
+        book = EndpointLoads(group.ZONE)
+        book.on_total_report({1: 30.0}, 25, 5.0)
+        book.on_peer_report("vm-2", {1: 1.0}, 5.0)
         self.assertEqual(30.0, book.rate(1, 5.0))
-        book.on_total({1: 2.0}, 3, 5.1)
+        book.on_total_report({1: 2.0}, 3, 5.1)
         self.assertEqual(30.0, book.rate(1, 5.1))
-        book.on_zone(group.OTHER_ZONE, {1: 20.0}, 25, 5.0)
-        book.on_zone(group.OTHER_ZONE, {1: 1.0}, 2, 5.1)
-        after = 5.1 + REPORT_LIFE_S
+        book.on_zone_report(group.OTHER_ZONE, {1: 20.0}, 25, 5.0)
+        book.on_zone_report(group.OTHER_ZONE, {1: 1.0}, 2, 5.1)
+        after = 5.1 + REPORT_MAX_AGE_S
         self.assertEqual(0.0, book.rate(1, after))
 
     def test_expired_report(self):
@@ -86,9 +86,9 @@
 
         Its endpoints would otherwise look busy and be left idle.
         """
-        book = LoadBook(group.ZONE)
-        book.on_mate("vm-2", {1: 30.0}, 5.0)
-        after = 5.1 + REPORT_LIFE_S
+        book = EndpointLoads(group.ZONE)
+        book.on_peer_report("vm-2", {1: 30.0}, 5.0)
+        after = 5.1 + REPORT_MAX_AGE_S
         self.assertEqual([0.0, 0.0, 0.0], _rates(book, after))
 
 
@@ -99,14 +99,14 @@
         """Places a flow by the load from others and from own requests."""
         catalog = Catalog()
         catalog.apply(group.listing(*endpoints), 0.0)
-        load = LoadBook(group.ZONE)
-        load.on_zone(group.OTHER_ZONE, rates, 1, 100.0 - ZONES_SETTLE_S)
-        load.on_zone(group.OTHER_ZONE, rates, 1, 100.0)
+        load = EndpointLoads(group.ZONE)
+        load.on_zone_report(group.OTHER_ZONE, rates, 1, 100.0 - ZONES_SETTLE_S)
+        load.on_zone_report(group.OTHER_ZONE, rates, 1, 100.0)
         for number, requests in (own or {}).items():
             for _ in range(requests):
-                load.on_work(number, 100.0)
-        placement = Placement(group.ZONE, catalog, load, random.Random(1))
-        return placement.choose("registry", tried, 100.0)
+                load.on_request(number, 100.0)
+        selector = EndpointSelector(group.ZONE, catalog, load, random.Random(1))
+        return selector.choose("registry", tried, 100.0)
 
     @parameterized.expand(
         [
@@ -114,7 +114,11 @@
             ("a_little_more", {1: 10.0, 3: 5.0}, PlacementReason.OWN_ZONE),
             (
                 "at_the_margin",
-                {1: 2 * (ZONE_FACTOR * 10.0 + ZONE_ADVANTAGE), 3: 20.0},
+                {
+                    1: 2
+                    * (CROSS_ZONE_LOAD_FACTOR * 10.0 + CROSS_ZONE_LOAD_MARGIN),
+                    3: 20.0,
+                },
                 PlacementReason.OWN_ZONE,
             ),
             ("full", {1: 60.0, 3: 20.0}, PlacementReason.OTHER_ZONE),
@@ -146,12 +150,12 @@
         """
         catalog = Catalog()
         catalog.apply(group.listing(FIRST, FAR), 0.0)
-        load = LoadBook(group.ZONE)
+        load = EndpointLoads(group.ZONE)
         for at in heard_at:
-            load.on_mate("vm-2", {1: 60.0}, at)
-            load.on_zone(group.OTHER_ZONE, {3: 2.0}, 1, at)
-        placement = Placement(group.ZONE, catalog, load, random.Random(1))
-        placed = placement.choose("registry", (), 100.0)
+            load.on_peer_report("vm-2", {1: 60.0}, at)
+            load.on_zone_report(group.OTHER_ZONE, {3: 2.0}, 1, at)
+        selector = EndpointSelector(group.ZONE, catalog, load, random.Random(1))
+        placed = selector.choose("registry", (), 100.0)
         self.assertEqual(reason, placed.reason)
 
     @parameterized.expand([("alone", {}), ("told_else", {1: 1.0, 2: 90.0})])
@@ -170,7 +174,7 @@
 
         It is still slow, and it keeps the flows that it gets now for long.
         """
-        cold = group.endpoint(2, warm_in_s=1000.0)
+        cold = group.endpoint(2, warmup_left_s=1000.0)
         placed = self._choose({}, FIRST, cold, own={1: 20, 2: requests})
         self.assertEqual(expected or cold, placed.record.endpoint)
 
@@ -223,15 +227,15 @@
         catalog = Catalog()
         catalog.apply(group.listing(*listed), 0.0)
         told = {each.number: 20.0 for each in listed[1:]}
-        placements = []
+        selectors = []
         for seed in range(vms):
-            load = LoadBook(group.ZONE)
-            load.on_total(told, vms + 1, 100.0)
+            load = EndpointLoads(group.ZONE)
+            load.on_total_report(told, vms + 1, 100.0)
             rng = random.Random(seed)
-            placements.append(Placement(group.ZONE, catalog, load, rng))
+            selectors.append(EndpointSelector(group.ZONE, catalog, load, rng))
         got = 0
         for number in range(flows):
-            placed = placements[number % vms].choose("registry", (), 100.1)
+            placed = selectors[number % vms].choose("registry", (), 100.1)
             got += placed.record.endpoint is listed[0]
         self.assertLess(got, 3 * flows / endpoints)
 
@@ -266,9 +270,9 @@
     listed = [group.endpoint(n + 1) for n in range(endpoints)]
     catalog = Catalog()
     catalog.apply(group.listing(*listed), 0.0)
-    books = [LoadBook(group.ZONE) for _ in range(vms)]
-    placements = [
-        Placement(group.ZONE, catalog, book, random.Random(seed))
+    books = [EndpointLoads(group.ZONE) for _ in range(vms)]
+    selectors = [
+        EndpointSelector(group.ZONE, catalog, book, random.Random(seed))
         for seed, book in enumerate(books)
     ]
     served = {each.name: _Endpoint() for each in listed}
@@ -278,15 +282,15 @@
         now += rng.expovariate(rate)
         if now >= told + 0.25 and pending:
             for book in books:
-                book.on_total(pending, vms + 1, now)
+                book.on_total_report(pending, vms + 1, now)
             pending = {}
         if now >= told + 0.5:
             told, pending = now, collections.Counter()
             for book in books:
                 pending.update(book.report(now))
         vm = rng.randrange(vms)
-        placed = placements[vm].choose("registry", (), now).record.endpoint
-        books[vm].on_work(placed.number, now)
+        placed = selectors[vm].choose("registry", (), now).record.endpoint
+        books[vm].on_request(placed.number, now)
         served[placed.name].take(now, rng.expovariate(1.0 / WORK_S))
     return sum(each.rejected for each in served.values())
 
@@ -308,6 +312,6 @@
         requests.
         """
         by_own = _count_rejected(vms, endpoints, 0.9)
-        self.patch(Placement, "_own_cost", Placement._total_cost)
+        self.patch(EndpointSelector, "_own_load", EndpointSelector._total_load)
         by_total = _count_rejected(vms, endpoints, 0.9)
         self.assertLess(by_own, 0.5 * by_total)
--- a/tests/steering_members_test.py
+++ b/tests/steering_members_test.py
@@ -54,8 +54,8 @@
         members = _members(25)
         first = members.readers(0.0)
         lost = next(host for host in first if host != "10.0.0.0")
-        members.on_asked(lost, 0.0)
-        members.on_asked(lost, 1.0)
+        members.on_queried(lost, 0.0)
+        members.on_queried(lost, 1.0)
         members.expire(ANSWER_TIMEOUT_S)
         self.assertNotIn(lost, members.readers(ANSWER_TIMEOUT_S))
         self.assertEqual(
@@ -88,7 +88,7 @@
             members.on_heard(host, ZONE, 0.0, 100)
         self.assertEqual(2, len(members.readers(0.0)))
         for host in members.readers(0.0):
-            members.on_asked(host, 0.0)
+            members.on_queried(host, 0.0)
         members.expire(ANSWER_TIMEOUT_S)
         left = set(members.readers(ANSWER_TIMEOUT_S))
         self.assertEqual(READERS_PER_ZONE, len(left))
@@ -98,9 +98,9 @@
         """An excluded VM is considered again after `EXCLUSION_S`."""
         members = _members(25)
         lost = next(h for h in members.readers(0.0) if h != "10.0.0.0")
-        members.on_asked(lost, 0.0)
+        members.on_queried(lost, 0.0)
         members.expire(ANSWER_TIMEOUT_S)
-        members.on_named(lost, ZONE, 5.0)
+        members.on_announced(lost, ZONE, 5.0)
         self.assertIn(lost, members.readers(ANSWER_TIMEOUT_S + EXCLUSION_S))
 
     def test_lost_answer(self):
@@ -108,7 +108,7 @@
         members = _members(25)
         first = members.readers(0.0)
         asked = next(host for host in first if host != "10.0.0.0")
-        members.on_asked(asked, 0.0)
+        members.on_queried(asked, 0.0)
         members.expire(1.0)
         members.on_heard(asked, ZONE, 1.1)
         members.expire(ANSWER_TIMEOUT_S)
@@ -135,10 +135,12 @@
         that reads nothing.
         """
         members = _members(3)
-        self.assertIn("10.0.0.1", members.heard(ZONE, HEARD_TIMEOUT_S - 0.1))
-        self.assertNotIn("10.0.0.1", members.heard(ZONE, HEARD_TIMEOUT_S))
-        members.on_named("10.0.0.1", ZONE, HEARD_TIMEOUT_S)
-        self.assertNotIn("10.0.0.1", members.heard(ZONE, HEARD_TIMEOUT_S))
+        self.assertIn(
+            "10.0.0.1", members.heard_from(ZONE, HEARD_TIMEOUT_S - 0.1)
+        )
+        self.assertNotIn("10.0.0.1", members.heard_from(ZONE, HEARD_TIMEOUT_S))
+        members.on_announced("10.0.0.1", ZONE, HEARD_TIMEOUT_S)
+        self.assertNotIn("10.0.0.1", members.heard_from(ZONE, HEARD_TIMEOUT_S))
 
     def test_lost_vms_are_contacted(self):
         """Lost VMs are contacted again, a limited number of times.
@@ -149,18 +151,18 @@
         members = _members(3)
         members.expire(MEMBER_TIMEOUT_S)
         self.assertEqual([], members.hosts)
-        self.assertEqual(["10.0.0.1", "10.0.0.2"], members.strangers())
+        self.assertEqual(["10.0.0.1", "10.0.0.2"], members.contact_candidates())
         members.on_heard("10.0.0.1", ZONE, 20.0)
-        self.assertEqual(["10.0.0.2"], members.strangers())
+        self.assertEqual(["10.0.0.2"], members.contact_candidates())
         for _ in range(MAX_CONTACT_ATTEMPTS):
-            members.strangers()
-        self.assertEqual([], members.strangers())
+            members.contact_candidates()
+        self.assertEqual([], members.contact_candidates())
 
     def test_seeds(self):
         """Seeds that are down are contacted without a limit of attempts."""
         members = Members("10.0.0.0", ZONE, ["10.0.0.0", "10.1.0.9"])
         for _ in range(2 * MAX_CONTACT_ATTEMPTS):
-            self.assertEqual(["10.1.0.9"], members.strangers())
+            self.assertEqual(["10.1.0.9"], members.contact_candidates())
 
 
 class RankingTest(TestCase):
@@ -207,9 +209,9 @@
             if event == "heard":
                 members.on_heard(host, zone, now, mbps)
             elif event == "named":
-                members.on_named(host, zone, now, mbps)
+                members.on_announced(host, zone, now, mbps)
             elif event == "asked":
-                members.on_asked(host, now)
+                members.on_queried(host, now)
             else:
                 members.expire(now)
             for each in (ZONE, OTHER):
--- a/tests/steering_restore_test.py
+++ b/tests/steering_restore_test.py
@@ -15,7 +15,7 @@
     ZoneDrained,
     ZoneRestored,
 )
-from pollenmast.steering._catalog import LAPSE_S, RESTORE_SETTLE_S
+from pollenmast.steering._catalog import LAPSE_GRACE_PERIOD_S, RESTORE_SETTLE_S
 from tests import steering_group as group
 
 FIRST = group.endpoint(1)
@@ -41,7 +41,7 @@
     drains = [ZoneDrained(zone, revision - 5) for zone in zones]
     routes = RoutesPublished(group.table(version), revision - 5)
     changes = (routes, *listed, *drains)
-    return Update(changes, revision, whole=True, epoch=epoch)
+    return Update(changes, revision, complete=True, epoch=epoch)
 
 
 def _send_syn(core, number: int, now: float):
@@ -84,7 +84,7 @@
             ),
         ]
     )
-    def test_applied(self, _, epoch, revision, whole, expected):
+    def test_applied(self, _, epoch, revision, complete, expected):
         """A late answer of the old store does not undo the restore.
 
         Updates of an earlier epoch are ignored. Of a later epoch only a
@@ -92,7 +92,7 @@
         """
         core = _core(FIRST)
         changes = (EndpointAnnounced(LEAVING, revision),)
-        core.apply(Update(changes, revision, whole, epoch=epoch), 5.0)
+        core.apply(Update(changes, revision, complete, epoch=epoch), 5.0)
         self.assertEqual(expected, core.position)
         applied = expected != Position(1, KNOWN_REVISION)
         self.assertEqual(
@@ -161,7 +161,7 @@
         core = _core(FIRST, SECOND)
         removed = EndpointRemoved(FIRST.name, KNOWN_REVISION + 1)
         core.apply(Update((removed,), KNOWN_REVISION + 1, epoch=1), 1.0)
-        core.on_confirmed(1.5 + LAPSE_S)
+        core.on_confirmed(1.5 + LAPSE_GRACE_PERIOD_S)
         return core
 
     @parameterized.expand([("drained", "_left"), ("gone", "_gone")])
@@ -172,7 +172,7 @@
         """
         core = getattr(self, before)()
         core.apply(_restored_listing(FIRST, SECOND), 5.0)
-        core.settle(SETTLED_AT - 0.1)
+        core.adopt_restored_state(SETTLED_AT - 0.1)
         placed = {_send_syn(core, n, 5.1).endpoint.name for n in range(40)}
         self.assertEqual({SECOND.name}, placed)
 
@@ -181,13 +181,15 @@
         """An endpoint back in service is used once the state settles."""
         core = getattr(self, before)()
         core.apply(_restored_listing(FIRST, SECOND), 5.0)
-        applied = core.settle(SETTLED_AT)
+        applied = core.adopt_restored_state(SETTLED_AT)
         self.assertEqual(
             [FIRST.name], [r.endpoint.name for r in applied.records]
         )
         names = {r.endpoint.name for r in core.catalog.serving("registry")}
         self.assertEqual({FIRST.name, SECOND.name}, names)
-        self.assertEqual([], core.settle(SETTLED_AT + 1.0).records)
+        self.assertEqual(
+            [], core.adopt_restored_state(SETTLED_AT + 1.0).records
+        )
 
     @parameterized.expand(
         [("ready", FIRST, True), ("draining", LEAVING, False)]
@@ -203,7 +205,7 @@
         change = EndpointAnnounced(written, COPY_REVISION + 1)
         core.apply(Update((change,), COPY_REVISION + 1, epoch=2), 5.2)
         for now in (5.3, SETTLED_AT):
-            core.settle(now)
+            core.adopt_restored_state(now)
             names = {r.endpoint.name for r in core.catalog.serving("registry")}
             self.assertEqual(serves, FIRST.name in names)
 
@@ -215,9 +217,9 @@
         core = self._left()
         core.apply(_restored_listing(FIRST, SECOND), 5.0)
         core.apply(_restored_listing(FIRST, SECOND, epoch=3, revision=50), 5.6)
-        core.settle(SETTLED_AT)
+        core.adopt_restored_state(SETTLED_AT)
         self.assertTrue(core.catalog.get(FIRST.name).endpoint.draining)
-        core.settle(SETTLED_AT + 0.7)
+        core.adopt_restored_state(SETTLED_AT + 0.7)
         self.assertFalse(core.catalog.get(FIRST.name).endpoint.draining)
 
     def test_withheld_entry_removed(self):
@@ -226,7 +228,7 @@
         core.apply(_restored_listing(FIRST, SECOND), 5.0)
         removed = EndpointRemoved(FIRST.name, COPY_REVISION + 1)
         core.apply(Update((removed,), COPY_REVISION + 1, epoch=2), 6.0)
-        self.assertEqual([], core.settle(SETTLED_AT).records)
+        self.assertEqual([], core.adopt_restored_state(SETTLED_AT).records)
 
     def test_new_vm(self):
         """A VM that has just started is sent the restored directory's state."""
@@ -259,10 +261,10 @@
         """
         core = self._drained()
         core.apply(_restored_listing(FIRST, SECOND), 5.0)
-        core.settle(SETTLED_AT - 0.1)
+        core.adopt_restored_state(SETTLED_AT - 0.1)
         self.assertTrue(self._is_drained(core))
         zones = [ZoneRestored(group.OTHER_ZONE, 0)]
-        self.assertEqual(zones, core.settle(SETTLED_AT).zones)
+        self.assertEqual(zones, core.adopt_restored_state(SETTLED_AT).zones)
         self.assertFalse(self._is_drained(core))
 
     def test_written_again(self):
@@ -271,7 +273,7 @@
         core.apply(_restored_listing(FIRST, SECOND), 5.0)
         change = ZoneDrained(group.OTHER_ZONE, COPY_REVISION + 1)
         core.apply(Update((change,), COPY_REVISION + 1, epoch=2), 5.5)
-        core.settle(SETTLED_AT)
+        core.adopt_restored_state(SETTLED_AT)
         self.assertTrue(self._is_drained(core))
 
     def test_restored_in_new_epoch(self):
@@ -303,7 +305,7 @@
         ]
     )
     def test_update_for_peer(
-        self, _, epoch, revision, known_epoch, known, whole
+        self, _, epoch, revision, known_epoch, known, complete
     ):
         """A peer of another epoch is sent a complete listing, not changes.
 
@@ -317,5 +319,6 @@
         body = snapshot.encode(core, Position(known_epoch, known))
         update = snapshot.decode(body).ok_value
         self.assertEqual(
-            (Position(epoch, revision), whole), (update.position, update.whole)
+            (Position(epoch, revision), complete),
+            (update.position, update.complete),
         )
