--- a/src/pollenmast/entry/_follow.py
+++ b/src/pollenmast/entry/_follow.py
@@ -52,8 +52,8 @@
 the limit is left."""
 
 STALE_JITTER = 0.15
-"""Upper bound of the random addition to `STALE_FRACTION`. It makes one VM ask first
-and tell the others."""
+"""Upper bound of the random addition to `STALE_FRACTION`. It makes one VM ask
+first and tell the others."""
 
 MAX_IDLE_S = 0.4
 """Longest interval, in seconds, at which a VM that does not watch the directory
--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -7,8 +7,8 @@
 
 A removed entry is therefore first marked as lapsed. A lapsed endpoint keeps
 its open flows and gets new ones only if no other endpoint can take them. If
-the entry is still missing after `LAPSE_GRACE_PERIOD_S` and a health check confirms the
-loss, the endpoint is gone; only then are its flows ended.
+the entry is still missing after `LAPSE_GRACE_PERIOD_S` and a health check
+confirms the loss, the endpoint is gone; only then are its flows ended.
 """
 
 import functools
@@ -209,7 +209,7 @@
         return list(self._lapsed.values())
 
     def expire(self, now: float) -> None:
-        """Removes endpoints whose entries have been missing for `GONE_RETENTION_S`."""
+        """Removes endpoints that have been missing for `GONE_RETENTION_S`."""
         for name, record in list(self._records.items()):
             missing = self.is_missing(record)
             if missing and now - record.lapsed_at >= GONE_RETENTION_S:
--- a/src/pollenmast/steering/_model.py
+++ b/src/pollenmast/steering/_model.py
@@ -81,7 +81,8 @@
         zone: Its availability zone.
         slots: The number of requests that it processes concurrently.
         draining: Whether it takes no new flows.
-        warmup_left_s: The remaining warm-up time in seconds at the announcement.
+        warmup_left_s: The remaining warm-up time in seconds at the
+            announcement.
     """
 
     name: str
