--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of pollenmast: one file a module."""
+"""Tests of pollenmast, one file for each module under test."""
--- a/tests/binary_start_test.py
+++ b/tests/binary_start_test.py
@@ -1,4 +1,4 @@
-"""Tests of packing: the binary as a VM starts it."""
+"""Tests of packing: the binary is run the way a VM runs it."""
 
 import os
 import pathlib
@@ -17,14 +17,16 @@
 from packing import _archive, _contents
 from tests.settings_load_test import KEY, TEXT
 
-_PATIENCE_S = 60
-"""Longest wait for a program that should answer; never part of a verdict
-but for one that hangs."""
+_TIMEOUT_S = 60
+"""Timeout in seconds for a program to respond.
+
+It affects the result only if the program hangs.
+"""
 
 _POLL_S = 0.01
-"""Between two looks at a program that comes up."""
+"""Polling interval in seconds while a program starts."""
 
-_AUDIT = """\
+_AUDIT_SCRIPT = """\
 import os, runpy, sys
 def watch(event, arguments):
     if event in ("os.fork", "os.exec", "os.posix_spawn", "subprocess.Popen"):
@@ -37,9 +39,9 @@
 sys.path.insert(0, sys.argv[0])
 runpy.run_path(sys.argv[0], run_name="__main__")
 """
-"""Runs the binary, and tells of each process started and file written."""
+"""Runs the binary and reports each process started and file written."""
 
-_IMPORTS = """\
+_IMPORT_SCRIPT = """\
 import sys
 sys.path.insert(0, sys.argv[1])
 import native_modules
@@ -51,7 +53,7 @@
 group = importlib.metadata.entry_points(group="opentelemetry_context")
 assert "contextvars_context" in group.names
 """
-"""Loads every packed native module and looks up an entry point."""
+"""Imports every packed native module and looks up an entry point."""
 
 _binary: list[pathlib.Path] = []
 
@@ -66,41 +68,41 @@
 
 
 class BinaryTest(TestCase):
-    """One file that runs by itself, in one process, without a disk."""
+    """The binary is one file that runs in one process without a disk."""
 
     def setUp(self):
-        """Makes an empty working folder, and a folder of input files."""
+        """Creates an empty working directory and a directory of input files."""
         super().setUp()
         self.binary = _binary[0]
-        self.work = self._folder()
-        self.input = self._folder()
-        key_file = self.input / "key"
+        self.work_directory = self._make_directory()
+        self.input_directory = self._make_directory()
+        key_file = self.input_directory / "key"
         key_file.write_text(KEY)
         text = TEXT.format(key_file=key_file)
-        # An address of this process alone: the same test may run elsewhere.
+        # An address unique to this process: the test may run in parallel.
         pid = os.getpid()
         address = f"127.{100 + pid // 64516 % 64}.{pid // 254 % 254}"
         text = text.replace("127.0.1.1", f"{address}.{1 + pid % 254}")
-        self.settings = self.input / "vm.ini"
+        self.settings = self.input_directory / "vm.ini"
         self.settings.write_text(text)
-        python = self._folder() / "python3.11"
+        python = self._make_directory() / "python3.11"
         python.symlink_to(os.path.realpath(sys.executable))
         self.environ = {
             "PATH": str(python.parent),
-            "HOME": str(self.work),
-            "TMPDIR": str(self.work),
+            "HOME": str(self.work_directory),
+            "TMPDIR": str(self.work_directory),
         }
 
-    def _folder(self) -> pathlib.Path:
+    def _make_directory(self) -> pathlib.Path:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         return pathlib.Path(folder.name)
 
     def start(self, *command: str) -> subprocess.Popen:
-        """Starts a command in the empty folder."""
+        """Starts a command in the empty working directory."""
         process = subprocess.Popen(
             [str(word) for word in command],
-            cwd=self.work,
+            cwd=self.work_directory,
             env=self.environ,
             stdin=subprocess.DEVNULL,
             stdout=subprocess.PIPE,
@@ -111,17 +113,17 @@
         self.addCleanup(process.kill)
         return process
 
-    def finish(self, *command: str) -> tuple[int, str, str]:
-        """Runs a command to its end; returns its code, output, complaints."""
+    def run_command(self, *command: str) -> tuple[int, str, str]:
+        """Runs a command and returns its exit status, stdout and stderr."""
         process = self.start(*command)
-        output, complaints = process.communicate(timeout=_PATIENCE_S)
-        return process.returncode, output, complaints
+        output, errors = process.communicate(timeout=_TIMEOUT_S)
+        return process.returncode, output, errors
 
     def test_version(self):
-        """The file starts by its own first line, alone in its folder."""
+        """The file runs by its own shebang line, alone in its directory."""
         self.assertEqual(
             (0, f"pollenmast {pollenmast.VERSION}\n", ""),
-            self.finish(self.binary, "--version"),
+            self.run_command(self.binary, "--version"),
         )
 
     @parameterized.expand(
@@ -132,54 +134,53 @@
         ]
     )
     def test_short_command(self, _, words):
-        """A packed program unpacks itself or starts a helper process.
+        """A short command writes no file and starts no process.
 
-        On a VM without a disk it would not start at all, and a helper that
-        outlives it would be left behind.
+        A binary that unpacks itself does not start on a VM without a disk,
+        and a helper process may outlive the command.
         """
         words = [w.replace("SETTINGS", str(self.settings)) for w in words]
         python = self.environ["PATH"] + "/python3.11"
-        code, _, complaints = self.finish(
-            python, "-IBSc", _AUDIT, self.binary, *words
+        code, _, errors = self.run_command(
+            python, "-IBSc", _AUDIT_SCRIPT, self.binary, *words
         )
-        self.assertEqual((0, ""), (code, complaints))
-        self.assertEqual([], list(self.work.iterdir()))
+        self.assertEqual((0, ""), (code, errors))
+        self.assertEqual([], list(self.work_directory.iterdir()))
 
     @parameterized.expand([("relay",), ("agent",)])
     def test_program(self, name):
-        """A running program is one process that holds no file for writing.
+        """A running program is one process with no file open for writing.
 
-        A signal ends it in an orderly way, although nobody else of its fleet
-        is there.
+        SIGTERM stops it cleanly even if no other VM of its fleet is up.
         """
         process = self.start(self.binary, name, "--settings", self.settings)
         started = process.stderr.readline()
         self.assertIn('"started"', started)
         folder = pathlib.Path("/proc") / str(process.pid)
-        while process.poll() is None and not _takes_sigterm(folder):
+        while process.poll() is None and not _handles_sigterm(folder):
             time.sleep(_POLL_S)
-        self.assertEqual([], _children(folder))
-        self.assertEqual([], _written_files(folder))
+        self.assertEqual([], _child_processes(folder))
+        self.assertEqual([], _files_open_for_writing(folder))
         process.send_signal(signal.SIGTERM)
-        _, complaints = process.communicate(timeout=_PATIENCE_S)
-        self.assertEqual(0, process.returncode, complaints)
-        self.assertIn('"stopped"', complaints)
-        self.assertEqual([], list(self.work.iterdir()))
+        _, errors = process.communicate(timeout=_TIMEOUT_S)
+        self.assertEqual(0, process.returncode, errors)
+        self.assertIn('"stopped"', errors)
+        self.assertEqual([], list(self.work_directory.iterdir()))
 
     def test_native_modules(self):
         """Every native module loads from memory, and entry points are found.
 
-        A module that does not load would be noticed only when a VM comes to
-        need it.
+        A module that fails to load would otherwise be noticed only once a VM
+        needs it.
         """
         python = self.environ["PATH"] + "/python3.11"
         self.assertEqual(
             (0, "", ""),
-            self.finish(python, "-IBSc", _IMPORTS, self.binary),
+            self.run_command(python, "-IBSc", _IMPORT_SCRIPT, self.binary),
         )
 
     def test_contents(self):
-        """The product and its libraries are packed; tests and bench are not."""
+        """The archive has the product and its libraries, not tests or bench."""
         with zipfile.ZipFile(self.binary) as archive:
             tops = {name.split("/")[0] for name in archive.namelist()}
         self.assertIn("pollenmast", tops)
@@ -187,13 +188,13 @@
         self.assertEqual(set(), tops & unwanted)
 
     def test_reproducible(self):
-        """The same contents give the same bytes."""
+        """Packing the same contents twice gives the same bytes."""
         entries = _contents.gather()
-        targets = [self.input / "one", self.input / "other"]
+        targets = [self.input_directory / "one", self.input_directory / "other"]
         for target in targets:
             _archive.write(entries, target)
         self.assertEqual(*[target.read_bytes() for target in targets])
-        # The product's own files may be edited while this test runs.
+        # The product's own sources may be edited while this test runs.
         first, again = _library_entries(entries), _contents.gather()
         self.assertEqual(first, _library_entries(again))
 
@@ -206,14 +207,14 @@
     }
 
 
-def _takes_sigterm(folder: pathlib.Path) -> bool:
-    """Tells whether a process handles the signal, and so has come up."""
+def _handles_sigterm(folder: pathlib.Path) -> bool:
+    """Returns whether a process handles SIGTERM, and so has started up."""
     status = (folder / "status").read_text()
     handled = int(status.split("SigCgt:")[1].split()[0], 16)
     return bool(handled >> (signal.SIGTERM - 1) & 1)
 
 
-def _children(folder: pathlib.Path) -> list[str]:
+def _child_processes(folder: pathlib.Path) -> list[str]:
     return [
         child
         for task in (folder / "task").iterdir()
@@ -221,8 +222,8 @@
     ]
 
 
-def _written_files(folder: pathlib.Path) -> list[str]:
-    """Returns the files on a disk that a process holds for writing."""
+def _files_open_for_writing(folder: pathlib.Path) -> list[str]:
+    """Returns the files on disk that a process has open for writing."""
     found = []
     for entry in (folder / "fd").iterdir():
         target = os.readlink(entry)
--- a/tests/docs_pages_test.py
+++ b/tests/docs_pages_test.py
@@ -1,4 +1,4 @@
-"""Tests of docs_tool: pages that repeat the code are current."""
+"""Tests of docs_tool: pages generated from the code are up to date."""
 
 import json
 import pathlib
@@ -16,17 +16,17 @@
 
 
 class PagesTest(TestCase):
-    """Operators read the pages in place of the code."""
+    """Operators rely on the pages instead of the code."""
 
     @parameterized.expand([(name,) for name in PAGES])
     def test_current(self, name):
-        """The page is what `python -m docs_tool` writes."""
+        """The page equals the output of `python -m docs_tool`."""
         self.assertEqual(PAGES[name](), (_DOCS / name).read_text())
 
-    def test_no_circle(self):
-        """No package imports one that imports it, however far around.
+    def test_no_import_cycle(self):
+        """There are no direct or indirect import cycles between packages.
 
-        A newcomer reads from the bottom up, and a package can be tested
+        The code can be read from the bottom up, and a package can be tested
         without those above it.
         """
         above = set()
@@ -36,14 +36,14 @@
             above |= set(level)
 
     def test_example_manifest(self):
-        """The manifest that the page shows is taken."""
-        text = _block(PAGES["MANIFEST.md"](), "json")
+        """The example manifest on the page is valid."""
+        text = _code_block(PAGES["MANIFEST.md"](), "json")
         json.loads(text)
         self.assertTrue(manifest.parse(text.encode()).is_ok())
 
     def test_example_settings(self):
-        """The settings that the page shows are taken, given the key."""
-        text = _block(PAGES["SETTINGS.md"](), "ini")
+        """The example settings on the page are valid with a key file."""
+        text = _code_block(PAGES["SETTINGS.md"](), "ini")
         with tempfile.TemporaryDirectory() as folder:
             key_file = pathlib.Path(folder) / "key"
             key_file.write_text("07" * 32)
@@ -54,5 +54,5 @@
         self.assertTrue(loaded.is_ok(), loaded)
 
 
-def _block(page: str, language: str) -> str:
+def _code_block(page: str, language: str) -> str:
     return re.search(rf"```{language}\n(.*?)```", page, re.DOTALL).group(1)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Runs the tests; passes over those that KNOWN-RED.txt names, and prints them.
+"""Runs all tests except those listed in KNOWN-RED.txt, which it prints.
 
 A line of KNOWN-RED.txt is `TEST_ID | command and seed | seen | cause | issue`,
-where TEST_ID is what pytest prints. Everything else must pass.
+where TEST_ID is the node id that pytest prints. All other tests must pass.
 """
 
 import pathlib
@@ -10,20 +10,24 @@
 import pytest
 
 _LIST = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
-_MOST_LINES = 3
+_MAX_LINES = 3
 _WORKERS = "6"
 
 
 def known_red() -> list[str]:
-    """Returns the listed test ids; the file may hold three lines at most."""
+    """Returns the listed test ids.
+
+    Raises:
+        SystemExit: The file has more than three lines.
+    """
     lines = [line for line in _LIST.read_text().splitlines() if line.strip()]
-    if len(lines) > _MOST_LINES:
-        raise SystemExit(f"{_LIST.name}: more than {_MOST_LINES} lines")
+    if len(lines) > _MAX_LINES:
+        raise SystemExit(f"{_LIST.name}: more than {_MAX_LINES} lines")
     return [line.split("|")[0].strip() for line in lines]
 
 
 def main() -> int:
-    """Runs pytest over all but the listed tests and returns its exit code."""
+    """Runs pytest without the listed tests and returns its exit code."""
     listed = known_red()
     for test in listed:
         print(f"known red, not run: {test}")
--- a/tests/proof/__init__.py
+++ b/tests/proof/__init__.py
@@ -1,1 +1,5 @@
-"""Proof of the whole: a machine of faults, an oracle, and mutations."""
+"""Stateful property tests of a whole fleet under injected faults.
+
+Consists of Hypothesis state machines that inject faults, an oracle that checks
+the invariants, and mutations that show that the checks detect missing code.
+"""
--- a/tests/proof/__main__.py
+++ b/tests/proof/__main__.py
@@ -1,4 +1,4 @@
-"""The longer search, and the run of all mutations.
+"""Command line: the long randomized search, and the run of all mutations.
 
 `python -m tests.proof search --first 1 --seeds 60 --minutes 10 --jobs 6`
 `python -m tests.proof teeth`
@@ -25,14 +25,14 @@
 
 
 @attrs.frozen
-class Found:
-    """What became of one seed.
+class SeedResult:
+    """The result of running one seed.
 
     Attributes:
-        machine: The machine's name.
+        machine: Name of the state machine's class.
         seed: The seed.
-        seconds: Time that it took.
-        text: What was found, empty for nothing.
+        seconds: Run time in seconds.
+        text: Description of the failure; empty if there was none.
     """
 
     machine: str
@@ -41,8 +41,13 @@
     text: str
 
 
-def run_seed(task: tuple[type, int, bool]) -> Found:
-    """Runs one machine under one seed."""
+def run_seed(task: tuple[type, int, bool]) -> SeedResult:
+    """Runs one state machine with one seed.
+
+    Args:
+        task: The state machine's class, the seed, and whether to shrink a
+            failing case.
+    """
     machine, number, shrink = task
     began = time.monotonic()
     phases = [Phase.generate, Phase.shrink] if shrink else [Phase.generate]
@@ -59,23 +64,34 @@
     text = ""
     try:
         run_state_machine_as_test(seeded, settings=options)
-    # Whatever escapes is a finding, also what is no violation.
+    # Any exception is a finding, not only a ViolationError.
     except Exception as error:  # noqa: BLE001
         notes = "\n".join(getattr(error, "__notes__", []))
         text = f"{type(error).__name__}: {error}\n{notes if shrink else ''}"
     took = time.monotonic() - began
-    return Found(machine.__name__, number, took, text.strip())
+    return SeedResult(machine.__name__, number, took, text.strip())
 
 
 def search(first: int, seeds: int, minutes: float, jobs: int, shrink: bool):
-    """Runs both machines under many seeds until the time is over."""
+    """Runs both state machines with many seeds until the time limit.
+
+    Args:
+        first: The first seed.
+        seeds: Number of consecutive seeds.
+        minutes: Time limit.
+        jobs: Number of worker processes.
+        shrink: Whether to shrink failing cases.
+
+    Returns:
+        The exit status: 1 if any seed failed, else 0.
+    """
     until = time.monotonic() + 60.0 * minutes
     tasks = [
         (machine, number, shrink)
         for number in range(first, first + seeds)
         for machine in _MACHINES
     ]
-    found: list[Found] = []
+    found: list[SeedResult] = []
     with multiprocessing.Pool(jobs) as pool:
         for each in pool.imap(run_seed, tasks):
             found.append(each)
@@ -96,25 +112,31 @@
     return int(any(each.text for each in found))
 
 
-def teeth() -> int:
-    """Runs each scenario with its code and without."""
-    toothless = 0
+def run_mutations() -> int:
+    """Runs the scenario of each mutation without and with the mutation.
+
+    Returns:
+        The exit status: 1 if any mutation went undetected, else 0.
+    """
+    undetected = 0
     for each in MUTATIONS:
         each.scenario()
         try:
             with each.patch():
                 each.scenario()
             shown = "NOT SEEN"
-            toothless += 1
+            undetected += 1
         except ViolationError as error:
             shown = str(error)
-        print(f"{each.name} | {each.line.value} | {each.removed} | {shown}")
-    print(f"{len(MUTATIONS)} mutations, {toothless} not seen")
-    return int(toothless > 0)
+        print(
+            f"{each.name} | {each.invariant.value} | {each.removed} | {shown}"
+        )
+    print(f"{len(MUTATIONS)} mutations, {undetected} not seen")
+    return int(undetected > 0)
 
 
 def main() -> int:
-    """Reads the command line."""
+    """Runs the command given on the command line; returns the exit status."""
     parser = argparse.ArgumentParser(prog="python -m tests.proof")
     commands = parser.add_subparsers(dest="command", required=True)
     searching = commands.add_parser("search")
@@ -124,11 +146,15 @@
     searching.add_argument("--jobs", type=int, default=6)
     searching.add_argument("--shrink", action="store_true")
     commands.add_parser("teeth")
-    asked = parser.parse_args()
-    if asked.command == "teeth":
-        return teeth()
+    arguments = parser.parse_args()
+    if arguments.command == "teeth":
+        return run_mutations()
     return search(
-        asked.first, asked.seeds, asked.minutes, asked.jobs, asked.shrink
+        arguments.first,
+        arguments.seeds,
+        arguments.minutes,
+        arguments.jobs,
+        arguments.shrink,
     )
 
 
--- a/tests/proof/_agents.py
+++ b/tests/proof/_agents.py
@@ -1,4 +1,8 @@
-"""The agents' machine: heartbeats and manifests under faults."""
+"""State machine of agents: heartbeats and manifests under faults.
+
+Hypothesis orders rules by name, so renaming a rule changes the cases that a
+seed stands for.
+"""
 
 import attrs
 from hypothesis import strategies as st
@@ -16,35 +20,38 @@
 from tests.membership_group import Group, Node, vm
 from tests.proof import _traffic as traffic
 from tests.proof._node import parse
-from tests.proof._oracle import Line, Oracle, ViolationError
+from tests.proof._oracle import Invariant, Oracle, ViolationError
 
 SETTLE_S = 30.0
-"""Time to meet again after a cut: each VM tries one dead member in 2 s."""
+"""Seconds until the membership converges after a partition.
+
+Each VM contacts one dead member every 2 s.
+"""
 
 _LEASE_S = Times().lease
 _index = st.integers(0, 7)
 
 
 class Agents(Group):
-    """A group whose members also take and pass on manifests.
+    """A membership group whose members also exchange manifests.
 
     Attributes:
-        oracle: Which manifest each agent has accepted.
-        accepted: Each agent's manifest, by its VM's name.
-        losses: Messages to lose from now on.
-        island: The availability zone that is cut off, if any.
+        oracle: Checks the manifests that agents accept.
+        accepted: Each agent's accepted manifest, by VM name.
+        losses: Number of further messages to lose.
+        partitioned_zone: The availability zone that is partitioned off, if any.
     """
 
     def __init__(self, size: int, seed: int):
         self.oracle = Oracle()
         self.accepted: dict[str, Acceptance] = {}
         self.losses = 0
-        self.island: str | None = None
+        self.partitioned_zone: str | None = None
         super().__init__(size, seed)
         self.lost = self._is_lost
 
     def start(self, own, seeds=(), listed=True) -> Node:
-        """Starts an agent; it knows no manifest."""
+        """Starts an agent that has no manifest."""
         self.accepted[own.name] = Acceptance()
         return super().start(own, seeds, listed)
 
@@ -52,22 +59,22 @@
         if self.losses > 0:
             self.losses -= 1
             return True
-        return self.apart(self.nodes[source], self.nodes[to])
+        return self.is_partitioned(self.nodes[source], self.nodes[to])
 
-    def apart(self, one: Node, other: Node) -> bool:
-        """Returns whether a cut lies between two agents."""
+    def is_partitioned(self, one: Node, other: Node) -> bool:
+        """Returns whether a partition separates two agents."""
         zones = {one.membership.own.zone, other.membership.own.zone}
-        return self.island in zones and len(zones) > 1
+        return self.partitioned_zone in zones and len(zones) > 1
 
     def offer(self, node: Node, text: bytes) -> None:
-        """An agent is given a manifest's text."""
+        """Offers a manifest to an agent, which ignores an invalid one."""
         parsed = parse(text)
         if parsed.is_err():
             return
         acceptance = self.accepted[node.name]
         acceptance.offer(parsed.unwrap(), text, self.now)
         key = acceptance.key
-        self.oracle.in_force(acceptance, key.version, key.digest)
+        self.oracle.check_manifest(acceptance, key.version, key.digest)
         node.key = key
         node.membership.set_in_force(key)
 
@@ -82,10 +89,10 @@
 
     def _answers(self, node: Node, peer: Node | None) -> bool:
         usable = peer is not None and not peer.ended and not peer.paused
-        return usable and not self.apart(node, peer)
+        return usable and not self.is_partitioned(node, peer)
 
     def show_list(self) -> None:
-        """The platform's list has caught up, and every agent reads it."""
+        """Gives every agent the platform's current list of VMs."""
         listed = [node.membership.own for node in self.running()]
         for node in self.running():
             sends = node.membership.introduce(listed, self.now)
@@ -97,7 +104,7 @@
 
 
 class AgentsMachine(RuleBasedStateMachine):
-    """What may come about among agents."""
+    """Agents, with each event that may happen among them as a rule."""
 
     def __init__(self):
         super().__init__()
@@ -108,7 +115,7 @@
 
     @initialize(seed=st.integers(0, 1 << 16), size=st.integers(3, 5))
     def begin(self, seed, size):
-        """A fleet starts."""
+        """Starts a fleet."""
         self.group = Agents(size, seed)
         self.publish([0])
 
@@ -118,13 +125,13 @@
 
     @rule(whom=st.lists(_index, min_size=1, max_size=3))
     def publish(self, whom):
-        """A release reaches some agents from the platform."""
+        """The platform sends a new manifest to some agents."""
         self.plan.version += 1
         self._tell(whom)
 
     @rule(whom=st.lists(_index, min_size=1, max_size=3), drains=_index)
     def race(self, whom, drains):
-        """Another pipeline publishes the same version."""
+        """Another pipeline publishes the same version with other contents."""
         self.plan.draining = {f"registry-{drains % 3}"}
         self._tell(whom)
         self.plan.draining = set()
@@ -138,30 +145,30 @@
 
     @rule(which=_index, age=_index)
     def old(self, which, age):
-        """A stale platform tells an agent an old manifest."""
+        """A stale platform sends an old manifest to an agent."""
         node = self._pick(which)
         if not node.paused:
             self.group.offer(node, self.texts[age % len(self.texts)])
 
     @rule(which=_index, text=st.binary(max_size=20))
     def invalid(self, which, text):
-        """An agent is told nonsense."""
+        """An agent receives an invalid manifest."""
         self.group.offer(self._pick(which), text)
 
     @rule(which=_index)
     def kill(self, which):
-        """A VM ends at once."""
+        """A VM is killed without notice."""
         if len(self.group.running()) > 1:
             self._pick(which).ended = True
 
     @rule(which=_index)
     def leave(self, which):
-        """A VM says that it leaves."""
+        """A VM announces that it is leaving."""
         self._pick(which).membership.leave()
 
     @rule(number=st.integers(0, 4))
     def start(self, number):
-        """A VM starts, or starts again under its old name."""
+        """A VM starts, or restarts under its old name."""
         self.incarnation += 1
         known = self.group.nodes.get(f"vm-{number}")
         if known is None or known.ended:
@@ -169,7 +176,7 @@
 
     @rule(which=_index, seconds=st.sampled_from([0.3, 1.0, 2.5, 8.0]))
     def freeze(self, which, seconds):
-        """A VM stands still while others go on, then wakes."""
+        """A VM is suspended while others run, then resumes."""
         node = self._pick(which)
         was_fresh = node.membership.fresh
         self.group.pause(node, seconds)
@@ -177,23 +184,26 @@
             self.group.send(node, node.membership.look(self.group.now))
             if node.membership.fresh and len(node.membership.known()) > 1:
                 raise ViolationError(
-                    Line.DRAINED, f"{node.name} woke and trusts old beliefs"
+                    Invariant.DRAINED,
+                    f"{node.name} resumed with a stale view taken as fresh",
                 )
 
     @rule(zone=st.sampled_from(["hall-bor", "hall-fres", "hall-sag"]))
     def cut_or_heal(self, zone):
-        """An availability zone is cut off, or is back."""
-        self.group.island = None if self.group.island else zone
+        """A partition of an availability zone begins or ends."""
+        self.group.partitioned_zone = (
+            None if self.group.partitioned_zone else zone
+        )
 
     @rule(count=st.integers(1, 12), twice=st.booleans())
     def lose(self, count, twice):
-        """Messages are lost, or come twice."""
+        """The next messages are lost; all others may be duplicated."""
         self.group.losses = count
         self.group.twice = twice
 
     @rule(late=st.booleans())
     def delay(self, late):
-        """Messages come late and out of order."""
+        """Messages are delayed and reordered, or no longer."""
         rng = self.group.rng
         self.group.late_s = (
             (lambda: rng.uniform(0.0, 0.1)) if late else (lambda: 0.0)
@@ -201,24 +211,26 @@
 
     @rule(seconds=st.sampled_from([0.1, 0.7, 2.0, 6.0]))
     def wait(self, seconds):
-        """Time goes by."""
+        """Advances the simulated time."""
         self.group.run(seconds)
 
     @invariant()
     def bounded(self):
-        """No agent remembers more VMs than there ever were."""
+        """No agent knows more VMs than have ever started."""
         if self.group is None:
             return
         for node in self.group.running():
             if len(node.membership.known()) > len(self.group.nodes):
-                raise ViolationError(Line.BOUNDED, f"{node.name}: members")
+                raise ViolationError(
+                    Invariant.BOUNDED, f"{node.name} knows too many members"
+                )
 
     def teardown(self):
-        """Heals everything; all agents then agree."""
+        """Ends all faults, after which all agents must agree."""
         group = self.group
         if group is None:
             return
-        group.island, group.losses, group.twice = None, 0, False
+        group.partitioned_zone, group.losses, group.twice = None, 0, False
         group.late_s = lambda: 0.0
         group.show_list()
         group.run(SETTLE_S)
@@ -233,16 +245,18 @@
         seen = {*node.states(), node.name}
         if seen != names:
             raise ViolationError(
-                Line.SURVIVES, f"{node.name} knows {seen}, not {names}"
+                Invariant.SURVIVES, f"{node.name} knows {seen}, not {names}"
             )
         if VmState.SUSPECT in node.states().values():
-            raise ViolationError(Line.SURVIVES, f"{node.name} suspects one")
+            raise ViolationError(
+                Invariant.SURVIVES, f"{node.name} suspects a VM"
+            )
         if not node.membership.fresh:
-            raise ViolationError(Line.DRAINED, f"{node.name} is not fresh")
+            raise ViolationError(Invariant.DRAINED, f"{node.name} is not fresh")
         key = group.accepted[node.name].key
         if key != greatest:
             raise ViolationError(
-                Line.NO_REVERT,
+                Invariant.NO_REVERT,
                 f"{node.name} has {attrs.astuple(key)} in force, another has "
                 f"{attrs.astuple(greatest)}",
             )
--- a/tests/proof/_callers.py
+++ b/tests/proof/_callers.py
@@ -1,15 +1,20 @@
-"""Callers: they open, ask again, send requests and repeat themselves."""
+"""Simulated callers: they open sessions, send requests and repeat packets."""
 
 from pollenmast.decisions._acceptance import Acceptance
 from tests.proof import _traffic as traffic
-from tests.proof._oracle import Flow, Line, Stage, ViolationError
+from tests.proof._oracle import Flow, Invariant, Stage, ViolationError
 from tests.proof._world import KEEP_ALIVE_S, World
 
-_KEPT = 8
+_MAX_KEPT = 8
 
 
 class Callers:
-    """Every caller of a world."""
+    """All callers of a simulated fleet.
+
+    Attributes:
+        world: The simulated fleet.
+        flows: All sessions that callers have opened.
+    """
 
     def __init__(self, world: World):
         self.world = world
@@ -17,22 +22,22 @@
         self._datagrams: dict[str, list[bytes]] = {}
         self._requests = 0
 
-    def at(self, stage: Stage) -> list[Flow]:
-        """Returns the flows at a stage."""
+    def in_stage(self, stage: Stage) -> list[Flow]:
+        """Returns the flows in a given stage."""
         return [flow for flow in self.flows if flow.stage is stage]
 
     def pick(self, which: int, stage: Stage) -> Flow | None:
-        """Returns one flow at a stage."""
-        flows = self.at(stage)
+        """Returns one flow in a given stage, or None if there is none."""
+        flows = self.in_stage(stage)
         return flows[which % len(flows)] if flows else None
 
-    def number(self, which: int) -> int:
+    def vm_number(self, which: int) -> int:
         """Returns the number of a running VM."""
         numbers = sorted(self.world.nodes)
         return numbers[which % len(numbers)]
 
     def open(self, service: traffic.Service, early: bool, to: int) -> Flow:
-        """A caller opens a flow to the port that a service has by plan."""
+        """Opens a flow to the port that the plan gives a service."""
         index = len(self.flows)
         flow = Flow(
             f"f{index}",
@@ -43,65 +48,74 @@
         )
         self.flows.append(flow)
         self._datagrams[flow.name] = []
-        self.world.oracle.opened(flow)
-        self.ask(flow, early, to)
+        self.world.oracle.on_opened(flow)
+        self.send_initial(flow, early, to)
         return flow
 
-    def ask(self, flow: Flow, early: bool, to: int | None) -> None:
-        """A caller sends its Initial, perhaps with a request behind it."""
+    def send_initial(self, flow: Flow, early: bool, to: int | None) -> None:
+        """Sends a caller's Initial, optionally with a request in 0-RTT."""
         first = self._packet(flow)
         request = self._packet(flow, self._request()) if early else None
         self._send(flow, traffic.initial(first, request), to)
 
-    def say(self, flow: Flow, to: int | None, twice: bool) -> str:
-        """A caller sends a request in a session; returns the request."""
+    def send_request(self, flow: Flow, to: int | None, twice: bool) -> str:
+        """Sends a request in an open session.
+
+        Args:
+            flow: The session.
+            to: Which running VM receives it; None for a random one.
+            twice: Whether the network duplicates the datagram.
+
+        Returns:
+            The request's name.
+        """
         request = self._request()
-        chosen = traffic.connection_id(flow.name, flow.home)
+        chosen = traffic.connection_id(flow.name, flow.chosen_upstream)
         data = traffic.short(self._packet(flow, request), chosen)
         self._send(flow, data, to)
         if twice:
-            flow.doubled = True
+            flow.duplicated = True
             self._send(flow, data, None)
         return request
 
     def keep_alive(self) -> None:
-        """Callers that were quiet for long send a packet without request."""
+        """Sends a packet without a request for each session that was idle."""
         now = self.world.now
-        for flow in self.at(Stage.OPEN):
-            if now - flow.heard_at >= KEEP_ALIVE_S:
-                chosen = traffic.connection_id(flow.name, flow.home)
+        for flow in self.in_stage(Stage.OPEN):
+            if now - flow.last_active_at >= KEEP_ALIVE_S:
+                chosen = traffic.connection_id(flow.name, flow.chosen_upstream)
                 data = traffic.short(self._packet(flow), chosen)
                 self._send(flow, data, None)
 
     def replay(self, which: int, to: int, age: int) -> None:
-        """An old datagram of any flow arrives again."""
+        """Delivers an old datagram of any flow again."""
         if not self.flows:
             return
         flow = self.flows[which % len(self.flows)]
-        if flow.former:
-            # Its old datagrams come from an address that is not its own now.
+        if flow.former_callers:
+            # Its old datagrams came from an address that it no longer has.
             return
         sent = self._datagrams[flow.name]
-        flow.doubled = True
-        self.world.send(flow, sent[age % len(sent)], self.number(to))
+        flow.duplicated = True
+        self.world.send(flow, sent[age % len(sent)], self.vm_number(to))
 
     def move(self, flow: Flow) -> None:
-        """A caller's address changes in mid-session."""
+        """Changes a caller's address during its session."""
         self.world.on_move(flow)
-        flow.former.add(flow.caller)
+        flow.former_callers.add(flow.caller)
         ip, port = flow.caller
         flow.caller = (ip, port + 1000)
 
     def restart_agent(self, which: int) -> None:
-        """The agent of a VM restarts."""
-        node = self.world.nodes[self.number(which)]
+        """Restarts the agent of a VM, without its manifest."""
+        node = self.world.nodes[self.vm_number(which)]
         if not node.frozen:
             node.acceptance = Acceptance()
             self.world.agent_restarted = True
-            node.dues.append(self.world.now)
+            node.update_times.append(self.world.now)
 
     def check_bounds(self) -> None:
-        """State is bounded by the flows that callers opened."""
+        """Checks that relay state is bounded by the number of flows opened."""
         most = len(self.flows)
         for node in self.world.nodes.values():
             core = node.core
@@ -112,18 +126,20 @@
             }
             over = [name for name, size in sizes.items() if size > 0]
             if over:
-                raise ViolationError(Line.BOUNDED, f"{node.number}: {over}")
+                raise ViolationError(
+                    Invariant.BOUNDED, f"{node.number}: {over}"
+                )
 
     def _send(self, flow: Flow, data: bytes, to: int | None) -> None:
         kept = self._datagrams[flow.name]
         kept.append(data)
-        del kept[:-_KEPT]
-        number = None if to is None else self.number(to)
+        del kept[:-_MAX_KEPT]
+        number = None if to is None else self.vm_number(to)
         self.world.send(flow, data, number)
 
-    def _packet(self, flow: Flow, request: str = "") -> traffic.Sent:
+    def _packet(self, flow: Flow, request: str = "") -> traffic.PacketContent:
         flow.packets += 1
-        return traffic.Sent(flow.name, flow.packets, request)
+        return traffic.PacketContent(flow.name, flow.packets, request)
 
     def _request(self) -> str:
         self._requests += 1
--- a/tests/proof/_machine.py
+++ b/tests/proof/_machine.py
@@ -1,4 +1,8 @@
-"""The machine: what callers, upstreams, VMs, networks and operators do."""
+"""State machine of a fleet: callers, upstreams, VMs, networks, operators.
+
+Hypothesis orders rules by name, so renaming a rule changes the cases that a
+seed stands for.
+"""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import (
@@ -16,8 +20,8 @@
 from tests.proof._wire import Fault
 from tests.proof._world import World
 
-MOST_FLOWS = 24
-MOST_VMS = 5
+MAX_FLOWS = 24
+MAX_VMS = 5
 
 _services = st.sampled_from(traffic.SERVICES)
 _index = st.integers(0, 7)
@@ -28,17 +32,18 @@
 
 
 def _has_lost_path(session) -> bool:
-    """Whether the relay has lost a path to this upstream before.
+    """Returns whether the relay has lost a path to this upstream before.
 
-    A path found silent is used again after its rest; a second loss may then
-    take two more tries of 5 s each. Found, and not mended: docs/PROOF.md.
+    A path found to be silent is reused after its rest time, so that a second
+    loss may take two more attempts of 5 s each. This is a known and unfixed
+    fault: see docs/PROOF.md.
     """
     pool = session.path.node.core.table.pool
     return any(session.upstream in path.lost for path in pool.paths)
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Every rule is one thing that may come about at any moment."""
+    """A fleet in which every rule is an event that may happen at any time."""
 
     def __init__(self):
         super().__init__()
@@ -51,7 +56,7 @@
         keep_alive=st.booleans(),
     )
     def begin(self, seed, vms, keep_alive=False):
-        """A fleet starts; callers keep their sessions alive, or do not."""
+        """Starts a fleet whose callers may or may not send keep-alives."""
         self.world = World(seed, vms)
         self.callers = Callers(self.world)
         if keep_alive:
@@ -66,34 +71,34 @@
         to=_index,
     )
     def open(self, service, count, early, to):
-        """Callers open flows, some with a request in 0-RTT."""
+        """Callers open flows, possibly with a request in 0-RTT."""
         for _ in range(count):
-            if len(self.callers.flows) < MOST_FLOWS:
+            if len(self.callers.flows) < MAX_FLOWS:
                 self.callers.open(service, early, to)
 
     @rule(which=_index, to=_index, twice=st.booleans())
     def say(self, which, to, twice):
-        """A caller sends a request; the network may double it."""
+        """A caller sends a request, which the network may duplicate."""
         flow = self.callers.pick(which, Stage.OPEN)
         if flow:
-            self.callers.say(flow, to, twice)
+            self.callers.send_request(flow, to, twice)
 
     @rule()
     def all_say(self):
-        """Every caller sends a request."""
-        for flow in self.callers.at(Stage.OPEN):
-            self.callers.say(flow, None, False)
+        """Every caller with an open session sends a request."""
+        for flow in self.callers.in_stage(Stage.OPEN):
+            self.callers.send_request(flow, None, False)
 
     @rule(which=_index, to=_index, early=st.booleans())
     def ask_again(self, which, to, early):
-        """A caller without an answer sends its Initial again."""
+        """A caller without a response sends its Initial again."""
         flow = self.callers.pick(which, Stage.ASKED)
         if flow:
-            self.callers.ask(flow, early, to)
+            self.callers.send_initial(flow, early, to)
 
     @rule(which=_index, to=_index, age=_index)
     def replay(self, which, to, age):
-        """An old datagram arrives late, or again."""
+        """An old datagram is delivered again."""
         self.callers.replay(which, to, age)
 
     @rule(which=_index)
@@ -105,7 +110,7 @@
 
     @rule(which=_index)
     def move_caller(self, which):
-        """A caller's router forgets it and gives it another address."""
+        """A caller's NAT rebinds, which gives it another address."""
         flow = self.callers.pick(which, Stage.OPEN)
         if flow:
             self.callers.move(flow)
@@ -114,24 +119,24 @@
 
     @rule(name=_endpoints)
     def slow(self, name):
-        """An upstream's answers come late from now on, or no longer."""
+        """Toggles whether an upstream's responses are delayed."""
         self.world.upstreams.slow ^= {traffic.address_of(name)}
 
     @rule(order=st.lists(_index, min_size=1, max_size=6))
     def late_answers(self, order):
-        """Answers come, in any order."""
+        """Delayed responses arrive, in any order."""
         for each in order:
-            self.world.upstreams.let_go(each)
+            self.world.upstreams.release_delayed(each)
 
     @rule(name=_endpoints, kind=st.sampled_from(["dead", "mute"]))
     def fail(self, name, kind):
-        """An upstream falls silent, or speaks again."""
+        """Toggles whether an upstream is silent."""
         silent = getattr(self.world.upstreams, kind)
         silent ^= {traffic.address_of(name)}
 
     @rule(name=_endpoints)
     def crash(self, name):
-        """An upstream restarts without its sessions."""
+        """An upstream restarts and loses its sessions."""
         self.world.upstreams.crash(traffic.address_of(name))
 
     @rule(
@@ -148,12 +153,12 @@
         ),
     )
     def report(self, name, load):
-        """An upstream is cold, full, sheds load or lies."""
+        """An upstream reports being cold, full or shedding, or lies."""
         self.world.load[name] = load
 
     @rule(which=_index)
     def lose_path(self, which):
-        """Something between a relay and an upstream forgets a flow."""
+        """A middlebox between relay and upstream loses its state of a flow."""
         flow = self.callers.pick(which, Stage.OPEN)
         session = flow and self.world.upstreams.session(flow)
         if session and not _has_lost_path(session):
@@ -163,7 +168,7 @@
 
     @rule(name=_endpoints, kind=st.sampled_from(["draining", "gone"]))
     def plan(self, name, kind):
-        """An upstream drains, is taken out, or comes back."""
+        """Operators drain, remove or restore an upstream."""
         names = getattr(self.world.plan, kind)
         names ^= {name}
         service = name.rsplit("-", 1)[0]
@@ -174,21 +179,21 @@
 
     @rule(zone=_zones)
     def publish_unevenly(self, zone):
-        """A manifest reaches one availability zone later."""
+        """A new manifest does not reach one availability zone yet."""
         self.world.publish(lag_zone=zone)
 
     @rule(pair=st.sampled_from([(1, 2), (1, 3), (2, 3)]))
     def swap_ports(self, pair):
-        """A port is given to another service."""
-        self.world.swap(*pair)
+        """Two services exchange their ports."""
+        self.world.exchange_ports(*pair)
 
     @rule(zone=_zones, name=_endpoints)
     def race(self, zone, name):
-        """Two pipelines publish the same version with other contents."""
+        """Two pipelines publish one version with different contents."""
         self.world.publish()
         plan = self.world.plan
         plan.draining ^= {name}
-        self.world.texts[zone] = plan.text()
+        self.world.served_manifests[zone] = plan.text()
         plan.draining ^= {name}
 
     @rule(
@@ -196,27 +201,27 @@
         text=st.sampled_from([b"", b"{}", b"\xff", b'{"version": 1e9}']),
     )
     def publish_invalid(self, zone, text):
-        """The platform serves nonsense."""
-        self.world.texts[zone] = text
+        """The platform serves an invalid manifest."""
+        self.world.served_manifests[zone] = text
 
     @rule(zone=_zones)
     def go_stale(self, zone):
-        """The platform tells one availability zone its first manifest."""
-        self.world.texts[zone] = traffic.Plan().text()
+        """The platform serves the first manifest in one availability zone."""
+        self.world.served_manifests[zone] = traffic.Plan().text()
 
     @rule(up=st.booleans())
     def platform(self, up):
-        """The platform is down, or back."""
+        """The platform becomes unreachable or reachable."""
         self.world.platform_up = up
 
     @rule(which=_index)
     def restart_agent(self, which):
-        """An agent restarts and knows no manifest."""
+        """An agent restarts without a manifest."""
         self.callers.restart_agent(which)
 
     # VMs.
 
-    @precondition(lambda self: len(self.world.nodes) < MOST_VMS)
+    @precondition(lambda self: len(self.world.nodes) < MAX_VMS)
     @rule(number=st.integers(1, 9))
     def join(self, number):
         """A VM starts."""
@@ -225,7 +230,7 @@
 
     @rule(which=_index)
     def stop(self, which):
-        """A VM stops in an orderly way."""
+        """A VM begins a planned stop."""
         steady = [
             node.number
             for node in self.world.nodes.values()
@@ -236,8 +241,8 @@
 
     @rule(which=_index)
     def kill(self, which):
-        """A VM ends at once."""
-        number = self.callers.number(which)
+        """A VM is killed without notice."""
+        number = self.callers.vm_number(which)
         steady = [
             node
             for node in self.world.nodes.values()
@@ -248,8 +253,8 @@
 
     @rule(which=_index)
     def freeze_or_wake(self, which):
-        """A VM stands still, or goes on."""
-        number = self.callers.number(which)
+        """A VM is suspended or resumed."""
+        number = self.callers.vm_number(which)
         if self.world.nodes[number].frozen:
             self.world.wake(number)
         elif sum(not n.frozen for n in self.world.nodes.values()) > 1:
@@ -257,11 +262,11 @@
 
     @rule(zone=_zones)
     def cut_or_heal(self, zone):
-        """An availability zone is cut off, or is back."""
-        if self.world.island:
+        """A partition of an availability zone begins or ends."""
+        if self.world.partitioned_zone:
             self.world.heal()
         else:
-            self.world.cut(zone)
+            self.world.partition(zone)
 
     # The network between VMs, and time.
 
@@ -269,8 +274,8 @@
         faults=st.lists(st.sampled_from(Fault), min_size=1, max_size=4),
     )
     def bend(self, faults):
-        """The next envelopes are lost, doubled, late or forged."""
-        self.world.bend(faults)
+        """The next envelopes are lost, duplicated, delayed or corrupted."""
+        self.world.inject_faults(faults)
 
     @rule()
     def arrive_late(self):
@@ -280,21 +285,21 @@
 
     @rule(seconds=st.sampled_from([0.05, 0.4, 1.0, 3.0, 7.0]))
     def wait(self, seconds):
-        """Time goes by."""
+        """Advances the simulated time."""
         self.world.advance(seconds)
 
     @rule()
     def calm(self):
-        """Everything heals, and what must have survived is shown to."""
+        """Ends all faults and checks that the remaining flows work."""
         settle(self.world, self.callers)
 
     @invariant()
     def bounded(self):
-        """State stays within what callers have opened."""
+        """Relay state is bounded by the number of flows opened."""
         if self.world is not None:
             self.callers.check_bounds()
 
     def teardown(self):
-        """Ends calmly."""
+        """Ends all faults and runs the final checks."""
         if self.world is not None:
             settle(self.world, self.callers)
--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations: each takes out one piece of code that keeps a line."""
+"""Mutations, each of which disables one mechanism behind an invariant."""
 
 import contextlib
 import hmac
@@ -22,7 +22,7 @@
 from pollenmast.relay._upkeep import Upkeep
 from pollenmast.upstreams._paths import PathChooser
 from tests.proof import _scenarios as scenarios
-from tests.proof._oracle import Line
+from tests.proof._oracle import Invariant
 
 
 @attrs.frozen
@@ -30,16 +30,16 @@
     """One mutation.
 
     Attributes:
-        name: Its name on the command line.
-        line: What its code keeps.
-        mechanism: What the code does.
-        removed: What is taken out.
-        patch: Returns the context in which it is out.
-        scenario: Steps that pass with the code and fail without it.
+        name: Name in the output of the command line.
+        invariant: The invariant that the mechanism upholds.
+        mechanism: What the mechanism does.
+        removed: How it is disabled.
+        patch: Returns a context manager that disables the mechanism.
+        scenario: Run that passes with the mechanism and fails without it.
     """
 
     name: str
-    line: Line
+    invariant: Invariant
     mechanism: str
     removed: str
     patch: Callable[[], contextlib.AbstractContextManager]
@@ -50,8 +50,8 @@
     return lambda: mock.patch.object(owner, name, value)
 
 
-def _forget_then(method, field: str):
-    """Returns the method with what it compares with forgotten before."""
+def _reset_before(method, field: str):
+    """Returns the method wrapped to reset a field before each call."""
 
     def changed(self, *args):
         setattr(self, field, None)
@@ -100,7 +100,7 @@
 MUTATIONS = (
     Mutation(
         "no-ask",
-        Line.SURVIVES,
+        Invariant.SURVIVES,
         "a new owner asks two VMs about a flow that it does not know",
         "`Fleet.asked` names nobody, and no connection id is looked up",
         lambda: _both(
@@ -111,7 +111,7 @@
     ),
     Mutation(
         "no-records",
-        Line.SURVIVES,
+        Invariant.SURVIVES,
         "flows off their default are replicated to another VM",
         "`Custody.replicate` does nothing, and no connection id is looked up",
         lambda: _both(
@@ -121,7 +121,7 @@
     ),
     Mutation(
         "no-directory",
-        Line.SURVIVES,
+        Invariant.SURVIVES,
         "two VMs keep the connection id that a session's endpoint chose",
         "`Directory.search` finds nothing",
         _no_search,
@@ -129,7 +129,7 @@
     ),
     Mutation(
         "no-silence-repair",
-        Line.SURVIVES,
+        Invariant.SURVIVES,
         "a silent flow gets a new path",
         "`is_silent` is never true",
         _attribute(_upkeep, "is_silent", lambda *args: False),
@@ -137,7 +137,7 @@
     ),
     Mutation(
         "guess-reused-port",
-        Line.RIGHT_SERVICE,
+        Invariant.RIGHT_SERVICE,
         "a packet that nobody knows is not guessed on a reused port",
         "`FlowTable.may_guess` is always true",
         _attribute(FlowTable, "may_guess", lambda self, listener: True),
@@ -145,7 +145,7 @@
     ),
     Mutation(
         "ask-answers-reused-port",
-        Line.RIGHT_SERVICE,
+        Invariant.RIGHT_SERVICE,
         "a VM that knows a port as reused drops what nobody knows",
         "`Routing._may_be_anothers` is never true",
         _attribute(Routing, "_may_be_anothers", lambda self, forwarded: False),
@@ -153,7 +153,7 @@
     ),
     Mutation(
         "shared-path",
-        Line.WHOLE_ANSWER,
+        Invariant.WHOLE_ANSWER,
         "each flow to one endpoint has a local port of its own",
         "`PathChooser.take` gives all of them one",
         lambda: _both(
@@ -164,7 +164,7 @@
     ),
     Mutation(
         "no-rest",
-        Line.WHOLE_ANSWER,
+        Invariant.WHOLE_ANSWER,
         "a port rests before it is used again for the same endpoint",
         "`PathChooser._rested` gives it at once",
         _attribute(PathChooser, "_rested", _path_without_rest),
@@ -172,7 +172,7 @@
     ),
     Mutation(
         "refuse-after-passing",
-        Line.NOT_RUN,
+        Invariant.NOT_RUN,
         "a flow whose 0-RTT was passed is not refused",
         "`RelayCore._without_early_data` does not mark it",
         _attribute(RelayCore, "_without_early_data", _early_data_unmarked),
@@ -180,7 +180,7 @@
     ),
     Mutation(
         "retry-after-passing",
-        Line.ONCE,
+        Invariant.ONCE,
         "a flow whose 0-RTT was passed is not tried at another endpoint",
         "`RelayCore._without_early_data` does not mark it",
         _attribute(RelayCore, "_without_early_data", _early_data_unmarked),
@@ -188,7 +188,7 @@
     ),
     Mutation(
         "opening-never-ends",
-        Line.SURVIVES,
+        Invariant.SURVIVES,
         "the first answer ends the time in which a flow may be retried",
         "`Openings._forget` does nothing",
         _attribute(Openings, "_forget", _nothing),
@@ -196,7 +196,7 @@
     ),
     Mutation(
         "early-data",
-        Line.ONCE,
+        Invariant.ONCE,
         "0-RTT does not pass to a service that is not idempotent",
         "`without_early_data` finds none",
         _attribute(_core, "without_early_data", lambda data: (data, 0)),
@@ -204,7 +204,7 @@
     ),
     Mutation(
         "drain-ignored",
-        Line.DRAINED,
+        Invariant.DRAINED,
         "an endpoint that drains is no candidate",
         "`EndpointRecord.serving` is always true",
         _attribute(EndpointRecord, "serving", property(lambda self: True)),
@@ -212,7 +212,7 @@
     ),
     Mutation(
         "always-ready",
-        Line.DRAINED,
+        Invariant.DRAINED,
         "a relay that woke opens nothing before its agent answers",
         "`RelayCore.ready` asks only for a manifest",
         _attribute(
@@ -222,7 +222,7 @@
     ),
     Mutation(
         "drained-at-once",
-        Line.GRACEFUL,
+        Invariant.GRACEFUL,
         "a leaving relay waits until nothing depends on it",
         "`RelayCore.drained` is true as soon as it leaves",
         _attribute(RelayCore, "drained", lambda self: self._draining),
@@ -230,7 +230,7 @@
     ),
     Mutation(
         "no-late-answers",
-        Line.GRACEFUL,
+        Invariant.GRACEFUL,
         "a flow handed over still passes answers on its old path",
         "`FlowTable.let_go` ends it",
         _attribute(FlowTable, "let_go", _end_at_once),
@@ -238,7 +238,7 @@
     ),
     Mutation(
         "no-hand-over",
-        Line.GRACEFUL,
+        Invariant.GRACEFUL,
         "a leaving relay hands its flows to their owners",
         "`Custody.hand_over` does nothing",
         _attribute(Custody, "hand_over", _nothing),
@@ -246,29 +246,29 @@
     ),
     Mutation(
         "relay-reverts",
-        Line.NO_REVERT,
+        Invariant.NO_REVERT,
         "a relay takes no older manifest from its agent",
         "`RelayCore._take_manifest` compares with nothing",
         _attribute(
             RelayCore,
             "_take_manifest",
-            _forget_then(RelayCore._take_manifest, "_manifest"),
+            _reset_before(RelayCore._take_manifest, "_manifest"),
         ),
         scenarios.stale_platform_and_agent,
     ),
     Mutation(
         "agent-reverts",
-        Line.NO_REVERT,
+        Invariant.NO_REVERT,
         "an agent takes no older manifest from platform or peers",
         "`Acceptance.offer` compares with nothing",
         _attribute(
-            Acceptance, "offer", _forget_then(Acceptance.offer, "_in_force")
+            Acceptance, "offer", _reset_before(Acceptance.offer, "_in_force")
         ),
         scenarios.stale_platform,
     ),
     Mutation(
         "no-mac",
-        Line.AUTHENTIC,
+        Invariant.AUTHENTIC,
         "an envelope's keyed hash is checked",
         "`hmac.compare_digest` is always true",
         lambda: mock.patch.object(
@@ -280,7 +280,7 @@
     ),
     Mutation(
         "no-replay-window",
-        Line.AUTHENTIC,
+        Invariant.AUTHENTIC,
         "an envelope's sequence is taken once",
         "`_Window.take` takes it always",
         _attribute(_envelope._Window, "take", lambda self, sequence: True),
@@ -288,7 +288,7 @@
     ),
     Mutation(
         "guesses-stay",
-        Line.BOUNDED,
+        Invariant.BOUNDED,
         "a guessed flow without an answer is forgotten",
         "`Upkeep._unproved` is never true",
         _attribute(Upkeep, "_unproved", lambda self, flow, tick: False),
@@ -296,7 +296,7 @@
     ),
     Mutation(
         "senders-unbounded",
-        Line.BOUNDED,
+        Invariant.BOUNDED,
         "only so many senders of envelopes are remembered",
         "`MOST_SENDERS` is as good as none",
         _attribute(_envelope, "MOST_SENDERS", 1 << 60),
--- a/tests/proof/_oracle.py
+++ b/tests/proof/_oracle.py
@@ -1,9 +1,9 @@
-"""The oracle: what must hold, from what was asked, passed, run and told.
+"""Test oracle that checks the invariants from observable events only.
 
-It knows nothing of owners, records or tables. It keeps which service a flow
-asked for, what was passed on, what ran, what the caller was told and which
-manifest was accepted; and it excuses a flow only for the unplanned losses
-that the page of the proof names.
+It does not use owners, records or flow tables. It records the service that a
+flow asked for, the packets passed to upstreams, the requests that ran, the
+responses that callers got and the manifests accepted. It excuses a flow only
+for the unplanned losses that docs/PROOF.md names.
 """
 
 import enum
@@ -13,15 +13,18 @@
 from tests.proof import _traffic as traffic
 
 SETTLE_S = 6.0
-"""Time after which a flow must outlive one unplanned loss: its records are
-replicated after 1 s, sent again for 2 s and checked anew after a change."""
+"""Seconds after which a flow must survive one unplanned loss.
+
+Its records are replicated after 1 s, sent again for 2 s and checked again
+after a change.
+"""
 
 DRAIN_S = 3.0
-"""Time after which an upstream that drains gets no new flow."""
+"""Seconds after which a draining upstream gets no new flow."""
 
 
-class Line(enum.Enum):
-    """What must always hold, as the brief has it, and two lines more."""
+class Invariant(enum.Enum):
+    """The invariants: those of the requirements, and two more."""
 
     SURVIVES = "1 an open flow survives every planned change"
     RIGHT_SERVICE = "2 no packet reaches another service"
@@ -36,15 +39,15 @@
 
 
 class ViolationError(AssertionError):
-    """A line does not hold."""
+    """An invariant is violated."""
 
-    def __init__(self, line: Line, text: str):
-        super().__init__(f"line {line.value}: {text}")
-        self.line = line
+    def __init__(self, invariant: Invariant, text: str):
+        super().__init__(f"invariant {invariant.value}: {text}")
+        self.invariant = invariant
 
 
 class Stage(enum.Enum):
-    """What a caller knows of its session."""
+    """State of a session as its caller knows it."""
 
     ASKED = "asked"
     OPEN = "open"
@@ -57,30 +60,35 @@
     """One caller's session.
 
     Attributes:
-        name: Its name.
+        name: The session's name.
         caller: The caller's address.
-        port: The service's port that it was opened to.
-        asked: The services that the port stood for while it was opened.
-        opened_at: When it was opened.
-        stage: What the caller knows.
-        excused: Why an unplanned loss may break it, or empty.
-        packets: Packets sent so far.
+        port: The service port that the caller sends to.
+        requested_services: The services that had the port while the session
+            was opened.
+        opened_at: Time at which it was opened.
+        stage: State as the caller knows it.
+        excused: Why the session may break; empty if it may not.
+        packets: Number of packets that the caller has sent.
         sessions: Addresses of the upstreams that opened a session for it.
-        passed: Requests passed to upstreams, with the addresses.
-        ran: Requests that ran, and how often.
-        answers: Parts of answers sent by upstreams, not yet received.
-        received: Parts received.
-        doubled: Whether the network doubled a datagram of it.
-        home: The upstream whose answer the caller took first.
-        heard_at: When its caller last sent or got something.
-        former: Addresses that its caller had before.
-        grown_at: When its caller first spoke at an age of 2 s or more.
+        passed: Requests passed to upstreams, each with the addresses of the
+            upstreams and the numbers of the relays.
+        ran: Number of runs of each request.
+        answers: Response parts sent by upstreams and not yet received.
+        received: Response parts that the caller has received.
+        duplicated: Whether the network duplicated one of its datagrams.
+        chosen_upstream: The upstream whose response reached the caller
+            first.
+        last_active_at: Time at which the caller last sent or received a
+            packet.
+        former_callers: Earlier addresses of the caller.
+        long_lived_at: Time of the first packet that the caller sent at a
+            session age of 2 s or more.
     """
 
     name: str
     caller: tuple[str, int]
     port: int
-    asked: set[int]
+    requested_services: set[int]
     opened_at: float
     stage: Stage = Stage.ASKED
     excused: str = ""
@@ -90,166 +98,196 @@
     ran: dict[str, int] = attrs.field(factory=dict)
     answers: set[tuple] = attrs.field(factory=set)
     received: set[tuple] = attrs.field(factory=set)
-    doubled: bool = False
-    home: tuple[str, int] | None = None
-    heard_at: float = 0.0
-    former: set[tuple[str, int]] = attrs.field(factory=set)
-    grown_at: float | None = None
+    duplicated: bool = False
+    chosen_upstream: tuple[str, int] | None = None
+    last_active_at: float = 0.0
+    former_callers: set[tuple[str, int]] = attrs.field(factory=set)
+    long_lived_at: float | None = None
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request of it may run twice."""
-        return self.asked == {traffic.BARCODES.number}
+        """Whether its requests may run twice."""
+        return self.requested_services == {traffic.BARCODES.number}
 
 
 class Oracle:
-    """Judges what upstreams and callers see."""
+    """Checks the events that upstreams and callers observe.
+
+    Attributes:
+        flows: All flows, by name.
+        keys: Version and digest of the manifest in force in each process.
+        unknown_sessions: Number of packets that reached an endpoint without
+            their session.
+    """
 
     def __init__(self):
         self.flows: dict[str, Flow] = {}
         self.keys: dict[object, tuple[int, str]] = {}
-        self.strangers = 0
+        self.unknown_sessions = 0
 
-    def opened(self, flow: Flow) -> None:
-        """A caller opens a session."""
+    def on_opened(self, flow: Flow) -> None:
+        """Records that a caller opens a session."""
         self.flows[flow.name] = flow
 
-    # Line 2, 5 and 6: what upstreams get.
+    # Invariants 2, 5 and 6: what upstreams receive.
 
-    def passed(
-        self, sent: traffic.Sent, address, relay: int, early: bool
+    def on_passed(
+        self, sent: traffic.PacketContent, address, relay: int, early: bool
     ) -> None:
-        """A packet reached an upstream from a relay.
+        """Checks a packet that reached an upstream from a relay.
+
+        A packet of an established session can run only at the upstream that
+        has its keys, the one that the caller talks to. A 0-RTT packet can run
+        at any upstream.
 
-        One of a session in progress can run only where its keys are, at the
-        upstream that the caller talks to; 0-RTT can run anywhere.
+        Args:
+            sent: The packet.
+            address: The upstream's address.
+            relay: Number of the relay's VM.
+            early: Whether the datagram begins with a long header, as 0-RTT
+                does.
         """
         flow = self.flows[sent.session]
         number = traffic.service_at(address)
-        if number not in flow.asked:
+        if number not in flow.requested_services:
             raise ViolationError(
-                Line.RIGHT_SERVICE,
-                f"{flow.name} asked for {flow.asked}, reached {address}",
+                Invariant.RIGHT_SERVICE,
+                f"{flow.name} asked for {flow.requested_services}, "
+                f"reached {address}",
             )
-        if not sent.request or not (early or address == flow.home):
+        if not sent.request or not (early or address == flow.chosen_upstream):
             return
         if flow.stage is Stage.REFUSED:
-            self._ran_though_refused(flow, sent.request, address)
+            self._check_run_after_refusal(flow, sent.request, address)
         places = flow.passed.setdefault(sent.request, set())
         places.add((address, relay))
         addresses = {each for each, _ in places}
         if len(addresses) > 1 and not self._may_reach_two(flow):
             raise ViolationError(
-                Line.ONCE, f"{sent.request} was passed to {addresses}"
+                Invariant.ONCE, f"{sent.request} was passed to {addresses}"
             )
 
     def _may_reach_two(self, flow: Flow) -> bool:
-        return flow.idempotent and (bool(flow.excused) or flow.doubled)
+        return flow.idempotent and (bool(flow.excused) or flow.duplicated)
 
-    def _ran_though_refused(self, flow: Flow, request: str, address) -> None:
-        # While a port changes hands, the upstream that a request reached
-        # tells whether it may run twice, and not what its caller had in mind.
+    def _check_run_after_refusal(
+        self, flow: Flow, request: str, address
+    ) -> None:
+        # While a port is being reassigned, the service that the request
+        # reached decides whether it may run twice, not the one asked for.
         idempotent = traffic.service_at(address) == traffic.BARCODES.number
-        if idempotent and (flow.doubled or flow.excused):
+        if idempotent and (flow.duplicated or flow.excused):
             return
         raise ViolationError(
-            Line.NOT_RUN,
+            Invariant.NOT_RUN,
             f"{request} of {flow.name} was passed after its refusal",
         )
 
-    def new_session(
-        self, flow: Flow, address, drains_for: float, relay: int
+    def on_new_session(
+        self, flow: Flow, address, known_leaving_for: float, relay: int
     ) -> None:
-        """An upstream opened a session for a flow."""
+        """Checks that a new session is not opened at a draining upstream.
+
+        Args:
+            flow: The flow that the session belongs to.
+            address: The upstream's address.
+            known_leaving_for: Seconds for which the relay or the fleet has
+                known that the upstream leaves.
+            relay: Number of the relay's VM.
+        """
         flow.sessions.append(address)
-        if drains_for > DRAIN_S:
+        if known_leaving_for > DRAIN_S:
             raise ViolationError(
-                Line.DRAINED,
+                Invariant.DRAINED,
                 f"{flow.name} opened at {address} by {relay}, which has had "
-                f"it draining for {drains_for:.1f} s",
+                f"it draining for {known_leaving_for:.1f} s",
             )
 
-    def stranger(self, flow: Flow, address, settled: bool) -> None:
-        """A packet of a session reached an endpoint that has none of it."""
-        self.strangers += 1
+    def on_unknown_session(self, flow: Flow, address, settled: bool) -> None:
+        """Checks a packet that reached an endpoint without its session."""
+        self.unknown_sessions += 1
         if flow.stage is Stage.OPEN and not flow.excused and settled:
             raise ViolationError(
-                Line.SURVIVES,
+                Invariant.SURVIVES,
                 f"{flow.name} is known at {flow.sessions}, reached {address}",
             )
 
-    def ran(self, flow: Flow, request: str, address) -> None:
-        """A request ran."""
+    def on_ran(self, flow: Flow, request: str, address) -> None:
+        """Checks that a request may run, and counts the run."""
         flow.ran[request] = flow.ran.get(request, 0) + 1
         if flow.ran[request] > 1 and not flow.idempotent:
-            raise ViolationError(Line.ONCE, f"{request} ran twice")
+            raise ViolationError(Invariant.ONCE, f"{request} ran twice")
         if flow.stage is Stage.REFUSED:
-            self._ran_though_refused(flow, request, address)
+            self._check_run_after_refusal(flow, request, address)
 
-    # Line 3 and 4: what callers get.
+    # Invariants 3 and 4: what callers receive.
 
-    def refused(self, flow: Flow) -> None:
-        """A caller is told that its session was refused.
+    def on_refused(self, flow: Flow) -> None:
+        """Checks a refusal that a caller receives.
 
-        One that has heard from an upstream has no Initial keys any more and
-        drops the refusal unread (RFC 9001 section 4.9.1).
+        A caller that has received a response from an upstream has discarded
+        its Initial keys and ignores the refusal (RFC 9001 section 4.9.1).
         """
         if flow.stage is not Stage.ASKED:
             return
         flow.stage = Stage.REFUSED
-        if flow.passed and not (flow.idempotent and flow.doubled):
+        if flow.passed and not (flow.idempotent and flow.duplicated):
             raise ViolationError(
-                Line.NOT_RUN,
+                Invariant.NOT_RUN,
                 f"{flow.name} was refused, {sorted(flow.passed)} were passed",
             )
 
-    def answered(
+    def on_answered(
         self, flow: Flow, part: tuple, caller, port: int, now: float
     ) -> None:
-        """A relay sent a part of an answer to a caller.
+        """Checks a response part that a relay sent to a caller.
 
         Args:
-            flow: Whose session the upstream answered on.
+            flow: The session that the upstream responded on.
             part: The upstream's address and the part's number.
-            caller: Where the relay sent it.
-            port: From which port.
-            now: The clock.
+            caller: The address that the relay sent it to.
+            port: The service port that the relay sent it from.
+            now: Simulated time in seconds.
         """
-        if caller in flow.former and port == flow.port:
+        if caller in flow.former_callers and port == flow.port:
             return
         if caller != flow.caller or port != flow.port:
             raise ViolationError(
-                Line.WHOLE_ANSWER,
+                Invariant.WHOLE_ANSWER,
                 f"answer to {flow.name} ({flow.caller}, {flow.port}) went to "
                 f"{caller} from {port}",
             )
         flow.received.add(part)
         flow.answers.discard(part)
-        flow.heard_at = now
+        flow.last_active_at = now
         if flow.stage is Stage.ASKED:
             flow.stage = Stage.OPEN
-            flow.home = part[0]
-            flow.asked = {traffic.service_at(flow.home)}
+            flow.chosen_upstream = part[0]
+            flow.requested_services = {traffic.service_at(flow.chosen_upstream)}
             flow.opened_at = now
 
-    # Line 8.
+    # Invariant 8.
 
-    def in_force(self, who: object, version: int, digest: str) -> None:
-        """A process says which manifest it has in force.
+    def check_manifest(self, who: object, version: int, digest: str) -> None:
+        """Checks that a process does not go back to an older manifest.
 
-        `who` is or holds the process's own object, not its `id`, which
-        another object may have once it is gone.
+        Args:
+            who: Identifies the process. It is or contains the process's own
+                object and not its `id`, which may be reused once the object
+                is freed.
+            version: Version of the manifest in force.
+            digest: Digest of that manifest.
         """
         before = self.keys.get(who, (0, ""))
         if (version, digest) < before:
             raise ViolationError(
-                Line.NO_REVERT, f"went from {before} to {version}"
+                Invariant.NO_REVERT, f"went from {before} to {version}"
             )
         self.keys[who] = (version, digest)
 
     # Unplanned losses.
 
     def excuse(self, flow: Flow, why: str) -> None:
-        """Notes that an unplanned loss may break a flow."""
+        """Records why a flow may break, unless a reason is recorded."""
         if not flow.excused:
             flow.excused = why
--- a/tests/proof/_scenarios.py
+++ b/tests/proof/_scenarios.py
@@ -1,4 +1,4 @@
-"""Short runs of the machines' rules; each meets one line head on."""
+"""Short fixed runs of the rules, each of which exercises one invariant."""
 
 from pollenmast.peers._envelope import MOST_SENDERS, Opener, Sealer
 from pollenmast.peers._kinds import Kind
@@ -6,7 +6,7 @@
 from standins import memory as fakes
 from tests.proof import _traffic as traffic
 from tests.proof._machine import FleetMachine
-from tests.proof._oracle import Line, Stage, ViolationError
+from tests.proof._oracle import Invariant, Stage, ViolationError
 
 _REGISTRY, _BARCODES = traffic.REGISTRY, traffic.BARCODES
 
@@ -28,7 +28,7 @@
 
 
 def join_during_sessions() -> None:
-    """VMs join while sessions are open off their default endpoint."""
+    """A VM joins while sessions are open on non-default endpoints."""
     machine = _begin()
     _drain(machine, "registry-0")
     machine.wait(seconds=3.0)
@@ -43,7 +43,7 @@
 
 
 def kill_after_drain() -> None:
-    """A VM is killed that carries sessions off their default endpoint."""
+    """A VM that carries sessions on non-default endpoints is killed."""
     machine = _begin(keep_alive=True)
     _drain(machine, "registry-0")
     machine.wait(seconds=3.0)
@@ -58,7 +58,7 @@
 
 
 def caller_moves() -> None:
-    """Callers' router forgets them while all else is calm."""
+    """Callers change address by a NAT rebinding while nothing else changes."""
     machine = _begin()
     _open(machine, 12)
     machine.wait(seconds=3.0)
@@ -71,7 +71,7 @@
 
 
 def lost_path() -> None:
-    """Something forgets one of several sessions of an endpoint."""
+    """A middlebox loses its state of one of several sessions of an endpoint."""
     machine = _begin(vms=2)
     _open(machine, 20)
     machine.lose_path(which=0)
@@ -79,34 +79,34 @@
 
 
 def reused_port() -> None:
-    """A port is given away; then a session's only holder is killed."""
+    """A port is reassigned, then the only VM with a session is killed."""
     machine = _begin()
     _open(machine, 12)
     machine.swap_ports(pair=(1, 3))
     machine.wait(seconds=3.0)
-    _kill_unrecorded(machine)
+    _kill_without_replicas(machine)
     machine.all_say()
 
 
 def reused_port_and_joins() -> None:
-    """The same, and the packets arrive at a VM that came since.
+    """As `reused_port`, but a VM joins after the port was reassigned.
 
-    The manifest does not say that the port had another service: the VM has
-    to learn it from those that it asks.
+    The manifest does not say that the port belonged to another service: the
+    VM has to learn it from the VMs that it asks.
     """
     machine = _begin()
-    machine.world.plan.tells_ports = False
+    machine.world.plan.includes_port_since = False
     _open(machine, 20)
     machine.swap_ports(pair=(1, 3))
     machine.wait(seconds=3.0)
     machine.join(number=4)
     machine.wait(seconds=1.0)
-    _kill_unrecorded(machine)
+    _kill_without_replicas(machine)
     machine.all_say()
 
 
-def _kill_unrecorded(machine: FleetMachine) -> None:
-    """Kills a VM whose flows' records are all lost."""
+def _kill_without_replicas(machine: FleetMachine) -> None:
+    """Kills a VM after all replicas of flow records were dropped."""
     world = machine.world
     for node in world.nodes.values():
         replicas = node.core.custody.replicas
@@ -116,7 +116,7 @@
 
 
 def late_answers() -> None:
-    """Answers come late and out of order."""
+    """Responses arrive late and out of order."""
     machine = _begin()
     _open(machine, 8)
     for number in range(3):
@@ -127,9 +127,9 @@
 
 
 def answer_after_retry() -> None:
-    """An endpoint answers after its flow was tried elsewhere.
+    """An endpoint responds after its flow was retried at another endpoint.
 
-    The port that it answers to must not be another caller's by then.
+    The port that it responds to must not belong to another caller by then.
     """
     machine = _begin(vms=2)
     for number in range(3):
@@ -143,7 +143,7 @@
 
 
 def mute_upstreams() -> None:
-    """Requests in 0-RTT are passed, but no answer ever comes."""
+    """Requests in 0-RTT are passed on, but no response ever arrives."""
     machine = _begin()
     for number in range(3):
         machine.fail(name=f"barcodes-{number}", kind="mute")
@@ -153,7 +153,7 @@
 
 
 def mute_only_upstream() -> None:
-    """The same, with one endpoint left: there is nowhere else to try."""
+    """As `mute_upstreams`, but with one endpoint and so nowhere to retry."""
     machine = _begin()
     for number in (1, 2):
         machine.plan(name=f"barcodes-{number}", kind="gone")
@@ -165,7 +165,7 @@
 
 
 def quiet_after_opening() -> None:
-    """A session has its first answer and is quiet for some seconds."""
+    """A session is idle for some seconds after its first response."""
     machine = _begin()
     _open(machine, 6)
     machine.wait(seconds=7.0)
@@ -174,7 +174,7 @@
 
 
 def early_data_retried() -> None:
-    """Submissions come in 0-RTT while the endpoints are mute."""
+    """Non-idempotent requests arrive in 0-RTT while no endpoint responds."""
     machine = _begin()
     for number in range(3):
         machine.fail(name=f"registry-{number}", kind="mute")
@@ -184,7 +184,7 @@
 
 
 def drain() -> None:
-    """An endpoint drains and callers go on coming."""
+    """An endpoint drains while callers open new sessions."""
     machine = _begin()
     _open(machine, 6)
     _drain(machine, "registry-0")
@@ -194,10 +194,10 @@
 
 
 def wake_after_drain() -> None:
-    """A VM sleeps through a release; callers' packets wait in its socket."""
+    """A VM is suspended during a release while packets queue in its socket."""
     machine = _begin()
     machine.wait(seconds=3.0)
-    number = machine.callers.number(0)
+    number = machine.callers.vm_number(0)
     machine.freeze_or_wake(which=0)
     _drain(machine, "registry-0")
     machine.wait(seconds=7.0)
@@ -208,7 +208,7 @@
 
 
 def planned_stop() -> None:
-    """A VM stops in an orderly way while sessions are open."""
+    """A VM is stopped as planned while sessions are open."""
     machine = _begin(keep_alive=True)
     _open(machine, 12)
     machine.wait(seconds=3.0)
@@ -218,7 +218,7 @@
 
 
 def planned_stop_slow_answers() -> None:
-    """Answers to requests come while the VM that passed them leaves."""
+    """Responses arrive while the VM that passed on the requests leaves."""
     machine = _begin(keep_alive=True)
     _open(machine, 12)
     for number in range(3):
@@ -241,14 +241,14 @@
 
 
 def stale_platform_and_agent() -> None:
-    """An agent restarts while the platform tells its first manifest."""
+    """Agents restart while the platform serves its first manifest."""
     machine = _begin(vms=2)
     _drain(machine, "registry-0")
     machine.wait(seconds=3.0)
     for zone in traffic.ZONES:
         machine.go_stale(zone=zone)
-    machine.world.cut("zone-b")
-    machine.world.cut("zone-c")
+    machine.world.partition("zone-b")
+    machine.world.partition("zone-c")
     machine.restart_agent(which=0)
     machine.restart_agent(which=1)
     machine.wait(seconds=3.0)
@@ -256,7 +256,7 @@
 
 
 def stale_platform() -> None:
-    """The platform tells an old manifest to one availability zone."""
+    """The platform serves an old manifest in one availability zone."""
     machine = _begin()
     _drain(machine, "registry-0")
     machine.wait(seconds=3.0)
@@ -266,7 +266,7 @@
 
 
 def forged_envelope() -> None:
-    """A stranger sends a record that would lead a caller elsewhere."""
+    """A sender without the key forges a record that would redirect a caller."""
     machine = _begin(vms=2)
     core = machine.world.nodes[1].core
     record = FlowRecord(4001, "10.0.0.9", 30000, 7, RecordFlag.KEEP)
@@ -278,11 +278,11 @@
         core.on_peer(forged, machine.world.now)
         core.on_peer(genuine[:place], machine.world.now)
     if len(core.custody.replicas):
-        raise ViolationError(Line.AUTHENTIC, "a forged record was kept")
+        raise ViolationError(Invariant.AUTHENTIC, "a forged record was kept")
 
 
 def replayed_envelope() -> None:
-    """A recorded record is played again after its flow has ended."""
+    """A captured record is replayed after its flow has ended."""
     machine = _begin(vms=2)
     core, now = machine.world.nodes[1].core, machine.world.now
     sealer = Sealer("vm-2", fakes.KEY)
@@ -294,11 +294,11 @@
     for data in (keep, forget, keep):
         core.on_peer(data, now)
     if len(core.custody.replicas):
-        raise ViolationError(Line.AUTHENTIC, "a replayed record was kept")
+        raise ViolationError(Invariant.AUTHENTIC, "a replayed record was kept")
 
 
 def flood() -> None:
-    """Packets come of sessions that never were."""
+    """Packets arrive for sessions that were never opened."""
     machine = _begin(vms=1)
     for upstream in range(3):
         machine.fail(name=f"registry-{upstream}", kind="dead")
@@ -310,16 +310,20 @@
         node.core.on_caller(listener, stray, caller, machine.world.now)
     machine.wait(seconds=7.0)
     if node.core.table.flows:
-        raise ViolationError(Line.BOUNDED, "guessed flows stay")
-    if machine.callers.at(Stage.OPEN):
-        raise ViolationError(Line.BOUNDED, "a flow came from nowhere")
+        raise ViolationError(Invariant.BOUNDED, "guessed flows remain")
+    if machine.callers.in_stage(Stage.OPEN):
+        raise ViolationError(
+            Invariant.BOUNDED, "a flow was opened from stray packets"
+        )
 
 
 def many_senders() -> None:
-    """Envelopes come from ever new senders that know the key."""
+    """Envelopes arrive from ever more senders that have the key."""
     opener = Opener(fakes.KEY)
     for number in range(MOST_SENDERS + 50):
         data = Sealer(f"vm-{number}", fakes.KEY).seal(Kind.GOSSIP, b"")
         opener.open(data, 0.0)
     if len(opener._windows) > MOST_SENDERS:
-        raise ViolationError(Line.BOUNDED, "senders are not bounded")
+        raise ViolationError(
+            Invariant.BOUNDED, "the number of remembered senders is unbounded"
+        )
--- a/tests/proof/_traffic.py
+++ b/tests/proof/_traffic.py
@@ -1,7 +1,7 @@
-"""Callers' datagrams whose content the oracle can read back.
+"""QUIC datagrams whose content the oracle can read back.
 
-Each packet carries its session, a number of its own and the request that it
-holds, in clear text behind an ordinary QUIC header.
+Each packet carries its session, a unique number and its request in clear text
+behind an ordinary QUIC header.
 """
 
 import hashlib
@@ -23,13 +23,13 @@
 
 
 @attrs.frozen
-class Sent:
+class PacketContent:
     """One packet of a caller.
 
     Attributes:
         session: The caller's session.
-        number: Its number within the session; none is used twice.
-        request: The request that it carries, empty for none.
+        number: Unique number within the session.
+        request: The request that it carries; empty for none.
     """
 
     session: str
@@ -38,11 +38,13 @@
 
     @property
     def text(self) -> bytes:
-        """What stands in the datagram."""
+        """The packet's content as it is written into the datagram."""
         return f"pk:{self.session};{self.number};{self.request};".encode()
 
 
-def _long(first: int, sent: Sent, length: int, token: bytes = b"") -> bytes:
+def _long(
+    first: int, sent: PacketContent, length: int, token: bytes = b""
+) -> bytes:
     cid = sent.session.encode().ljust(8, b"-")[:8]
     head = bytes([first, 0, 0, 0, 1, 8]) + cid + b"\x08" + cid + token
     length = max(length - len(head) - 2, len(sent.text) + 20)
@@ -50,29 +52,29 @@
     return head + size + sent.text.ljust(length)
 
 
-def early_data(sent: Sent) -> bytes:
+def early_data(sent: PacketContent) -> bytes:
     """Returns a 0-RTT packet with a request."""
     return _long(_EARLY, sent, 100)
 
 
-def initial(sent: Sent, early: Sent | None = None) -> bytes:
-    """Returns an Initial, with 0-RTT behind it if given."""
+def initial(sent: PacketContent, early: PacketContent | None = None) -> bytes:
+    """Returns an Initial, followed by a 0-RTT packet if one is given."""
     behind = early_data(early) if early else b""
     return _long(_INITIAL, sent, _INITIAL_BYTES, b"\0") + behind
 
 
-def handshake(sent: Sent) -> bytes:
-    """Returns a caller's later packet of the handshake."""
+def handshake(sent: PacketContent) -> bytes:
+    """Returns a caller's Handshake packet."""
     return _long(_HANDSHAKE, sent, 80)
 
 
-def short(sent: Sent, connection_id: bytes = _NO_ID) -> bytes:
-    """Returns a packet of a session in progress."""
+def short(sent: PacketContent, connection_id: bytes = _NO_ID) -> bytes:
+    """Returns a short-header packet of an established session."""
     return _SHORT + connection_id + sent.text.ljust(50, b"\1")
 
 
-def first_answer(sent: Sent, connection_id: bytes) -> bytes:
-    """Returns an upstream's Initial, which names its connection id."""
+def first_answer(sent: PacketContent, connection_id: bytes) -> bytes:
+    """Returns an upstream's Initial, which carries its connection id."""
     cid = sent.session.encode().ljust(8, b"-")[:8]
     head = b"\xc0\x00\x00\x00\x01\x08" + cid + b"\x08" + connection_id
     payload = sent.text.ljust(100)
@@ -86,21 +88,21 @@
     return hashlib.blake2b(chosen, digest_size=8).digest()
 
 
-def told_session(data: bytes) -> str:
-    """Returns the session that a relay's own Initial is meant for."""
+def refused_session(data: bytes) -> str:
+    """Returns the session that a relay's refusal is addressed to."""
     return read_packet(data).unwrap().destination_cid.decode().rstrip("-")
 
 
-def read(data: bytes) -> list[Sent]:
-    """Returns every packet that can still be read from a datagram."""
+def read(data: bytes) -> list[PacketContent]:
+    """Returns every packet of a datagram that is still readable."""
     return [
-        Sent(session.decode(), int(number), request.decode())
+        PacketContent(session.decode(), int(number), request.decode())
         for session, number, request in _PACKET.findall(data)
     ]
 
 
 def opens(data: bytes) -> bool:
-    """Returns whether an upstream would open a session for it."""
+    """Returns whether an upstream would open a session for a datagram."""
     return data[0] & 0xF0 == _INITIAL and len(data) >= _INITIAL_BYTES
 
 
@@ -111,7 +113,7 @@
 
 @attrs.frozen
 class Service:
-    """One service of the fleet under proof."""
+    """One service of the simulated fleet."""
 
     number: int
     name: str
@@ -128,16 +130,18 @@
 
 @attrs.define
 class Plan:
-    """What operators intend; made into a manifest's text.
+    """Configuration that operators intend, written out as a manifest.
 
     Attributes:
         version: The version to publish next.
-        ports: Each service's port towards callers.
+        ports: The port of each service, by service number.
         draining: Names of the endpoints that drain.
-        gone: Names of the endpoints that were taken out.
-        endpoints: Endpoints of each service.
-        port_since: The version with which a service got another's port.
-        tells_ports: Whether manifests say so; not every pipeline does.
+        gone: Names of the endpoints that were removed.
+        endpoints: Number of endpoints of each service.
+        port_since: The version in which a service took over another's port,
+            by service number.
+        includes_port_since: Whether manifests contain `port_since`; not every
+            pipeline writes it.
     """
 
     version: int = 1
@@ -148,17 +152,17 @@
     gone: set[str] = attrs.field(factory=set)
     endpoints: int = 3
     port_since: dict[int, int] = attrs.field(factory=dict)
-    tells_ports: bool = True
+    includes_port_since: bool = True
 
     def text(self) -> bytes:
-        """Returns the manifest."""
+        """Returns the manifest as JSON."""
         services = [self._service(each) for each in SERVICES]
         return json.dumps(
             {"version": self.version, "services": services}
         ).encode()
 
     def _since(self, service: Service) -> int:
-        return self.port_since.get(service.number, 0) * self.tells_ports
+        return self.port_since.get(service.number, 0) * self.includes_port_since
 
     def _service(self, service: Service) -> dict:
         return {
@@ -183,7 +187,7 @@
         }
 
     def names(self, service: Service) -> list[str]:
-        """Returns the names of a service's endpoints, gone ones included."""
+        """Returns the names of a service's endpoints, also removed ones."""
         return [f"{service.name}-{n}" for n in range(self.endpoints)]
 
 
--- a/tests/proof/_wire.py
+++ b/tests/proof/_wire.py
@@ -1,4 +1,4 @@
-"""The network between relays: it loses, doubles, delays, forges and cuts."""
+"""Simulated network between relays, with injected faults and partitions."""
 
 import collections
 import enum
@@ -8,7 +8,7 @@
 
 
 class Fault(enum.Enum):
-    """What happens to one envelope."""
+    """A fault that is injected into one envelope."""
 
     LOSE = "lose"
     DOUBLE = "double"
@@ -20,7 +20,13 @@
 
 @attrs.define
 class Envelope:
-    """One envelope on its way."""
+    """One envelope in transit.
+
+    Attributes:
+        source: Number of the sending VM.
+        target: Number of the receiving VM.
+        data: The envelope as bytes.
+    """
 
     source: int
     target: int
@@ -28,7 +34,12 @@
 
 
 class PeerWire:
-    """Envelopes between relays."""
+    """Queue of the envelopes in transit between relays.
+
+    Attributes:
+        faults: Faults to inject into the next envelopes, in order.
+        cut: Tells whether a partition separates two VMs, given by number.
+    """
 
     def __init__(self, rng: random.Random):
         self._rng = rng
@@ -40,7 +51,7 @@
         self.forgeries = 0
 
     def send(self, source: int, target: int, data: bytes) -> None:
-        """Takes an envelope from a relay."""
+        """Queues an envelope from a relay and injects the next fault."""
         envelope = Envelope(source, target, data)
         self._seen.append(envelope)
         fault = self.faults.popleft() if self.faults else None
@@ -49,13 +60,13 @@
         if fault is Fault.DELAY:
             self._late.append(envelope)
             return
-        self._queue.append(self._bent(envelope, fault))
+        self._queue.append(self._corrupted(envelope, fault))
         if fault is Fault.DOUBLE:
             self._queue.append(envelope)
         if fault is Fault.REPLAY:
             self._queue.append(self._rng.choice(self._seen))
 
-    def _bent(self, envelope: Envelope, fault: Fault | None) -> Envelope:
+    def _corrupted(self, envelope: Envelope, fault: Fault | None) -> Envelope:
         data = envelope.data
         if fault is Fault.TRUNCATE:
             data = data[: self._rng.randrange(len(data))]
@@ -66,7 +77,7 @@
         return attrs.evolve(envelope, data=data)
 
     def take(self) -> Envelope | None:
-        """Returns the next envelope that arrives."""
+        """Returns the next envelope that arrives, or None if there is none."""
         while self._queue:
             envelope = self._queue.popleft()
             if not self.cut(envelope.source, envelope.target):
@@ -74,7 +85,7 @@
         return None
 
     def arrive_late(self) -> None:
-        """Lets the delayed envelopes arrive, in any order."""
+        """Queues the delayed envelopes, in random order."""
         self._rng.shuffle(self._late)
         self._queue.extend(self._late)
         self._late.clear()
--- a/tests/proof_agents_test.py
+++ b/tests/proof_agents_test.py
@@ -1,4 +1,4 @@
-"""The proof's fixed part for agents: the same run each time."""
+"""State machine test of agents under faults, with fixed random choices."""
 
 from hypothesis import HealthCheck, Phase, settings
 
--- a/tests/proof_fleet_test.py
+++ b/tests/proof_fleet_test.py
@@ -1,4 +1,4 @@
-"""The proof's fixed part: a fleet under faults, the same run each time."""
+"""State machine test of a fleet under faults, with fixed random choices."""
 
 from hypothesis import HealthCheck, Phase, settings
 
--- a/tests/proof_found_test.py
+++ b/tests/proof_found_test.py
@@ -1,4 +1,4 @@
-"""What the proof has found, kept as the steps that showed it."""
+"""Regression tests: the steps of faults that the search has found."""
 
 from testtools import TestCase
 
@@ -15,13 +15,13 @@
 
 
 class ReusedPortTest(TestCase):
-    """Operators give a port to another service while sessions are open."""
+    """A port is reassigned to another service while sessions are open."""
 
     def test_during_spread(self):
-        """Some relays have the new manifest, others not yet.
+        """Some relays have the new manifest and others do not yet.
 
-        A relay that had it passed a registry packet on as one of cellvakt;
-        one that had not took it to a cellvakt endpoint.
+        A relay with the new manifest forwarded a registry packet as one of
+        cellvakt, and a relay without it sent that to a cellvakt endpoint.
         """
         state = _begin(4)
         state.open(count=3, early=False, service=_REGISTRY, to=0)
@@ -33,7 +33,7 @@
         state.teardown()
 
     def test_relays_that_join(self):
-        """Relays that come with the change know no port as given away.
+        """Relays that start with the change do not know that a port is reused.
 
         They guessed that a packet of an older session was meant for the
         service that has the port now.
@@ -47,9 +47,10 @@
         state.teardown()
 
     def test_handed_over(self):
-        """A relay leaves; its flows were taken over at the wrong port.
+        """The flows of a leaving relay were taken over on the wrong port.
 
-        Their callers then got answers from a port that they had not asked.
+        Their callers then got responses from a port that they had not sent
+        to.
         """
         state = _begin(2)
         state.restart_agent(which=0)
@@ -59,10 +60,11 @@
         state.teardown()
 
     def test_killed_later(self):
-        """A relay dies that carries a session on a port given away before.
+        """A relay that carries a session on a reassigned port is killed.
 
-        Nobody may guess there, so the session needs a record although its
-        endpoint is its default; it had none, and hung.
+        Relays may not guess the endpoint on a reassigned port, so the session
+        needs a record although it is on its default endpoint. It had none and
+        hung.
         """
         state = _begin(3)
         state.swap_ports(pair=(1, 2))
@@ -74,7 +76,7 @@
         state.teardown()
 
     def test_joined_before(self):
-        """A relay joins just before the port is given away."""
+        """A relay joins just before the port is reassigned."""
         state = _begin(4)
         state.join(number=6)
         state.open(count=4, early=False, service=_REGISTRY, to=0)
@@ -87,14 +89,15 @@
 
 
 class OpeningTest(TestCase):
-    """Flows open while the owners change."""
+    """Flows are opened while their owners change."""
 
     def test_owner_changes_meanwhile(self):
-        """A flow opens while a cut heals and two VMs join at once.
+        """A flow opens while a partition heals and two VMs join at once.
 
-        Its relay told owners of their flows while this one was opening, and
-        not again; the new owner asked two VMs that did not know it and took
-        the session to its default endpoint. Seed 2059 of the search.
+        Its relay notified the owners of their flows while this one was still
+        opening, and not again. The new owner asked two VMs that did not know
+        it and sent the session to its default endpoint. Found by seed 2059 of
+        the search.
         """
         state = FleetMachine()
         state.begin(seed=0, vms=2, keep_alive=False)
--- a/tests/proof_parsers_test.py
+++ b/tests/proof_parsers_test.py
@@ -1,4 +1,4 @@
-"""The proof for parsers: nothing from outside makes one raise or grow."""
+"""Fuzz tests: no outside input makes a parser raise or grow its state."""
 
 import json
 
@@ -33,11 +33,13 @@
 )
 _BOUNDARIES = (0, 1, 2, 3, 15, 20, 21, 22, 1199, 1200, 1201, 9216, MOST_BYTES)
 _GENUINE = [
-    traffic.initial(traffic.Sent("f1", 1)),
-    traffic.initial(traffic.Sent("f1", 1), traffic.Sent("f1", 2, "r")),
-    traffic.handshake(traffic.Sent("f1", 1)),
-    traffic.short(traffic.Sent("f1", 3, "r")),
-    traffic.early_data(traffic.Sent("f1", 2, "r")),
+    traffic.initial(traffic.PacketContent("f1", 1)),
+    traffic.initial(
+        traffic.PacketContent("f1", 1), traffic.PacketContent("f1", 2, "r")
+    ),
+    traffic.handshake(traffic.PacketContent("f1", 1)),
+    traffic.short(traffic.PacketContent("f1", 3, "r")),
+    traffic.early_data(traffic.PacketContent("f1", 2, "r")),
 ]
 
 _lengths = st.one_of(st.sampled_from(_BOUNDARIES), st.integers(0, MOST_BYTES))
@@ -46,25 +48,25 @@
 
 @st.composite
 def _noise(draw) -> bytes:
-    """A datagram of any length, with an arbitrary beginning."""
+    """Generates a datagram of any length with arbitrary leading bytes."""
     length, head = draw(_lengths), draw(_heads)
     return (head + bytes([draw(st.integers(0, 255))]) * length)[:length]
 
 
 @st.composite
-def _bent(draw, genuine: list[bytes]) -> bytes:
-    """A genuine message, cut off or with some bytes changed."""
+def _corrupted(draw, genuine: list[bytes]) -> bytes:
+    """Generates a valid message that is truncated or has bytes changed."""
     data = bytearray(draw(st.sampled_from(genuine)))
     for _ in range(draw(st.integers(0, 4))):
         data[draw(st.integers(0, len(data) - 1))] = draw(st.integers(0, 255))
     return bytes(data[: draw(st.integers(0, len(data)))])
 
 
-_datagrams = st.one_of(_noise(), _bent(_GENUINE))
+_datagrams = st.one_of(_noise(), _corrupted(_GENUINE))
 
 
 class DatagramTest(TestCase):
-    """What callers may send."""
+    """Input from callers."""
 
     @_FIXED
     @given(_datagrams)
@@ -79,7 +81,7 @@
     @_FIXED
     @given(_datagrams)
     def test_without_early_data(self, data):
-        """What is left of a datagram holds no 0-RTT that can be found."""
+        """A datagram stripped of 0-RTT contains no 0-RTT that can be found."""
         stripped, _ = without_early_data(data)
         self.assertEqual(0, without_early_data(stripped)[1])
 
@@ -88,9 +90,9 @@
     @example([(bytes(size), 1) for size in _BOUNDARIES])
     @example([(b"\xc0" * size, 1) for size in _BOUNDARIES])
     def test_relay(self, datagrams):
-        """A relay takes any datagrams, and keeps at most one flow for each."""
+        """A relay accepts any datagrams and keeps at most one flow for each."""
         world = World(vms=2)
-        world.told = lambda *args: None
+        world.on_sent_to_caller = lambda *args: None
         core = world.nodes[1].core
         (listener, *_) = core.table.listeners
         world.upstreams.take = lambda *args: None
@@ -112,17 +114,17 @@
 
 
 class EnvelopeTest(TestCase):
-    """What other VMs, or strangers in their name, may send."""
+    """Input from other VMs, or from senders that impersonate them."""
 
     @_FIXED
     @given(
         st.one_of(
             _noise(),
-            _bent([Sealer("vm-2", fakes.KEY).seal(Kind.RECORDS, b"abc")]),
+            _corrupted([Sealer("vm-2", fakes.KEY).seal(Kind.RECORDS, b"abc")]),
         )
     )
-    def test_strangers(self, data):
-        """Nothing that the fleet did not seal is opened."""
+    def test_unauthenticated(self, data):
+        """An envelope that was not sealed with the fleet's key is rejected."""
         genuine = Sealer("vm-2", fakes.KEY).seal(Kind.RECORDS, b"abc")
         opener = Opener(bytes(32))
         self.assertTrue(opener.open(data, 0.0).is_err())
@@ -137,7 +139,7 @@
         )
     )
     def test_bodies(self, messages):
-        """A genuine envelope with any body neither raises nor plants flows."""
+        """No body of an authentic envelope raises or adds surplus flows."""
         world = World(vms=2)
         core = world.nodes[1].core
         sealer = Sealer("vm-2", fakes.KEY)
@@ -151,7 +153,7 @@
     @_FIXED
     @given(st.binary(max_size=1500))
     def test_unpack(self, body):
-        """Records and forwarded bodies are read or refused, within bounds."""
+        """Message bodies are parsed or rejected, within bounds."""
         records = unpack_records(body)
         if records.is_ok():
             self.assertLessEqual(len(records.unwrap()), MOST_RECORDS)
@@ -161,14 +163,14 @@
     @_FIXED
     @given(st.ip_addresses(), st.integers(0, 65535), st.binary(max_size=1400))
     def test_forwarded_whole(self, ip, port, data):
-        """A forwarded datagram arrives as it was sent."""
+        """A forwarded datagram survives packing and unpacking unchanged."""
         sent = Forwarded(4001, str(ip), port, 1, data, 7, 9)
         self.assertEqual(sent, unpack_forwarded(pack_forwarded(sent)).unwrap())
 
     @_FIXED
     @given(st.integers(0, 255), st.binary(max_size=400))
     def test_control_messages(self, tag, data):
-        """The link's codec and gossip's return an error for nonsense."""
+        """The codecs of link and gossip never raise on invalid input."""
         _codec.decode(bytes([tag]) + data)
         _codec.decode(data)
         _gossip.decode(data)
@@ -191,12 +193,14 @@
 
 
 class ManifestTest(TestCase):
-    """What the platform may serve."""
+    """Input from the platform."""
 
     @_FIXED
-    @given(st.one_of(st.binary(max_size=300), _bent([traffic.Plan().text()])))
+    @given(
+        st.one_of(st.binary(max_size=300), _corrupted([traffic.Plan().text()]))
+    )
     def test_any_bytes(self, data):
-        """Bytes are a manifest or a list of faults, never an exception."""
+        """Any bytes parse to a manifest or a list of faults and never raise."""
         parsed = manifests.parse(data)
         if parsed.is_err():
             self.assertGreater(len(parsed.unwrap_err()), 0)
@@ -204,7 +208,7 @@
     @_FIXED
     @given(st.lists(st.integers(0, 9), max_size=6), _values)
     def test_any_value(self, path, value):
-        """A value of any kind anywhere in a manifest is no exception."""
+        """A value of any type anywhere in a manifest never raises."""
         whole = json.loads(traffic.Plan().text())
         place, keys = whole, path or [0]
         for step in keys:
--- a/tests/proof_seeds_test.py
+++ b/tests/proof_seeds_test.py
@@ -1,4 +1,4 @@
-"""Seeds of the longer search that had a finding, kept as they are."""
+"""Regression tests: seeds of the long search that once failed."""
 
 from parameterized import parameterized
 from testtools import TestCase
@@ -8,9 +8,9 @@
 
 
 class SeedsTest(TestCase):
-    """What one seed has found does not come back."""
+    """Faults that a seed of the search once showed do not recur."""
 
     @parameterized.expand([(2059,), (2088,), (5016,)])
     def test_seed(self, seed):
-        """All cases of a seed hold that once had a finding."""
+        """All cases of a seed that once failed now pass."""
         self.assertEqual("", run_seed((FleetMachine, seed, False)).text)
--- a/tests/proof_teeth_test.py
+++ b/tests/proof_teeth_test.py
@@ -1,4 +1,4 @@
-"""The proof has teeth: it fails when the code that keeps a line is out."""
+"""The invariant checks fail when the mechanism they guard is disabled."""
 
 import testtools
 from parameterized import parameterized
@@ -9,16 +9,16 @@
 _CASES = [(each.name.replace("-", "_"), each) for each in MUTATIONS]
 
 
-class TeethTest(testtools.TestCase):
-    """Every scenario passes with its code and fails without it."""
+class MutationsTest(testtools.TestCase):
+    """Every scenario passes without its mutation and fails with it."""
 
     @parameterized.expand(_CASES)
     def test_holds(self, _, mutation):
-        """With the code in place the line holds."""
+        """Without the mutation the scenario passes."""
         mutation.scenario()
 
     @parameterized.expand(_CASES)
     def test_fails_without(self, _, mutation):
-        """With the code taken out the scenario shows a line broken."""
+        """With the mutation the scenario shows a violated invariant."""
         with mutation.patch(), testtools.ExpectedException(ViolationError):
             mutation.scenario()
