--- a/src/pollenmast/decisions/_backoff.py
+++ b/src/pollenmast/decisions/_backoff.py
@@ -1,14 +1,15 @@
 """Computes the retry-after time of refused callers.
 
-Load pattern: thousands of callers are refused at the same moment. If they all
-got the same retry-after time, they would return together and the overload
-would repeat for as long as they retry. If the time were too short, the retries
-alone would be a significant load.
-
-It is a decorrelated jitter with state per service. Each time is drawn between
-the minimum and three times the level. The level grows while callers are
-refused and falls back when none was refused for some time. There is no state
-per caller, which attackers could exhaust with many callers.
+In an overload, thousands of callers are refused at the same moment. If they all
+got the same retry-after time, they would return together and the overload would
+repeat for as long as they retry. If the time were too short, the retries alone
+would be a significant load.
+
+The times are random and back off exponentially with a level per service. Each
+time is drawn uniformly between the minimum and three times the level. The level
+doubles at most once per second while callers are refused, and falls back when
+none was refused for some time. There is no state per caller, which attackers
+could exhaust with many callers.
 """
 
 import random
--- a/src/pollenmast/decisions/_capacity.py
+++ b/src/pollenmast/decisions/_capacity.py
@@ -1,10 +1,9 @@
 """Estimates the capacity of an endpoint that is left for one VM.
 
-Load pattern: many VMs send to the same few endpoints and learn of each
-other's flows only through load reports that are half a second old or older.
-If each VM used all of the reported headroom, together they would overfill
-the endpoint. So each VM uses only its share, which it computes without
-coordination (see `_fleet_part`).
+Many VMs send to the same few endpoints and learn of each other's flows only
+through load reports that are half a second old or older. If each VM used all of
+the reported headroom, together they would overfill the endpoint. So each VM
+uses only its share, which it computes without coordination (see `_fleet_part`).
 """
 
 import abc
--- a/src/pollenmast/decisions/_evidence.py
+++ b/src/pollenmast/decisions/_evidence.py
@@ -1,10 +1,10 @@
 """Passive health check: ejects endpoints that do not answer this VM.
 
-Load pattern: an endpoint dies or hangs while its reports, which are seconds
-old or come from another process, still say that it is healthy. Without a
-passive check each new flow placed there waits for a retry time, and one caller
-in seven notices. An answer is better evidence than any report, so a single one
-resets the count of unanswered flows.
+When an endpoint dies or hangs, its reports still say that it is healthy,
+because they are seconds old or come from another process. Without a passive
+check each new flow placed there waits for a retry time, and one caller in seven
+notices. An answer is better evidence than any report, so a single one resets
+the count of unanswered flows.
 
 An ejected endpoint returns by itself with a small share that grows. So a
 wrong ejection corrects itself, and retrying a dead endpoint costs little.
--- a/src/pollenmast/decisions/_fairness.py
+++ b/src/pollenmast/decisions/_fairness.py
@@ -1,11 +1,10 @@
 """Fair queueing of held flows, by the caller's network.
 
-Load pattern: one caller, or one network of callers, sends many times what
-all others send. In a single FIFO queue its flows would fill the queue, and
-everyone else would wait behind them or be refused. Plain round robin is not
-enough either: many small networks hold one flow each, as the heavy one does,
-so the heavy network would get every second turn and crowd the others out of a
-short queue.
+One caller, or one network of callers, may send many times what all others send.
+In a single FIFO queue its flows would fill the queue, and everyone else would
+wait behind them or be refused. Plain round robin is not enough either: many
+small networks hold one flow each, as the heavy one does, so the heavy network
+would get every second turn and crowd the others out of a short queue.
 
 Networks with the fewest recently served flows go first, in order of arrival.
 Within a network the callers take turns. When too many flows are held, the
--- a/src/pollenmast/decisions/_fleet_part.py
+++ b/src/pollenmast/decisions/_fleet_part.py
@@ -1,9 +1,8 @@
 """Estimates a VM's share of a service's capacity without coordination.
 
-Load pattern: every VM sends to the same endpoints. If each used all of the
-capacity, together they would overload the endpoints. If each used an equal
-share, a VM that gets more callers than others would refuse work while
-endpoints are idle.
+Every VM sends to the same endpoints. If each used all of the capacity, together
+they would overload the endpoints. If each used an equal share, a VM that gets
+more callers than others would refuse work while endpoints are idle.
 
 The share is one divided by the number of live relays, or the measured share
 if that is clearly more. The measured share is the number of flows that this
--- a/src/pollenmast/decisions/_freshness.py
+++ b/src/pollenmast/decisions/_freshness.py
@@ -1,4 +1,4 @@
-"""Whether decisions may be based on the local view of the fleet.
+"""Tracks whether the local view of the fleet is fresh enough for decisions.
 
 After a pause of seconds or minutes, or after isolation from all peers, the
 view of a process is stale. If the process acted on it, it would open flows
--- a/src/pollenmast/decisions/_holding.py
+++ b/src/pollenmast/decisions/_holding.py
@@ -1,7 +1,7 @@
 """Limits the number of held flows to those that can be served in time.
 
-Load pattern: a burst, or a lasting overload. Without a hold, a burst of some
-milliseconds is refused although slots free up right after it. With an
+Flows are held during a burst or a lasting overload. Without a hold, a burst of
+some milliseconds is refused although slots free up right after it. With an
 unbounded queue all callers wait for a queue that cannot be served, their
 libraries retransmit, and the work is done for callers that have gone.
 
--- a/src/pollenmast/decisions/_placement.py
+++ b/src/pollenmast/decisions/_placement.py
@@ -1,10 +1,9 @@
 """Selects the endpoint for a new flow among those with spare capacity.
 
-Load pattern: steady flows of uneven length, with load reports that lag.
+Flows arrive steadily and are of uneven length, and the load reports lag.
 Hashing alone distributes flows randomly and leaves the endpoints unevenly
-loaded. Picking the least-loaded endpoint by a stale report sends the flows
-of every VM to the same endpoint until the next report, so the load
-oscillates.
+loaded. Picking the least-loaded endpoint by a stale report sends the flows of
+every VM to the same endpoint until the next report, so the load oscillates.
 
 A flow stays at its default endpoint, where it needs no replication, unless
 another endpoint is less loaded by a margin. How endpoints are compared
--- a/src/pollenmast/decisions/_probing.py
+++ b/src/pollenmast/decisions/_probing.py
@@ -37,7 +37,7 @@
 """Interval at which an unchanged report is sent again, in seconds."""
 
 _SLOW_START_UPTIME_S = 60.0
-"""Uptime that slow start considers, in seconds: only the first minute."""
+"""The first minute of an endpoint's uptime, in seconds. No code uses it."""
 
 _Key = tuple[int, str]
 
--- a/src/pollenmast/decisions/_readers.py
+++ b/src/pollenmast/decisions/_readers.py
@@ -1,4 +1,4 @@
-"""Which VMs watch the platform, and how often the others read from it.
+"""Selects the VMs that watch the platform; schedules the others' reads.
 
 The platform limits all its users together to about 2,000 reads per second, a
 pending watch counts as a read, and the limit grows more slowly than the fleet.
--- a/src/pollenmast/decisions/_replication.py
+++ b/src/pollenmast/decisions/_replication.py
@@ -1,4 +1,4 @@
-"""Which flows are replicated, and when.
+"""Decides which flows are replicated to another VM, and when.
 
 Any VM can compute the endpoint of a flow at its default endpoint, so such a
 flow needs no record at another VM. Two kinds of flows cannot be computed:
--- a/src/pollenmast/decisions/_request_capacity.py
+++ b/src/pollenmast/decisions/_request_capacity.py
@@ -1,10 +1,9 @@
 """Divides an endpoint's slots among VMs without coordination.
 
-Load pattern: many VMs send short requests at or beyond capacity, and the load
-reports are older than a request takes. If each VM filled the slots that the
-reports show as free, endpoints would oscillate between idle and queues that
-no report shows yet. Without any bound the queues grow until every answer is
-late.
+Many VMs send short requests at or beyond capacity, and the load reports are
+older than a request takes. If each VM filled the slots that the reports show as
+free, endpoints would oscillate between idle and queues that no report shows
+yet. Without any bound the queues grow until every answer is late.
 
 Each VM keeps a debt for each endpoint, which works like a leaky bucket: a
 placed flow adds one, and the VM's share of the finish rate drains it. Each
--- a/src/pollenmast/decisions/_retry.py
+++ b/src/pollenmast/decisions/_retry.py
@@ -1,11 +1,10 @@
 """Retry budget for sending a flow's first packets to another endpoint.
 
-Load pattern: endpoints stop answering because they are overloaded. Without a
-budget all of their flows are retried elsewhere immediately. The remaining
-endpoints get up to twice the load and stop answering too, and the retries
-keep the service down after the cause is gone. So each new flow adds a
-fraction of a retry to the budget, which limits retries to that fraction of
-the load.
+Endpoints may stop answering because they are overloaded. Without a budget all
+of their flows are retried elsewhere immediately. The remaining endpoints get up
+to twice the load and stop answering too, and the retries keep the service down
+after the cause is gone. So each new flow adds a fraction of a retry to the
+budget, which limits retries to that fraction of the load.
 """
 
 RETRIES_PER_FLOW = 0.1
--- a/src/pollenmast/decisions/_service_time.py
+++ b/src/pollenmast/decisions/_service_time.py
@@ -1,9 +1,9 @@
 """Estimates an endpoint's service time from its load reports alone.
 
-Load pattern: one endpoint is slow, and requests take uneven times. Flows are
-not decrypted, so a VM cannot time a request itself. By Little's law the mean
-service time is the mean number of busy slots divided by the finish rate, at
-any load.
+The estimate is used to find a slow endpoint although single requests take
+uneven times. Flows are not decrypted, so a VM cannot time a request itself. By
+Little's law the mean service time is the mean number of busy slots divided by
+the finish rate, at any load.
 
 A short averaging window reacts too strongly to single long requests, and a
 long one detects a slow endpoint late. So there are two averages. The long one
--- a/src/pollenmast/decisions/_silence.py
+++ b/src/pollenmast/decisions/_silence.py
@@ -1,4 +1,4 @@
-"""When a flow without answers is moved to a new path to its endpoint.
+"""Decides when a flow without answers moves to a new path to its endpoint.
 
 A device between a relay and an upstream, such as a stateful firewall, may lose
 its state for a flow. The caller's datagrams then get no answer although the
--- a/src/pollenmast/decisions/_slow_start.py
+++ b/src/pollenmast/decisions/_slow_start.py
@@ -1,9 +1,9 @@
 """Slow start: the share of a cold endpoint grows over its first seconds.
 
-Load pattern: an endpoint starts with empty caches and cold code, and is
-several times slower at first. It also looks idle, so the load comparison of
-every VM prefers it. Without slow start its first requests queue up, and their
-callers wait longest right after a planned release.
+An endpoint that has just started has empty caches and cold code, and is several
+times slower at first. It also looks idle, so the load comparison of every VM
+prefers it. Without slow start its first requests queue up, and their callers
+wait longest right after a planned release.
 """
 
 RAMP_S = 10.0
--- a/src/pollenmast/decisions/_trust.py
+++ b/src/pollenmast/decisions/_trust.py
@@ -1,9 +1,9 @@
 """Detects load reports that cannot be trusted.
 
-Load pattern: a load report that is wrong or frozen. If placement followed
-reports blindly, an endpoint that always reports itself idle, or whose load
-page is served by a stuck thread, would attract the work of all VMs. One that
-is frozen at full load would get none.
+A load report may be wrong or frozen. If placement followed reports blindly, an
+endpoint that always reports itself idle, or whose load page is served by a
+stuck thread, would attract the work of all VMs. One that is frozen at full load
+would get none.
 
 There are three checks, and none of them relies on the report being honest:
 
--- a/src/pollenmast/decisions/_usage.py
+++ b/src/pollenmast/decisions/_usage.py
@@ -1,8 +1,8 @@
-"""Recently served flows per network of callers, in bounded memory.
+"""Counts recently served flows per network of callers, in bounded memory.
 
-Load pattern: one caller or network opens flows all the time, many others now
-and then. The currently held flows do not tell them apart, as flows that were
-served are no longer held. The count of recently served flows does.
+Some callers or networks open flows all the time, and many others only now and
+then. The currently held flows do not tell them apart, as flows that were served
+are no longer held. The count of recently served flows does.
 """
 
 import math
--- a/src/pollenmast/entry/_gossip.py
+++ b/src/pollenmast/entry/_gossip.py
@@ -1,9 +1,10 @@
 """Gossip between VMs: load, dead endpoints, and configuration changes.
 
-Load pattern: each VM sees only a part of the requests and only its own
-failures. To find out by itself what another VM already knows costs it a
-client's waiting time: that an endpoint is full, that one is dead, or that the
-directory has newer data while this VM's own connection to it has gone silent.
+Each VM sees only a part of the requests and only its own failures. To find out
+by itself what another VM already knows costs it a client's waiting time: that
+an endpoint is full, that one is dead, or that the directory has newer data
+while this VM's own connection to it has gone silent. VMs therefore tell each
+other what they know.
 
 Twice a second, each VM reports its own load to one of the readers of its
 zone, the VMs that watch the directory, and receives the total load in the
--- a/src/pollenmast/entry/_peers.py
+++ b/src/pollenmast/entry/_peers.py
@@ -1,9 +1,8 @@
 """Fetches endpoints and routes from other VMs during a directory outage.
 
-Load pattern: the directory is down, or refuses this VM, and many VMs are
-restarted meanwhile. Without peers, a VM that has just started has no endpoints
-or routes until the directory is back, and a running VM falls behind the
-others.
+The directory may be down, or refuse this VM, while many VMs are restarted.
+Without peers, a VM that has just started has no endpoints or routes until the
+directory is back, and a running VM falls behind the others.
 """
 
 import anyio
--- a/src/pollenmast/steering/_catalog.py
+++ b/src/pollenmast/steering/_catalog.py
@@ -1,4 +1,4 @@
-"""The known endpoints and whether the directory still lists them.
+"""Tracks the known endpoints and whether the directory still lists them.
 
 An entry can disappear from the directory while its endpoint is alive: the
 directory loses entries while it is down or partitioned from the endpoints,
--- a/src/pollenmast/steering/_changes.py
+++ b/src/pollenmast/steering/_changes.py
@@ -75,9 +75,9 @@
 class RoutesDelta:
     """A published configuration as the difference from its predecessor.
 
-    Load pattern: a configuration of hundreds of routes is published many
-    times a second, each time with one route more or less. Sending all of it
-    to every VM saturates the links that carry the clients' packets.
+    A configuration of hundreds of routes may be published many times a second,
+    each time with one route more or less. Sending all of it to every VM would
+    saturate the links that carry the clients' packets.
 
     Attributes:
         base: The version that the difference applies to.
--- a/src/pollenmast/steering/_check_policy.py
+++ b/src/pollenmast/steering/_check_policy.py
@@ -1,9 +1,9 @@
-"""Which endpoints a VM health-checks, and which it leaves to other VMs.
+"""Decides which endpoints a VM health-checks and which it leaves to others.
 
-Load pattern: a service is released, or an availability zone is cut off, and
-endpoints disappear or die by the dozen. If every VM checked each of them, the
-number of checks would grow with the product of VMs and endpoints, and would be
-highest just when the endpoints return.
+When a service is released, or an availability zone is cut off, endpoints
+disappear or die by the dozen. If every VM checked each of them, the number of
+checks would grow with the product of VMs and endpoints, and would be highest
+just when the endpoints return.
 
 So the zone's readers, the VMs that gather its reports, check endpoints and
 report the results. Any other VM checks only endpoints that it has flows to, as
--- a/src/pollenmast/steering/_cold_limit.py
+++ b/src/pollenmast/steering/_cold_limit.py
@@ -1,9 +1,9 @@
 """Limits the new flows that a VM opens to endpoints that are warming up.
 
-Load pattern: endpoints start, or a zone with many of them is restored after a
-drain, and all VMs see them idle at the same moment. All VMs together must not
-open more flows to a cold endpoint than it can handle, even if some of them do
-not hear from each other.
+When endpoints start, or a zone with many of them is restored after a drain, all
+VMs see them idle at the same moment. All VMs together must not open more flows
+to a cold endpoint than it can handle, even if some of them do not hear from
+each other.
 
 So each endpoint's allowance is divided among the VMs of the endpoint's zone.
 Each VM computes its quota from the VMs that it knows, without any messages.
--- a/src/pollenmast/steering/_health.py
+++ b/src/pollenmast/steering/_health.py
@@ -1,10 +1,10 @@
-"""Passive health detection: whether an endpoint answers, from its traffic.
+"""Passive health detection: infers from traffic whether an endpoint answers.
 
-Load pattern: an endpoint dies, hangs or is cut off from the network while the
-directory still lists it, for seconds. Its answers go directly to the clients,
-so a VM sees none of them. Without evidence of its own, the VM would go on
-placing new flows there, and each request on a flow to it would run into its
-deadline.
+The directory still lists an endpoint for seconds after it has died, hung or
+been cut off from the network. Its answers go directly to the clients, so a VM
+sees none of them. Without evidence of its own, the VM would go on placing new
+flows there, and each request on a flow to it would run into its deadline. The
+VM therefore watches the segments that clients send.
 
 A client that acknowledges more than before has received something, so the
 endpoint is alive. The signs of a failure are:
@@ -41,9 +41,11 @@
 a row one time in a thousand."""
 
 RECHECK_MIN_S = 0.5
-"""Initial interval in seconds between checks of an endpoint that is down. Its
-return is noticed within this time; half a second is a tenth of the shortest
-usual outage."""
+"""First interval in seconds between checks of an endpoint that is down.
+
+Later intervals are longer, up to `RECHECK_MAX_S`. Half a second is a tenth of
+the shortest usual outage.
+"""
 
 RECHECK_MAX_S = 1.0
 """Maximum interval in seconds between checks of an endpoint that is down.
--- a/src/pollenmast/steering/_journal.py
+++ b/src/pollenmast/steering/_journal.py
@@ -1,4 +1,4 @@
-"""Recent changes, so that a peer slightly behind can be sent just those."""
+"""Keeps recent changes, so that a peer slightly behind is sent only those."""
 
 import collections
 
--- a/src/pollenmast/steering/_load.py
+++ b/src/pollenmast/steering/_load.py
@@ -1,10 +1,10 @@
-"""The load of each endpoint, summed over all VMs.
+"""Computes the load of each endpoint, summed over all VMs.
 
-Load pattern: each zone's endpoints are shared by several VMs, and zones differ
-in their numbers of clients and endpoints. A VM that counts only its own
-requests cannot see that its zone's last two endpoints are full while those of
-another zone are idle. The queues of these two then turn requests away although
-there is room elsewhere.
+Each zone's endpoints are shared by several VMs, and zones differ in their
+numbers of clients and endpoints. A VM that counts only its own requests cannot
+see that its zone's last two endpoints are full while those of another zone are
+idle. The queues of these two then turn requests away although there is room
+elsewhere. VMs therefore exchange their counts.
 
 Each request passes through exactly one VM, so the VMs' counts can be added up.
 Readers receive them from the VMs of their zone, and from each other zone as one
@@ -101,8 +101,9 @@
     ) -> None:
         """Handles a report by this zone's reader of what all VMs send.
 
-        Load pattern: a fleet has more endpoints than one report names. If those
-        left out counted as idle, they would attract flows from every zone.
+        A fleet has more endpoints than one report names. If those left out
+        counted as idle, they would attract flows from every zone. They
+        therefore count with the rate `floor`.
 
         Args:
             rates: The total rates of the busiest endpoints.
--- a/src/pollenmast/steering/_members.py
+++ b/src/pollenmast/steering/_members.py
@@ -1,10 +1,10 @@
 """Membership of the fleet, and the choice of each zone's readers.
 
-Load pattern: every call to the directory and every message between VMs is
-counted and paid for. If every VM watched the directory, each change would be
-sent once per VM; if every VM reported its load to every other, the number of
-messages would grow with the square of the fleet. So a few VMs of each zone,
-its readers, watch the directory and collect the reports of the others.
+Every call to the directory and every message between VMs is counted and paid
+for. If every VM watched the directory, each change would be sent once per VM.
+If every VM reported its load to every other, the number of messages would grow
+with the square of the fleet. Therefore only a few VMs of each zone, its
+readers, watch the directory, and they collect the reports of the others.
 
 Readers are not elected. Each VM computes them from the members that it knows
 and skips those that do not answer it. VMs with the highest link bandwidth are
--- a/src/pollenmast/steering/_outliers.py
+++ b/src/pollenmast/steering/_outliers.py
@@ -1,8 +1,8 @@
 """Outlier ejection: endpoints that fail requests but pass health checks.
 
-Load pattern: one endpoint of a service answers every request with an error at
-once, or leaves requests hanging. It passes its health checks and looks idle, so
-it attracts new flows from the endpoints that work.
+An endpoint of a service may answer every request with an error at once, or
+leave requests hanging, while the others work. It passes its health checks and
+looks idle, so it attracts new flows from the endpoints that work.
 
 So failures are counted: answers that are unusually short, and requests that
 became late. One VM sees too few of them. A zone's readers add up the counts of
--- a/src/pollenmast/steering/_placement.py
+++ b/src/pollenmast/steering/_placement.py
@@ -1,10 +1,10 @@
 """Selects the endpoint for a new flow.
 
-Load pattern: several VMs place flows of many requests each on endpoints that
-are at capacity with two requests and refuse more than a short queue. With
-purely random placement some endpoint gets twice the mean load and its callers
-wait. With placement on the globally least loaded endpoint a third of the flows
-cross availability zones, and the loss of one zone breaks all of those.
+Several VMs place flows of many requests each on endpoints that are at capacity
+with two requests and refuse more than a short queue. With purely random
+placement some endpoint gets twice the mean load and its callers wait. With
+placement on the globally least loaded endpoint a third of the flows cross
+availability zones, and the loss of one zone breaks all of those.
 
 So the VM's own zone is preferred, and within it the less loaded of a few
 endpoints drawn at random. An endpoint of another zone is used if it is clearly
--- a/src/pollenmast/steering/_reach.py
+++ b/src/pollenmast/steering/_reach.py
@@ -1,10 +1,9 @@
-"""Whether a VM of a drained zone can reach the endpoints of other zones.
+"""Tracks whether a VM of a drained zone can reach endpoints of other zones.
 
-Load pattern: a zone is drained and then cut off from the others. Its VMs still
-receive its clients' packets but can reach no endpoint that may be used. Callers
-would wait for their deadlines although VMs of other zones could carry their
-flows. So such a VM reports that it is not ready until it reaches an endpoint
-again.
+When a zone is drained and then cut off from the others, its VMs still receive
+its clients' packets but can reach no endpoint that may be used. Callers would
+wait for their deadlines although VMs of other zones could carry their flows. So
+such a VM reports that it is not ready until it reaches an endpoint again.
 """
 
 from pollenmast.steering._catalog import Catalog
--- a/src/pollenmast/steering/_waiting.py
+++ b/src/pollenmast/steering/_waiting.py
@@ -1,9 +1,9 @@
-"""Unanswered requests, and which of them are late.
+"""Tracks unanswered requests and finds those that are late.
 
-Load pattern: an endpoint passes its health checks but leaves some of its
-requests hanging, or has become many times slower. Its clients give up their
-flows, so it gets few requests and looks idle: by request rates alone every new
-flow would go there, and hang too.
+An endpoint may pass its health checks but leave some of its requests hanging,
+or become many times slower. Its clients give up their flows, so it gets few
+requests and looks idle: by request rates alone every new flow would go there,
+and hang too.
 
 Answers do not pass through a VM, but the client's next segment acknowledges
 them. A request that is not acknowledged for a while is late, and shows that its
--- a/src/pollenmast/steering/_watchlist.py
+++ b/src/pollenmast/steering/_watchlist.py
@@ -1,8 +1,9 @@
 """Schedules when endpoints' health has to be evaluated.
 
-Load pattern: hundreds of endpoints, of which a VM's clients use a few at a
-time. Evaluating every endpoint on every tick would cost a VM more time for
-idle endpoints than for packets, and the more so the larger the fleet.
+There are hundreds of endpoints, of which a VM's clients use a few at a time.
+Evaluating every endpoint on every tick would cost a VM more time for idle
+endpoints than for packets, and the more so the larger the fleet. The list
+therefore holds only the endpoints that wait for traffic or for a health check.
 """
 
 import math
