--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: `python -m bench list`, `python -m bench run NAME`."""
+"""Benchmarks: `python -m bench list`, `python -m bench run NAME`."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,6 +1,7 @@
-"""`python -m bench list`; `python -m bench run NAME --json FILE`.
+"""Command line: `python -m bench list`, `python -m bench run NAME`.
 
-A measurement is a module of this package with NAME, DESCRIPTION and run().
+Every public module of this package that defines NAME, DESCRIPTION and run()
+is a measurement.
 """
 
 import importlib
@@ -21,7 +22,7 @@
 
 
 def measurements() -> dict[str, types.ModuleType]:
-    """Returns every measurement by its name."""
+    """Returns the measurement modules, sorted by name."""
     found = {}
     for info in pkgutil.iter_modules(bench.__path__):
         if info.name.startswith("_"):
@@ -33,7 +34,7 @@
 
 
 def print_table(result: dict) -> None:
-    """Prints a result: each list of rows as a table, the rest line by line."""
+    """Prints lists of rows as tables and other values one per line."""
     for key, value in result.items():
         if isinstance(value, list) and value and isinstance(value[0], dict):
             print(f"{key}:")
@@ -101,8 +102,8 @@
 @app.command("measurements")
 def write_measurements(results: list[pathlib.Path]) -> None:
     """Writes docs/MEASUREMENTS.md and its plots from the JSON of runs."""
-    # Matplotlib takes a second to import and fonts from the disk; a run of a
-    # measurement needs neither.
+    # Imported here because Matplotlib takes a second to import and reads fonts
+    # from disk, which running a measurement does not need.
     from bench import _measurements_page
 
     folder = _MEASUREMENTS_PAGE.parent / "plots"
--- a/bench/_aims.py
+++ b/bench/_aims.py
@@ -1,4 +1,4 @@
-"""What issues #3 and #4 ask of each measurement, beside what a run gave."""
+"""Compares measured results with the aims set in issues #3 and #4."""
 
 from collections.abc import Callable
 
@@ -27,12 +27,12 @@
 
 @attrs.frozen
 class Aim:
-    """One aim and what a run gave.
+    """One aim with the result of a run.
 
     Attributes:
-        aim: What is asked, in the issue's words or close to them.
-        reached: The figures of the run.
-        verdict: "yes", "no", "partial", or that no figure is asked.
+        aim: The requirement, in the words of the issue or close to them.
+        reached: The measured figures.
+        verdict: "yes", "no", "partial", or NO_FIGURE if the aim has no bound.
     """
 
     aim: str
@@ -41,13 +41,20 @@
 
 
 def judged(aim: str, reached: str, *met: bool) -> Aim:
-    """Returns an aim that is met in all, in some or in no respect."""
+    """Returns an aim with a bound; it is met if all conditions are.
+
+    Args:
+        aim: The requirement.
+        reached: The measured figures.
+        *met: Whether each condition holds. The verdict is "partial" if only
+            some do.
+    """
     some = "partial" if any(met) else "no"
     return Aim(aim, reached, "yes" if all(met) else some)
 
 
 def shown(aim: str, reached: str) -> Aim:
-    """Returns an aim that asks to show something, with no bound."""
+    """Returns an aim that asks for a figure but sets no bound."""
     return Aim(aim, reached, NO_FIGURE)
 
 
@@ -56,7 +63,7 @@
 
 
 def _alert(result: dict) -> str:
-    # Callers note an alert's age from a bound on; 0 is that of none.
+    # Callers record an alert's age only above LATE_S; 0 means no late alert.
     late_s = result["latest_alert_s"]
     return _seconds(late_s) if late_s else f"none later than {LATE_S:g} s"
 
@@ -225,7 +232,7 @@
 
 
 def control_slopes(result: dict) -> list[Slope]:
-    """Returns what control costs a VM, as lines over the fleet's size."""
+    """Returns the control cost of a VM as linear fits over the fleet size."""
     return [
         Slope(
             name,
@@ -243,7 +250,7 @@
 
 
 def rows(result: dict) -> list[tuple[str, dict]]:
-    """Returns the costs of control by the size of the fleet."""
+    """Returns the control cost for each fleet size."""
     return list(result["cost"].items())
 
 
@@ -328,11 +335,12 @@
 
 
 def no_worse_off(result: dict) -> list[dict]:
-    """Returns where a mechanism off, or the baseline, was no worse.
+    """Returns the variants that did no worse than all mechanisms together.
 
-    A variant is listed if it answered as many callers in time or more, and
-    was as good by the second measure: the 99th percentile of answers, or with
-    sessions the fullness of the endpoints.
+    A variant is the baseline or a run with one mechanism switched off. It is
+    listed if it answered at least as many callers in time and was at least as
+    good by the second measure: the 99th percentile of answer times, or for
+    sessions the imbalance of endpoint utilization.
     """
     found = []
     for pattern, rows_ in result.items():
@@ -367,5 +375,5 @@
 
 
 def table(name: str, result: dict) -> list[dict]:
-    """Returns the aims of a measurement as rows of a table."""
+    """Returns the aims of a measurement as table rows."""
     return [attrs.asdict(aim) for aim in AIMS[name](result)]
--- a/bench/_capacity_control.py
+++ b/bench/_capacity_control.py
@@ -1,4 +1,4 @@
-"""Slopes of what control spends: manifest, views, membership, reports."""
+"""Linear fits of control-plane costs: manifest, views, membership, reports."""
 
 import gc
 import json
@@ -28,7 +28,7 @@
 
 
 def manifest_text(endpoints: int) -> bytes:
-    """Returns a manifest of so many endpoints, four or five a service."""
+    """Returns a manifest with four or five endpoints per service."""
     services = []
     made = 0
     while made < endpoints:
@@ -60,7 +60,7 @@
 
 
 def manifest_bytes(at_size: float) -> Slope:
-    """Bytes of the manifest's text."""
+    """Returns the size of the manifest text in MB, by endpoints."""
     points = tuple(
         (size, len(manifest_text(size)) / 1e6) for size in _MANIFEST_SIZES
     )
@@ -68,7 +68,7 @@
 
 
 def manifest_parse(at_size: float) -> Slope:
-    """Processor time to check a manifest and put it into force."""
+    """Returns the CPU time to validate and apply a manifest."""
     points = []
     for size in _MANIFEST_SIZES:
         text = manifest_text(size)
@@ -85,7 +85,7 @@
 
 
 def manifest_memory(at_size: float) -> Slope:
-    """Memory of a manifest and its decisions in a relay."""
+    """Returns the memory of a manifest and its placement state in a relay."""
     points = []
     for size in _MANIFEST_SIZES:
         text = manifest_text(size)
@@ -124,10 +124,10 @@
 
 
 def _least_s(work: Callable[[], object]) -> float:
-    """Returns the least processor time of some runs, in seconds.
+    """Returns the minimum CPU time over several runs, in seconds.
 
-    The least, since other work on the machine and the garbage of runs before
-    only ever add to it.
+    The minimum is used because other work on the machine and garbage left by
+    earlier runs can only add to the time.
     """
     least = float("inf")
     for _ in range(_REPEATS):
@@ -139,7 +139,7 @@
 
 
 def view_cost(at_size: float) -> Slope:
-    """Agent's processor a second for one view a second to its relay."""
+    """Returns the agent's CPU share for one view per second to its relay."""
     points = []
     for vms, endpoints in _VIEW_SIZES:
         view = _view(vms, endpoints)
@@ -155,7 +155,7 @@
 
 
 def report_cost(at_size: float) -> Slope:
-    """Agent's processor a second for two reports a second of its relay."""
+    """Returns the agent's CPU share for two relay reports per second."""
     points = []
     for _, endpoints in _VIEW_SIZES:
         loads = tuple(
@@ -174,7 +174,7 @@
 
 
 def member_memory(at_size: float) -> Slope:
-    """Memory of the members that an agent knows."""
+    """Returns the memory of an agent's membership table."""
     points = []
     for size in _MEMBER_SIZES:
         tracemalloc.start()
@@ -198,7 +198,7 @@
 
 
 def heartbeat_cost(at_size: float) -> Slope:
-    """Processor of membership alone: two ticks and two pings a second."""
+    """Returns the CPU share of membership with two ticks and pings a second."""
     points = []
     for size in _MEMBER_SIZES:
         membership = _membership(size)
@@ -220,7 +220,7 @@
 
 
 def sharing_cost(at_size: float) -> Slope:
-    """Processor time to share out the probes, by VMs times endpoints."""
+    """Returns the CPU time to assign probes, by VMs times endpoints."""
     points = []
     for vms, endpoints in _SHARED_SIZES:
         members = tuple(_vm(number) for number in range(vms))
@@ -242,7 +242,7 @@
 
 
 def report_news_bytes(at_size: float) -> Slope:
-    """Bytes of endpoints' load in a message, by reports in it."""
+    """Returns the size of a gossip message, by endpoint reports in it."""
     report = EndpointReport(
         17, "endpoint-4711", 1_796_000_000, True, 1, 0, 812, 99_999, 500.0
     )
@@ -258,7 +258,7 @@
 
 @attrs.frozen
 class FleetSize:
-    """The size of two years' time, from the users' letter."""
+    """The size that the users expect in two years."""
 
     vms: int = 1_400
     endpoints: int = 11_000
@@ -272,10 +272,10 @@
 
     @property
     def flows_a_vm(self) -> float:
-        """Flows that one VM holds."""
+        """Open flows per VM."""
         return self.flows / self.vms
 
     @property
     def new_flows_a_vm(self) -> float:
-        """New flows a second at one VM."""
+        """New flows per second per VM."""
         return self.new_flows_per_s / self.vms
--- a/bench/_capacity_page.py
+++ b/bench/_capacity_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/CAPACITY-QUIC.md from a run of the bench `capacity`."""
+"""Generates docs/CAPACITY-QUIC.md from results of the `capacity` benchmark."""
 
 from bench._capacity_control import FleetSize
 
@@ -10,17 +10,20 @@
 _NEWS_BYTES = 60
 _DAY_S = 86_400
 _PROBES_PER_S = 2
-"""Probes of one endpoint a second, both its probers together."""
+"""Probes per second of one endpoint, summed over its two probers."""
 
 _PROBED_ENDPOINTS = 10
-"""Endpoints of the fleets of real agents."""
+"""Endpoints in the measured fleets of real agents."""
 
 _VIEW_SHARE = (_SIZE.vms + _SIZE.endpoints / 10) / (_SIZE.vms + _SIZE.endpoints)
-"""A view names all endpoints each tenth second only."""
+"""Average size of a view as a share of a full one.
+
+Views are sent once per second; only every tenth lists all endpoints.
+"""
 
 
 def table(rows: list[dict]) -> str:
-    """Returns rows as a Markdown table."""
+    """Returns a Markdown table of the rows."""
     columns = list(rows[0])
     lines = [
         "| "
@@ -47,7 +50,7 @@
 
 
 def _verdicts(result: dict) -> list[dict]:
-    """Returns each demand of the letter beside what today's code reaches."""
+    """Compares each user requirement with what the current code achieves."""
     value = _values(result)
     agent = result["agents"][-1]
     ring_cpu = _ring_cpu(result)
@@ -92,7 +95,7 @@
 
 
 def _more_probe_bytes(agent: dict) -> float:
-    """Returns what probes at the size send beyond those of a measured fleet."""
+    """Returns probe bytes at the target size beyond those already measured."""
     probes = _PROBED_ENDPOINTS * _PROBES_PER_S / int(agent["VMs"])
     more = _SIZE.endpoints * _PROBES_PER_S / _SIZE.vms - probes
     return agent["of_these_probes"] / probes * more
@@ -104,7 +107,7 @@
 
 
 def _processor(result: dict) -> list[dict]:
-    """Returns what an agent's processor is spent on at the size."""
+    """Returns the CPU usage of an agent at the target size, by part."""
     value = _values(result)
     few, many = result["agents"][0], result["agents"][-1]
     probes = _PROBED_ENDPOINTS * _PROBES_PER_S
@@ -150,7 +153,7 @@
 
 
 def _losses(result: dict) -> list[dict]:
-    """Returns what the loss of many VMs at once asks of the others."""
+    """Returns the load on the remaining VMs when many are lost at once."""
     take_over_ms = _take_over_ms(result)
     ring = result["ring"][-1]
     rows = []
@@ -179,7 +182,10 @@
 
 
 def _take_over_ms(result: dict) -> float:
-    """Returns a new flow's cost and that of a question to two VMs."""
+    """Returns the cost of taking over one flow, in milliseconds.
+
+    It is the cost of a new flow plus that of querying two VMs.
+    """
     value = _values(result)
     new_flow_ms = value["new flows"] / 100 / _SIZE.new_flows_a_vm * 1e3
     question_ms = 2 * value["a forwarded datagram, both relays"] / 1e3
@@ -187,7 +193,7 @@
 
 
 def page(result: dict) -> str:
-    """Returns the page's text."""
+    """Returns the text of the page."""
     value = _values(result)
     handover_kb = value["a planned stop"] / 1e3
     restarts = _SIZE.restarts_a_day / _SIZE.vms
--- a/bench/_capacity_relay.py
+++ b/bench/_capacity_relay.py
@@ -1,4 +1,4 @@
-"""Slopes of what a relay spends."""
+"""Linear fits of the costs of a relay."""
 
 import time
 import tracemalloc
@@ -34,7 +34,7 @@
 
 
 def flow_memory(at_size: float) -> Slope:
-    """Bytes of the flow table."""
+    """Returns the memory of the flow table."""
     points = []
     for size in _FLOW_SIZES:
         tracemalloc.start()
@@ -55,7 +55,7 @@
 
 
 def upkeep_cost(at_size: float) -> Slope:
-    """Processor of the walk over the flow table, share of a core."""
+    """Returns the CPU share of the periodic scan over the flow table."""
     points = []
     for size in _FLOW_SIZES:
         core = _relay.core(packet_path._NullWire(), _relay.manifest(200), 100.0)
@@ -76,7 +76,7 @@
 
 
 def replica_memory(at_size: float) -> Slope:
-    """Bytes of the records kept for others."""
+    """Returns the memory of replicated records held for other VMs."""
     points = []
     for size in _RECORD_SIZES:
         callers = list(packet_path._callers(size))
@@ -90,14 +90,14 @@
 
 
 def new_flows(at_size: float) -> Slope:
-    """Processor of new flows, share of a core, by flows a second."""
+    """Returns the CPU share of new flows, by flows per second."""
     per_s = packet_path._new_flows()["flows_per_s"]
     points = tuple((rate, rate / per_s * 100) for rate in (10, 41, 100))
     return Slope("new flows", "% core", "flows/s", points, at_size)
 
 
 def forwarding(at_size: float) -> Slope:
-    """Microseconds of sealing, opening and reading a forwarded datagram."""
+    """Returns microseconds to seal, open and parse a forwarded datagram."""
     sealer, opener = Sealer("vm-1", _relay.KEY), Opener(_relay.KEY)
     points = []
     for size in _DATAGRAM_SIZES:
@@ -121,7 +121,7 @@
 
 
 def record_bytes(at_size: float) -> Slope:
-    """Bytes of a batch of records with its acknowledgement."""
+    """Returns the bytes of a batch of records and its acknowledgement."""
     sealer = Sealer("vm-1", _relay.KEY)
     points = []
     for count in _BATCHES:
@@ -134,7 +134,7 @@
 
 
 def connection_id_bytes(at_size: float) -> Slope:
-    """Bytes of a batch of connection ids."""
+    """Returns the bytes of a batch of connection ids."""
     sealer = Sealer("vm-1", _relay.KEY)
     points = []
     for count in _BATCHES:
@@ -147,7 +147,7 @@
 
 
 def replication_bytes(at_size: float) -> Slope:
-    """Bytes a second of replication, by new flows a second of a VM."""
+    """Returns replication bytes per second, by new flows per second per VM."""
     points = []
     for rate in _OPEN_RATES:
         row = replication.run_one(1.0, rate)
@@ -158,7 +158,7 @@
 
 
 def handover_bytes(at_size: float) -> Slope:
-    """Bytes that a planned stop sends, by flows handed over."""
+    """Returns the bytes sent by a planned stop, by flows handed over."""
     points = []
     for flows in _HANDED_FLOWS:
         net = Net(vms=9, seed=5)
--- a/bench/_control_fleet.py
+++ b/bench/_control_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real agents, with stubs for everything else."""
+"""Runs a fleet of real agents with stubs for all other components."""
 
 import json
 import os
@@ -20,7 +20,7 @@
 PLATFORM_PORT, ADMIN_PORT = 8501, 8502
 LINK_PORT, OPERATORS_PORT = 7502, 7505
 LOAD_PORTS = tuple(range(6501, 6512))
-"""Eleven endpoints: cellvakt has seven and profilarkiv four."""
+"""Load ports of eleven endpoints: seven of cellvakt, four of profilarkiv."""
 
 _SETTINGS = """[vm]
 name = {name}
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class Usage:
-    """What a process has used so far."""
+    """Resources that a process has used since it started."""
 
     cpu_s: float
     rss_mb: float
@@ -53,7 +53,7 @@
 
 @attrs.define
 class AgentProcess:
-    """One agent and where it is reached."""
+    """An agent process with its addresses."""
 
     name: str
     zone: str
@@ -62,7 +62,7 @@
     process: subprocess.Popen | None = None
 
     def usage(self) -> Usage:
-        """Returns what the process has used so far."""
+        """Returns the resources used since the process started."""
         proc = pathlib.Path(f"/proc/{self.process.pid}")
         fields = (proc / "stat").read_text().rsplit(")", 1)[1].split()
         ticks = int(fields[11]) + int(fields[12])
@@ -80,7 +80,7 @@
         )
 
     def status(self) -> dict:
-        """Returns what the agent tells operators."""
+        """Returns the status from the agent's operator port."""
         url = f"http://{self.address}:{OPERATORS_PORT}/status"
         with urllib.request.urlopen(url, timeout=5) as answer:
             return json.load(answer)
@@ -123,11 +123,11 @@
 
 
 class Fleet:
-    """Starts and ends the processes; a context manager."""
+    """Context manager that starts and stops the processes of a fleet."""
 
     def __init__(self, size: int):
-        # Two benches at once would fight for the ports, and each would
-        # measure the other's agents.
+        # Two benchmarks running at once would compete for the ports, and each
+        # would measure the other's agents.
         self._reservation = Reservation()
         self._addresses: Addresses = self._reservation.addresses
         self._folder = tempfile.TemporaryDirectory()
@@ -157,18 +157,18 @@
         self._reservation.release()
 
     def start(self, agent: AgentProcess) -> None:
-        """Starts an agent, also after its end."""
+        """Starts or restarts an agent."""
         agent.process = self._run(
             "pollenmast", "agent", "--settings", str(agent.settings)
         )
 
     def publish(self, version: int, padding: int = 0) -> None:
-        """Publishes a manifest, with so many bytes of space after it."""
+        """Publishes a manifest followed by `padding` bytes of whitespace."""
         upstream = self._addresses.upstream(1)
         self.admin("/publish", _manifest(upstream, version, padding))
 
     def list_vms(self) -> None:
-        """Has the platform list every VM."""
+        """Makes the platform stand-in list every VM."""
         vms = [
             {
                 "name": agent.name,
@@ -185,7 +185,7 @@
         self.admin("/vms", body)
 
     def admin(self, path: str, body: bytes | None = None) -> dict:
-        """Turns the platform stand-in, or asks it."""
+        """Sends a request to the admin port of the platform stand-in."""
         url = f"http://{self._addresses.platform}:{ADMIN_PORT}{path}"
         method = "GET" if body is None else "POST"
         request = urllib.request.Request(url, body, method=method)
@@ -193,7 +193,7 @@
             return json.load(answer)
 
     def wait(self, met, timeout_s: float = 20.0) -> bool:
-        """Waits until `met()`; returns whether it came true in time."""
+        """Polls `met()` until it is true; returns False on timeout."""
         until = time.monotonic() + timeout_s
         while time.monotonic() < until:
             if met():
@@ -202,7 +202,7 @@
         return False
 
     def seen(self, **fields: object) -> dict[str, float]:
-        """Returns when each VM's relay first saw such an event."""
+        """Returns the time of the first matching event, by VM."""
         times: dict[str, float] = {}
         for event in list(self.events):
             if fields.items() <= event.items():
--- a/bench/_control_stubs.py
+++ b/bench/_control_stubs.py
@@ -1,7 +1,8 @@
-"""Stands in for the relays and upstreams of a fleet of agents.
+"""Stubs for the relays and upstreams of a fleet of agents.
 
-One process, so that the agents alone show what control costs. Prints a JSON
-line when a relay first sees a manifest's version in a view.
+All stubs run in one process, so that the agent processes show the cost of
+control alone. Prints a JSON line when a relay first receives a view with a new
+manifest version.
 """
 
 import argparse
@@ -23,13 +24,13 @@
 
 REPORT_S = 0.5
 AGES_S = 5.0
-"""Between two lines that tell how old the load in the views was."""
+"""Seconds between printed lines with the age of the load data in views."""
 
 KEY = bytes(range(32))
 
 
 class RelayStub:
-    """Reports like a relay that carries flows, and takes views."""
+    """Reports like a relay that carries flows, and receives views."""
 
     def __init__(self, name: str, address: str, port: int, endpoints: int):
         self._name = name
@@ -41,20 +42,20 @@
         self._ages: list[float] = []
 
     async def tell_ages(self) -> None:
-        """Prints the age of the views' load until cancelled."""
+        """Periodically prints the age of load data in views until cancelled."""
         while True:
             await anyio.sleep(AGES_S)
             ages, self._ages = self._ages, []
             self._print(ages=[round(age, 2) for age in ages])
 
     async def report(self) -> None:
-        """Reports until cancelled."""
+        """Sends periodic relay reports until cancelled."""
         while True:
             await self._link.send(self._report())
             await anyio.sleep(REPORT_S)
 
     async def take(self) -> None:
-        """Takes views until cancelled."""
+        """Receives views and drain orders until cancelled."""
         while True:
             message = await self._link.receive()
             if isinstance(message, FleetView):
@@ -109,7 +110,10 @@
 
 
 async def serve_load(address: str, port: int, rng: random.Random) -> None:
-    """Serves a load report that changes with each probe, like a busy one."""
+    """Serves a load report that changes with each probe.
+
+    This is how the report of a busy endpoint behaves.
+    """
 
     async def handle(_: http1.Request) -> http1.Answer:
         load = {
@@ -117,7 +121,7 @@
             "running": rng.randint(0, 2),
             "queued": rng.randint(0, 2),
             "connections": 1000 + rng.randint(-20, 20),
-            # The time of the report, from which its age in a view is told.
+            # The report's timestamp; its age in a view is computed from it.
             "finished": int(anyio.current_time() * 1000),
             "uptime_s": anyio.current_time(),
         }
@@ -130,7 +134,7 @@
 
 
 async def serve(options: argparse.Namespace) -> None:
-    """Runs every stub until cancelled."""
+    """Runs all stubs until cancelled."""
     rng = random.Random(1)
     async with anyio.create_task_group() as tasks:
         for port in options.load_ports:
@@ -146,7 +150,7 @@
 
 
 def main() -> None:
-    """Runs the program."""
+    """Runs the stubs with the options of the command line."""
     parser = argparse.ArgumentParser(prog="bench._control_stubs")
     parser.add_argument("--upstreams", required=True)
     parser.add_argument("--load-ports", type=int, nargs="+", required=True)
--- a/bench/_fleet_run.py
+++ b/bench/_fleet_run.py
@@ -1,4 +1,4 @@
-"""What the measurements over a whole fleet of processes share."""
+"""Helpers shared by benchmarks that run a whole fleet of processes."""
 
 import pathlib
 import tempfile
@@ -19,7 +19,13 @@
     script: Callable[[World], Awaitable[dict]],
     overrides: dict[str, dict[str, str]] | None = None,
 ) -> dict:
-    """Runs a script against a fleet and returns what it measured."""
+    """Runs a script against a fleet and returns its result.
+
+    Args:
+        vms: Number of VMs.
+        script: Receives the running fleet and returns the measured figures.
+        overrides: Settings to change, by section and key.
+    """
 
     async def main() -> dict:
         with tempfile.TemporaryDirectory(prefix="pollenmast-") as folder:
@@ -33,7 +39,7 @@
 async def open_sessions(
     world: World, programs: int, count: int, rate: float, **options
 ) -> None:
-    """Opens `count` registry sessions in each of so many programs."""
+    """Opens `count` registry sessions in each of `programs` caller programs."""
     for number in range(programs):
         world.start_callers(
             f"publishers-{number}",
@@ -49,13 +55,13 @@
 
 
 def summary(outcome: Outcome) -> dict:
-    """Returns an outcome as a table's cells."""
+    """Returns the figures of an outcome as table cells."""
     promised = outcome.ledger.promised
     return attrs.asdict(promised)
 
 
 def silence_after(outcome: Outcome, at: float) -> float:
-    """Returns the latest alert of any session after a time, in seconds."""
+    """Returns the greatest alert delay of any session after `at`, in s."""
     stalls = [
         stall.lateness_s
         for result in outcome.results
@@ -67,5 +73,5 @@
 
 
 def now() -> float:
-    """Returns the clock that callers' records use."""
+    """Returns the time of the clock that callers' records use."""
     return time.monotonic()
--- a/bench/_load_callers.py
+++ b/bench/_load_callers.py
@@ -1,4 +1,4 @@
-"""The callers of the load patterns: who asks, how often and how long."""
+"""Simulated callers of the load patterns: addresses, rates and lengths."""
 
 import random
 from collections.abc import Callable
@@ -17,10 +17,13 @@
 ENDPOINTS = 7
 SLOTS = 2
 MEAN_S = 0.05
-"""Mean request: 50 ms, exponential, so that short and long ones mix."""
+"""Mean request length in seconds.
+
+Lengths are exponential, so that short and long requests mix.
+"""
 
 CAPACITY = ENDPOINTS * SLOTS / MEAN_S
-"""Requests a second that all endpoints finish together: 280."""
+"""Requests per second that all endpoints can finish together: 280."""
 
 ZONES = ("hall-bor", "hall-fres", "hall-sag", "hall-kontroll")
 
@@ -31,7 +34,14 @@
     draining: int | None = None,
     kind: ServiceKind = ServiceKind.REQUEST,
 ) -> Manifest:
-    """Returns a manifest of one service."""
+    """Returns a manifest with one service.
+
+    Args:
+        version: Its version.
+        endpoints: Number of endpoints.
+        draining: Number of the endpoint that is draining, or None.
+        kind: Kind of the service.
+    """
     entries = tuple(
         Endpoint(
             f"e{n}",
@@ -50,12 +60,12 @@
 
 
 def exponential(rng: random.Random) -> float:
-    """Returns a request's length of 50 ms in the mean."""
+    """Returns an exponential request length with a mean of 50 ms."""
     return rng.expovariate(1.0 / MEAN_S)
 
 
 def long_among_short(rng: random.Random) -> float:
-    """One in fifty takes 0.8 s, the others 35 ms: 50 ms in the mean."""
+    """Returns 0.8 s once in fifty, else 35 ms on average; 50 ms overall."""
     return 0.8 if rng.random() < 0.02 else rng.expovariate(1.0 / 0.035)
 
 
@@ -69,7 +79,7 @@
     length: Callable[[random.Random], float] = exponential,
     tries: int = 0,
 ) -> None:
-    """Asks at random moments at a mean rate."""
+    """Schedules requests at random times with a mean rate."""
     rng = random.Random(f"{fleet.rng.random()}{group}")
     caller = caller or any_caller
 
@@ -83,15 +93,15 @@
 
 
 def any_caller(rng: random.Random) -> str:
-    """One of many callers in many networks."""
+    """Returns one of many callers in many networks."""
     return f"10.{rng.randrange(8)}.{rng.randrange(250)}.{rng.randrange(250)}"
 
 
 def one_caller(rng: random.Random) -> str:
-    """One caller alone."""
+    """Returns always the same caller."""
     return "192.0.2.7"
 
 
 def one_network(rng: random.Random) -> str:
-    """Any of 200 callers in one network."""
+    """Returns one of 200 callers in the same network."""
     return f"192.0.2.{rng.randrange(200)}"
--- a/bench/_load_measures.py
+++ b/bench/_load_measures.py
@@ -1,4 +1,4 @@
-"""What callers received, and how even the endpoints were."""
+"""Metrics of a simulated run: caller results and endpoint balance."""
 
 import bisect
 
@@ -6,14 +6,17 @@
 
 BIN_S = 1.0
 WINDOW_S = 5.0
-"""Imbalance over time is that of windows of five seconds, each second."""
+"""Length of the sliding windows for imbalance, in seconds.
+
+A window starts every BIN_S seconds.
+"""
 
 EVEN = 1.15
-"""The aim for steady load."""
+"""Greatest imbalance (maximum over mean) allowed under steady load."""
 
 
 def quantile(ordered: list[float], part: float) -> float:
-    """Returns the value below which this part of an ordered list lies."""
+    """Returns the quantile `part` (0 to 1) of an ordered list."""
     if not ordered:
         return 0.0
     return ordered[min(int(part * len(ordered)), len(ordered) - 1)]
@@ -24,7 +27,7 @@
 
 
 def received(jobs: list[Job], begin: float, end: float) -> dict:
-    """Returns what callers who asked from `begin` to `end` received."""
+    """Returns the results of requests first sent from `begin` to `end`."""
     asked = [job for job in jobs if begin <= job.asked_at < end]
     counts = dict.fromkeys(
         ("answered", "late", "refused", "shed", "unanswered"), 0
@@ -46,7 +49,7 @@
 
 
 def refusals(fleet: Fleet) -> dict:
-    """Returns how long the refused waited for their answer."""
+    """Returns how long refused callers waited for the refusal."""
     delays = sorted(fleet.refusal_delays)
     at_once = sum(1 for delay in delays if delay < 0.005)
     return {
@@ -58,7 +61,7 @@
 
 
 def goodput(fleet: Fleet, begin: float, end: float, per_s: float) -> float:
-    """Returns answers in time a second, as a part of the capacity."""
+    """Returns in-time answers per second as a share of the capacity."""
     good = sum(
         1
         for job in fleet.jobs
@@ -68,7 +71,7 @@
 
 
 def finished(fleet: Fleet, begin: float, end: float, per_s: float) -> float:
-    """Returns answers a second, late ones too, as a part of the capacity."""
+    """Returns all answers per second, also late, as a share of the capacity."""
     done = sum(
         1
         for job in fleet.jobs
@@ -91,7 +94,7 @@
 
 
 def placed_in(fleet: Fleet, names: list[str], window) -> list[float]:
-    """Returns how much work each endpoint got in a window."""
+    """Returns the number of arrivals at each endpoint in a window."""
     counts = []
     for name in names:
         times = fleet.upstreams[name].placed
@@ -101,7 +104,7 @@
 
 
 def used_in(fleet: Fleet, names: list[str], window) -> list[float]:
-    """Returns each endpoint's mean fullness in a window."""
+    """Returns each endpoint's mean utilization in a window."""
     means = []
     for name in names:
         used = [
@@ -116,7 +119,7 @@
 def imbalance(
     fleet: Fleet, names: list[str], begin: float, end: float, values=placed_in
 ) -> dict:
-    """Returns greatest over mean, for all the time and for its windows."""
+    """Returns the maximum over the mean, for the whole time and its windows."""
     ratios = sorted(
         _ratio(values(fleet, names, window)) for window in _windows(begin, end)
     )
@@ -130,10 +133,10 @@
 def time_to_even(
     fleet: Fleet, names: list[str], begin: float, end: float, values=placed_in
 ) -> float | None:
-    """Returns seconds until windows stay even, or None if they never do.
+    """Returns seconds until all later windows are balanced, or None if never.
 
-    A window counts from its beginning: 0 says that the first five seconds
-    after the change were even already.
+    The time is that of a window's start, so 0 means that the first five
+    seconds after the change were already balanced.
     """
     late = None
     for window in _windows(begin, end):
--- a/bench/_load_model.py
+++ b/bench/_load_model.py
@@ -1,8 +1,8 @@
-"""A small event loop with fake upstreams, callers and N dispatchers.
+"""Discrete-event simulation of upstreams, callers and N dispatchers.
 
-No sockets and no threads: a heap of timed events, an explicit clock and
-seeded randomness, so that a run gives the same figures each time. One unit
-of time is a second.
+Uses a heap of timed events, an explicit clock and a seeded random generator
+instead of sockets and threads, so that every run gives the same figures. Times
+are in seconds.
 """
 
 import collections
@@ -18,32 +18,32 @@
 from pollenmast.manifest import Manifest
 
 WAY_S = 0.001
-"""One way between caller, VM and upstream."""
+"""One-way network delay of each hop between caller, VM and upstream."""
 
 RELEASE_S = 0.01
-"""How often a relay asks for released flows."""
+"""Interval at which a relay polls for flows released from the hold queue."""
 
 PROBE_S = 0.5
-"""How often each endpoint is probed."""
+"""Probe interval of each endpoint."""
 
 LAG_S = (0.05, 0.55)
-"""How long a report takes to reach a VM: probe, gossip and link."""
+"""Range of the delay of a report to a VM: probe, gossip and link."""
 
 RETRY_S = 0.3
-"""Silence after which a relay calls a new flow unanswered."""
+"""Time without an answer after which a relay retries a new flow."""
 
 SHED_QUEUE = 64
-"""Requests that an upstream queues by itself before it sheds."""
+"""Length of an upstream's own queue; it sheds requests beyond that."""
 
 QUIET_S = 30.0
-"""Quiet after which a relay takes a session for ended."""
+"""Idle time after which a relay considers a session ended."""
 
 DEADLINE_S = 1.0
-"""An answer later than this is late: its caller has no more use for it."""
+"""Answers after this time are late and of no use to their callers."""
 
 
 class Result:
-    """How a request can end, as its caller sees it."""
+    """Possible results of a request, as its caller sees them."""
 
     ANSWERED = "answered"
     LATE = "late"
@@ -57,18 +57,18 @@
     """One request or session of one caller.
 
     Attributes:
-        ticket: Unique.
-        caller: The IP number.
-        group: The part of the load it belongs to, such as "hot".
+        ticket: Unique id.
+        caller: IP address.
+        group: The group of callers it belongs to, such as "hot".
         asked_at: When the caller first sent it.
-        length_s: Time that it holds a slot, on a warm endpoint.
-        tries: How often it still asks again after a refusal.
-        flow_hash: Of this attempt.
-        tried: Endpoints tried.
-        result: How it ended.
-        ended_at: When the caller knew.
-        retry_after_ms: What the refusal said.
-        sent_at: When this attempt was sent.
+        length_s: Time that it occupies a slot of a warm endpoint.
+        tries: Retries left after a refusal.
+        flow_hash: Hash of the current attempt's flow.
+        tried: Endpoints that did not answer the current attempt.
+        result: One of Result, or "" while open.
+        ended_at: When the caller learned the result.
+        retry_after_ms: Retry delay given by the last refusal.
+        sent_at: When the current attempt was sent.
     """
 
     ticket: int
@@ -86,7 +86,7 @@
 
 
 class Loop:
-    """Timed events in order."""
+    """Event loop with a simulated clock."""
 
     def __init__(self):
         self.now = 0.0
@@ -94,15 +94,15 @@
         self._numbers = itertools.count()
 
     def at(self, time: float, call: Callable[..., None], *args) -> None:
-        """Calls at a time."""
+        """Schedules a call at a time."""
         heapq.heappush(self._heap, (time, next(self._numbers), call, args))
 
     def after(self, delay: float, call: Callable[..., None], *args) -> None:
-        """Calls after a delay."""
+        """Schedules a call after a delay."""
         self.at(self.now + delay, call, *args)
 
     def run(self, until: float) -> None:
-        """Runs every event up to a time."""
+        """Runs all events up to a time."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, call, args = heapq.heappop(self._heap)
             call(*args)
@@ -110,17 +110,17 @@
 
 
 class Upstream:
-    """A fake endpoint: slots, a queue, and reports that may lie.
+    """Simulated endpoint with slots, a queue and possibly false reports.
 
     Attributes:
         name: The endpoint's name.
-        slots: Requests it runs at once.
-        slowness: Factor on each request's length.
-        cold_until: Until then it is `cold_factor` times slower.
-        silent: Whether it answers nothing (its reports still do).
-        reports: Whether its load reports come.
-        lie: Changes a report before it is sent, or None.
-        placed: Times at which work arrived.
+        slots: Requests that it runs concurrently.
+        slowness: Factor applied to the length of each request.
+        cold_until: Until this time it is COLD_FACTOR times slower.
+        silent: Whether it answers no requests; it still sends reports.
+        reports: Whether it sends load reports.
+        lie: Function that falsifies a report before it is sent, or None.
+        placed: Arrival times of requests and sessions.
         samples: (time, running + queued or connections) every 50 ms.
     """
 
@@ -145,7 +145,7 @@
         self._sequence = 0
 
     def offer(self, job: Job, done: Callable[[Job, str], None]) -> bool:
-        """Takes a request; False when silent."""
+        """Accepts a request; returns False if the endpoint is silent."""
         if self.silent:
             return False
         self.placed.append(self._loop.now)
@@ -158,7 +158,7 @@
         return True
 
     def connect(self, job: Job, done: Callable[[Job, str], None]) -> bool:
-        """Takes a session."""
+        """Accepts a session; returns False if the endpoint is silent."""
         if self.silent:
             return False
         self.placed.append(self._loop.now)
@@ -167,12 +167,12 @@
         return True
 
     def sample(self) -> None:
-        """Notes how full it is."""
+        """Records the current utilization."""
         used = self._running + len(self._queue) + self._connections
         self.samples.append((self._loop.now, used))
 
     def report(self, service: int) -> EndpointReport:
-        """Returns what its load endpoint says."""
+        """Returns the load report, falsified if `lie` is set."""
         self._sequence += 1
         report = EndpointReport(
             service,
@@ -208,16 +208,17 @@
 
 
 class Fleet:
-    """N VMs, their upstreams and their callers.
+    """Simulated VMs with their upstreams and callers.
 
     Attributes:
         loop: The event loop.
-        upstreams: By name.
-        jobs: Every job that was asked.
-        refusal_delays: Seconds from sending to the refusal, each refusal.
-        asked: Times of every attempt, repeats included.
-        off_default: Flows placed off their default.
-        favourite: Part of the flows that reach the first VM beforehand.
+        upstreams: Upstreams by name.
+        jobs: All requests and sessions.
+        refusal_delays: Seconds from sending to refusal, for each refusal.
+        asked: Times of all attempts, including repeats.
+        off_default: Flows placed at another endpoint than their default.
+        favourite: Share of flows sent to the first VM; the others are sent to
+            a random VM.
     """
 
     def __init__(
@@ -252,7 +253,7 @@
         self.loop.at(0.0, self._sample)
 
     def add_upstream(self, name: str, slots: int) -> Upstream:
-        """Starts an upstream."""
+        """Adds an upstream and starts probing it."""
         upstream = Upstream(name, slots, self.loop)
         self.upstreams[name] = upstream
         phase = self.rng.random() * PROBE_S
@@ -260,14 +261,19 @@
         return upstream
 
     def publish(self, manifest: Manifest, within: float = 1.0) -> None:
-        """Brings a manifest into force on each VM, within a second."""
+        """Applies a manifest on each VM, each after a random delay.
+
+        Args:
+            manifest: The manifest.
+            within: Upper bound of the delay, in seconds.
+        """
         for dispatcher in self.dispatchers:
             self.loop.after(
                 self.rng.random() * within, self._manifest, dispatcher, manifest
             )
 
     def ask(self, caller: str, group: str, length_s: float, tries: int = 0):
-        """A caller sends a new request now."""
+        """Sends a new request of a caller now."""
         job = Job(
             next(self._tickets), caller, group, self.loop.now, length_s, tries
         )
--- a/bench/_load_patterns.py
+++ b/bench/_load_patterns.py
@@ -1,4 +1,4 @@
-"""The load patterns: what callers ask, and what happens to upstreams."""
+"""Load patterns: request schedules and upstream faults."""
 
 import random
 from collections.abc import Callable
@@ -24,16 +24,17 @@
     """A load pattern.
 
     Attributes:
-        name: Short and unique.
-        meaning: One line for the table.
-        begin: From when it is measured.
-        end: Until when callers ask.
-        setup: Puts callers and faults into a fleet.
-        sessions: Whether its service has long sessions.
-        judged: The group of callers whose answers are judged, or "" for all.
+        name: Short unique name.
+        meaning: One-line description for the table.
+        begin: Start of the measurement.
+        end: Time at which callers stop sending.
+        setup: Schedules callers and faults in a fleet.
+        sessions: Whether the service has long sessions.
+        judged: The group of callers that is evaluated, or "" for all.
         names: Endpoints whose imbalance is measured.
-        change_at: When something changed, for the time to return.
-        capacity: Requests a second that can be finished, or 0 if not judged.
+        change_at: Time of the change from which recovery is measured, or None.
+        capacity: Requests per second that can be finished, or 0 if goodput is
+            not evaluated.
     """
 
     name: str
@@ -48,7 +49,7 @@
     capacity: float = 0.0
 
     def belongs(self, job: Job) -> bool:
-        """Whether the job's caller is judged."""
+        """Returns whether the job's caller is evaluated."""
         return not self.judged or job.group == self.judged
 
 
@@ -166,7 +167,7 @@
 
 
 def cold_start(fleet: Fleet) -> None:
-    """Brings an eighth endpoint that is slow for six seconds."""
+    """Adds an eighth endpoint that is slow for its first six seconds."""
     upstream = fleet.add_upstream("e7", SLOTS)
     upstream.started_at = fleet.loop.now
     upstream.cold_until = fleet.loop.now + 6.0
@@ -183,7 +184,7 @@
 
 
 def says_no_sessions(report):
-    """Returns a report without connections."""
+    """Returns the report with its number of connections set to 0."""
     return attrs.evolve(report, connections=0)
 
 
--- a/bench/_load_sizes.py
+++ b/bench/_load_sizes.py
@@ -1,4 +1,4 @@
-"""Fleets and services of other sizes than the patterns' nine by seven."""
+"""Runs fleets of other sizes than the patterns' 9 VMs and 7 endpoints."""
 
 import random
 
@@ -14,7 +14,13 @@
 
 @attrs.frozen
 class Size:
-    """One fleet: its VMs, endpoints and mean request in seconds."""
+    """Size of a fleet.
+
+    Attributes:
+        vms: Number of VMs.
+        endpoints: Number of endpoints.
+        mean_s: Mean request length in seconds.
+    """
 
     vms: int
     endpoints: int
@@ -31,7 +37,12 @@
 
 
 def run_size(size: Size, load: float) -> dict:
-    """Returns what callers received at a load, by the capacity."""
+    """Returns the callers' results at a load.
+
+    Args:
+        size: The size of the fleet.
+        load: Offered load as a multiple of the capacity.
+    """
     capacity = size.endpoints * SLOTS / size.mean_s
     end = 500.0 * size.mean_s
     dispatchers = [
@@ -54,7 +65,7 @@
 
 
 def run_sizes() -> list[dict]:
-    """Runs each size at each load."""
+    """Returns a row of results for every size and load."""
     return [
         {**attrs.asdict(size), "load": load, **run_size(size, load)}
         for size in SIZES
--- a/bench/_load_switches.py
+++ b/bench/_load_switches.py
@@ -1,7 +1,7 @@
-"""Each mechanism switched off by its figure, for the comparison.
+"""Switches off single mechanisms to measure what each contributes.
 
-The product has no switches of its own: the bench replaces a figure or a
-function for the length of one run.
+The product has no such switches. The benchmark patches a constant or a function
+for the duration of one run.
 """
 
 import contextlib
@@ -25,27 +25,27 @@
 
 
 class FirstComeQueue(_service.FairQueue):
-    """One queue in order of arrival; the newcomer loses when it is full."""
+    """FIFO queue that drops the newest flow when it is full."""
 
     def pop(self, now: float):
-        """Takes the oldest flow."""
+        """Removes and returns the oldest flow, or None if empty."""
         return self.remove(next(iter(self._flows))) if len(self) else None
 
     def give_up(self, newcomer, now: float):
-        """Takes the newcomer."""
+        """Removes and returns the new flow."""
         return self.remove(newcomer.request.ticket)
 
     def may_hold(self, caller: str, most: int) -> bool:
-        """Sets no bound for a network."""
+        """Returns True, as there is no limit per network."""
         return True
 
     def of_caller(self, caller: str) -> int:
-        """Counts nobody, so that no caller has a limit."""
+        """Returns 0, so that no caller reaches its limit."""
         return 0
 
 
 def _default_or_any(placement, default, candidates, now):
-    """Chooses the default, or any one when that has no room."""
+    """Chooses the default endpoint, or a random one if that has no room."""
     for candidate in candidates:
         if candidate.record.name == default:
             return candidate
@@ -54,12 +54,12 @@
 
 @attrs.frozen
 class Switch:
-    """A mechanism and what stands in its place when it is off.
+    """A mechanism and the patches that switch it off.
 
     Attributes:
-        name: The mechanism.
-        patterns: The load patterns that it answers.
-        changes: Module, attribute and value of each replacement.
+        name: Name of the mechanism.
+        patterns: Load patterns that the mechanism is meant for.
+        changes: Object, attribute name and new value of each patch.
     """
 
     name: str
@@ -68,7 +68,7 @@
 
     @contextlib.contextmanager
     def off(self) -> Iterator[None]:
-        """Switches it off for the length of a block."""
+        """Returns a context manager that switches the mechanism off."""
         with contextlib.ExitStack() as stack:
             for module, attribute, value in self.changes:
                 stack.enter_context(mock.patch.object(module, attribute, value))
--- a/bench/_measurements_page.py
+++ b/bench/_measurements_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/MEASUREMENTS.md from the JSON of runs of the bench."""
+"""Generates docs/MEASUREMENTS.md from the JSON results of benchmark runs."""
 
 import json
 import pathlib
@@ -21,14 +21,14 @@
 
 @attrs.frozen
 class Section:
-    """A measurement's part of the page.
+    """The section of the page for one measurement.
 
     Attributes:
-        name: The measurement.
-        title: Its heading.
-        answers: What it answers and how, in a few sentences.
-        seeds: Its seeds.
-        tables: Returns its tables as Markdown.
+        name: Name of the measurement.
+        title: Heading.
+        answers: The question it answers and its method, in a few sentences.
+        seeds: Random seeds of the measurement.
+        tables: Formats the result as Markdown tables.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
 
 def merge(files: Iterable[pathlib.Path]) -> dict[str, dict]:
-    """Returns the results of several files; of two runs the later file's."""
+    """Merges result files; for duplicate measurements the last file wins."""
     results: dict[str, dict] = {}
     for file in files:
         results |= json.loads(file.read_text())
@@ -47,7 +47,7 @@
 
 
 def table(rows: list[dict]) -> str:
-    """Returns rows as a Markdown table."""
+    """Returns a Markdown table of the rows."""
     columns = list(dict.fromkeys(key for row in rows for key in row))
     lines = [
         _line(column.replace("_", " ") for column in columns),
@@ -286,7 +286,7 @@
 
 
 def page(results: dict[str, dict], folder: pathlib.Path) -> str:
-    """Returns the page and writes its pictures into a folder."""
+    """Returns the text of the page and writes its plots into a folder."""
     parts = [_HEAD.strip(), _runs(results), _missed(results)]
     for section in SECTIONS:
         result = results.get(section.name)
--- a/bench/_plots.py
+++ b/bench/_plots.py
@@ -1,4 +1,4 @@
-"""Small pictures for docs/MEASUREMENTS.md, from the JSON of runs."""
+"""Plots for docs/MEASUREMENTS.md, drawn from the JSON results of runs."""
 
 import pathlib
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 _WIDE_IN = (8.0, 3.0)
 _DPI = 80
-"""Keeps a picture below 60 kB, so that the repository stays small."""
+"""Resolution; keeps every plot below 60 kB so the repository stays small."""
 
 _HEADROOM = 1.1
 
@@ -35,12 +35,12 @@
 
 @attrs.frozen
 class Plot:
-    """A picture of one measurement.
+    """A plot of one measurement.
 
     Attributes:
-        file: Its name in the folder of pictures.
-        caption: What it shows.
-        draw: Draws it from the measurement's result.
+        file: File name in the folder of plots.
+        caption: Description of the plot.
+        draw: Draws the plot from the measurement's result.
     """
 
     file: str
@@ -59,7 +59,7 @@
 
 
 def _from_zero(axes: Axes) -> None:
-    """Begins the values' axis at zero, with room above the greatest."""
+    """Starts the value axis at zero, with headroom above the maximum."""
     axes.set_ylim(0, axes.dataLim.y1 * _HEADROOM)
 
 
@@ -237,7 +237,7 @@
 
 
 def write(name: str, result: dict, folder: pathlib.Path) -> list[Plot]:
-    """Draws the pictures of a measurement and returns them."""
+    """Writes the plots of a measurement into a folder and returns them."""
     folder.mkdir(parents=True, exist_ok=True)
     plots = PLOTS.get(name, ())
     for plot in plots:
--- a/bench/_relay.py
+++ b/bench/_relay.py
@@ -1,4 +1,4 @@
-"""A relay core with a manifest and a fleet, for measurements."""
+"""Builds relay cores with a manifest and a fleet for benchmarks."""
 
 import json
 import random
@@ -40,7 +40,14 @@
     first_port: int = 20001,
     kind: str = "session",
 ) -> bytes:
-    """Returns the text of a manifest with one service."""
+    """Returns the text of a manifest with one service.
+
+    Args:
+        endpoints: Number of endpoints.
+        address: IP address of the endpoints.
+        first_port: Port of the first endpoint.
+        kind: Kind of the service.
+    """
     return json.dumps(
         {
             "version": 1,
@@ -68,7 +75,7 @@
 
 
 def vm(number: int) -> Vm:
-    """Returns the VM with this number."""
+    """Returns the VM with a number."""
     return Vm(
         name=f"vm-{number}",
         zone=_ZONES[(number - 1) % len(_ZONES)],
@@ -80,14 +87,14 @@
 
 
 def view(text: bytes, vms: int = 1) -> messages.FleetView:
-    """Returns the agent's view of a manifest and so many VMs."""
+    """Returns the agent's view with a manifest and a number of VMs."""
     members = tuple(vm(number) for number in range(1, vms + 1))
     reports = reports_of(text)
     return messages.FleetView(1, text, 1, "", members, reports, wake_seen=1)
 
 
 def core(wire: Wire, text: bytes, now: float, vms: int = 1) -> RelayCore:
-    """Returns a relay core with its view in force."""
+    """Returns a relay core that has applied the view."""
     relay = RelayCore(settings(), wire, random.Random(1), now)
     relay.on_view(view(text, vms), now)
     return relay
--- a/bench/_run_note.py
+++ b/bench/_run_note.py
@@ -1,4 +1,4 @@
-"""What a run of a measurement says of the machine that it ran on."""
+"""Records the environment of a benchmark run."""
 
 import datetime
 import os
@@ -11,14 +11,14 @@
 
 
 class RunNote:
-    """Notes the machine and how busy it was, from start to end of a run."""
+    """Records the machine and its load from the start to the end of a run."""
 
     def __init__(self) -> None:
         self._load = os.getloadavg()[0]
         self._began = time.monotonic()
 
     def end(self) -> dict:
-        """Returns the note; called when the measurement has ended."""
+        """Returns the note; to be called when the measurement has ended."""
         return {
             "when": datetime.datetime.now(datetime.UTC).strftime(
                 "%Y-%m-%d %H:%M UTC"
@@ -34,7 +34,7 @@
 
 
 def _commit() -> str:
-    """Returns the commit, with `+` when src or bench differ from it."""
+    """Returns the commit hash, with `+` if src or bench has local changes."""
     root = pathlib.Path(__file__).parent.parent
     try:
         head = _git(root, "rev-parse", "--short", "HEAD")
--- a/bench/_slopes.py
+++ b/bench/_slopes.py
@@ -1,19 +1,19 @@
-"""Straight lines through measured points, and what they say at a size."""
+"""Linear fits through measured points and their value at a target size."""
 
 import attrs
 
 
 @attrs.frozen
 class Slope:
-    """A least-squares line through points.
+    """A least-squares line through measured points.
 
     Attributes:
-        name: What was measured.
+        name: Name of the measured quantity.
         unit: Unit of the measured value.
-        of: What the size counts.
-        points: (size, value) as measured.
-        at_size: The size that is asked for.
-        command: The command that measures it.
+        of: What the size counts, such as "VMs".
+        points: Measured pairs of size and value.
+        at_size: The target size.
+        command: The command that runs the measurement.
     """
 
     name: str
@@ -25,7 +25,7 @@
 
     @property
     def slope(self) -> float:
-        """Units for each further one of the size."""
+        """Increase of the value per unit of size."""
         mean_x, mean_y = self._means()
         spread = sum((x - mean_x) ** 2 for x, _ in self.points)
         both = sum((x - mean_x) * (y - mean_y) for x, y in self.points)
@@ -33,20 +33,20 @@
 
     @property
     def intercept(self) -> float:
-        """Units at size zero."""
+        """Value at size zero."""
         mean_x, mean_y = self._means()
         return mean_y - self.slope * mean_x
 
     @property
     def value(self) -> float:
-        """Units at the size that is asked for."""
+        """Value at the target size; an extrapolation if beyond the points."""
         return self.intercept + self.slope * self.at_size
 
     @property
     def misfit(self) -> float:
-        """Greatest distance of a point from the line, over the greatest value.
+        """Maximum residual relative to the greatest absolute value.
 
-        A line through points that do not lie on one says little beyond them.
+        If the points are not linear, the line predicts little beyond them.
         """
         most = max(abs(y) for _, y in self.points) or 1.0
         return max(abs(self._at(x) - y) for x, y in self.points) / most
@@ -62,7 +62,7 @@
         )
 
     def row(self) -> dict:
-        """Returns the line as a table's cells."""
+        """Returns the line as table cells."""
         points = ", ".join(f"{x:,.0f}: {y:,.4g}" for x, y in self.points)
         return {
             "what": self.name,
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,7 @@
-"""What each role spends at the size of two years' time, from slopes."""
+"""Estimates the cost of each role at the size expected in two years.
+
+The estimates are linear fits through measurements at smaller sizes.
+"""
 
 from bench import _capacity_control as control
 from bench import _capacity_relay as relay
@@ -15,7 +18,7 @@
 
 
 def slopes() -> dict[str, list[dict]]:
-    """Returns the lines of each role as rows."""
+    """Returns the linear fits of each role as table rows."""
     flows, rate = _SIZE.flows_a_vm, _SIZE.new_flows_a_vm
     return {
         "relay": [
@@ -58,7 +61,7 @@
 
 
 def run() -> dict:
-    """Runs every slope, the ring at full size, and real agents."""
+    """Measures all linear fits, the ring at full size, and real agents."""
     measured = agents.run()
     return {
         "slopes": slopes(),
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""What control costs a VM, and how fast the fleet learns of changes."""
+"""Control cost of a VM, and propagation times of changes in the fleet."""
 
 import statistics
 import sys
@@ -17,7 +17,7 @@
 
 
 def run() -> dict:
-    """Returns the figures of fleets of several sizes."""
+    """Returns the figures for fleets of several sizes."""
     return {
         "cost": {str(size): _cost(size) for size in SIZES},
         "nine": _changes(9),
@@ -83,7 +83,7 @@
 
 
 def _ages(fleet: fleets.Fleet, since: float) -> dict:
-    """Returns how old the load of the endpoints was in the relays' views."""
+    """Returns the age of endpoint load data in the relays' views, in s."""
     events = [event for event in list(fleet.events) if event["at"] > since]
     ages = sorted(age for event in events for age in event.get("ages", ()))
     if not ages:
@@ -96,9 +96,9 @@
 
 
 def _reference_ms() -> float:
-    """Returns the processor time of a fixed loop, to compare machines by.
+    """Returns the CPU time of a fixed loop, for comparing machines.
 
-    Where others use the machine as well, the same work takes more of it.
+    The same work takes more CPU time on a machine that others use too.
     """
     began = time.process_time()
     total = 0
@@ -126,7 +126,7 @@
 
 
 def _publish(fleet: fleets.Fleet, version: int, padding: int) -> float | None:
-    """Returns the time until the last relay has the manifest."""
+    """Returns seconds until the last relay has the manifest, or None."""
     began = time.monotonic()
     fleet.publish(version, padding)
     size = len(fleet.agents)
@@ -136,7 +136,10 @@
 
 
 def _restart(fleet: fleets.Fleet, version: int) -> float | None:
-    """Returns how long a restarted VM is without the fleet's manifest."""
+    """Returns seconds until a restarted VM has the fleet's manifest.
+
+    The platform is down meanwhile, so the manifest comes from other VMs.
+    """
     fleet.admin("/fault", b'{"mode": "down"}')
     agent = fleet.agents[-1]
     agent.send_signal(fleets.KILL)
@@ -155,7 +158,12 @@
 
 
 def _single_peer(fleet: fleets.Fleet, version: int) -> dict:
-    """All but one restart with the platform down."""
+    """Restarts all VMs but one while the platform is down.
+
+    Returns:
+        Seconds until all have the manifest, None on timeout, and the result of
+        waiting until all have joined again.
+    """
     for agent in fleet.agents[1:]:
         agent.send_signal(fleets.KILL)
         agent.process.wait()
@@ -180,7 +188,7 @@
 
 
 def _kill(fleet: fleets.Fleet, n: int) -> dict | None:
-    """Returns how long the others believe in a killed VM."""
+    """Returns how long other VMs consider a killed VM alive, in seconds."""
     time.sleep(2.0)
     agent = fleet.agents[n + 1]
     fleet.events.clear()
--- a/bench/entry_start.py
+++ b/bench/entry_start.py
@@ -1,9 +1,9 @@
-"""How long a VM of the platform takes from its start to its first packet.
+"""Start-up time of a platform VM until it forwards its first packet.
 
-Where all VMs lose power at once, clients wait for nothing else: each tenth of
-a second of start is a tenth of a second in which nobody is served. On a small
-VM processor time decides, so that is what is measured: until the first packet
-reaches an endpoint, and until the program answers that it is ready.
+When all VMs lose power at once, clients wait only for this: each tenth of a
+second of start-up is a tenth of a second in which nobody is served. On a small
+VM the start is bound by CPU, so CPU time is measured: until the first packet
+reaches an endpoint, and until the program reports that it is ready.
 """
 
 import os
@@ -25,7 +25,7 @@
 DESCRIPTION = "Processor time of a VM's start, until its first packet."
 
 BEFORE = "POLLENMAST_BEFORE"
-"""An environment variable: the `src` folder of the version to compare with."""
+"""Environment variable with the `src` folder of the version to compare to."""
 
 _NET = f"127.{100 + os.getpid() % 100}"
 _STORE = (f"{_NET}.2.1", 8169)
@@ -50,7 +50,14 @@
 
 @attrs.frozen
 class _Start:
-    """One start: milliseconds of processor time, and of time, and memory."""
+    """Measured figures of one start.
+
+    Attributes:
+        packet_ms: CPU time until the first packet reached the endpoint.
+        ready_ms: CPU time until the program reported that it was ready.
+        packet_wall_ms: Wall-clock time until the first packet.
+        memory_kb: Peak resident memory.
+    """
 
     packet_ms: float
     ready_ms: float
@@ -59,7 +66,7 @@
 
 
 def run() -> dict:
-    """Starts the program again and again, by turns with the other version."""
+    """Starts the program repeatedly, alternating with the other version."""
     sources = {"this": str(pathlib.Path("src").resolve())}
     if os.environ.get(BEFORE):
         sources["before"] = os.environ[BEFORE]
@@ -94,7 +101,7 @@
             for number in range(_STARTS + 1):
                 for name, source in sources.items():
                     start = await _start(source, str(settings), sock)
-                    # The first start compiles the modules.
+                    # The first start is dropped, as it compiles the modules.
                     if number:
                         starts[name].append(start)
             tasks.cancel_scope.cancel()
@@ -103,7 +110,7 @@
 
 
 def _store() -> Store:
-    """Returns a store with a small site's entries; all at one address."""
+    """Returns a store with the entries of a small site, all at one address."""
     store = Store()
     routes = [
         {
@@ -162,7 +169,7 @@
 
 
 async def _until_carried(sock) -> None:
-    """Sends SYNs, each of another flow, until one reaches the endpoint."""
+    """Sends a SYN of a new flow repeatedly until one reaches the endpoint."""
     _drain(sock)
     client = segments.bind(f"{_NET}.1.7", 0)
     port = 1024
@@ -179,7 +186,7 @@
 
 
 def _drain(sock) -> int:
-    """Reads what waits; returns how many datagrams that were."""
+    """Reads all pending datagrams and returns their number."""
     count = 0
     while True:
         try:
--- a/bench/loss.py
+++ b/bench/loss.py
@@ -1,4 +1,7 @@
-"""One of 9 VMs killed: broken flows and silence, by replication."""
+"""Broken flows and alert delay after the loss of one of 9 VMs.
+
+Runs with and without replication.
+"""
 
 import anyio
 import attrs
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,8 +1,8 @@
-"""Decisions under load, judged by what callers receive.
+"""Placement decisions under load, evaluated by the results of callers.
 
-Each load pattern runs with the baseline (random placement, no limits), with
-everything on, and once with each mechanism off that answers it. Every run of
-one pattern has the same seed, so the same callers ask.
+Each load pattern runs with the baseline (random placement, no limits), with all
+mechanisms on, and once with each relevant mechanism off. All runs of a pattern
+use the same seed and so the same callers.
 """
 
 import contextlib
@@ -24,14 +24,14 @@
 SEED = 20
 
 SETTLE_S = 5.0
-"""Time after the last request in which the open ones may end."""
+"""Seconds after the last request in which open requests may finish."""
 
 
 _IMBALANCES = (("placed", measures.placed_in), ("used", measures.used_in))
 
 
 def run_pattern(pattern: Pattern, make=Dispatcher, seed: int = SEED) -> Fleet:
-    """Runs one pattern and returns the fleet for measuring."""
+    """Runs a pattern and returns the simulated fleet for evaluation."""
     kind = ServiceKind.SESSION if pattern.sessions else ServiceKind.REQUEST
     dispatchers = [
         make(ZONES[vm % len(ZONES)], random.Random(seed * 1000 + vm))
@@ -44,13 +44,13 @@
 
 
 def measure(pattern: Pattern, fleet: Fleet) -> dict:
-    """Returns a run's figures."""
+    """Returns the figures of a run."""
     jobs = [job for job in fleet.jobs if pattern.belongs(job)]
     names = list(pattern.names)
     begin, end = pattern.begin, pattern.end
     figures = measures.received(jobs, begin, end)
     if pattern.sessions:
-        # Sessions last; how long says nothing of the decisions.
+        # The length of a session does not depend on the decisions.
         figures["open"] = figures.pop("unanswered")
         figures |= dict.fromkeys(("median_ms", "p99_ms", "p999_ms"), "")
     figures |= measures.refusals(fleet)
@@ -84,7 +84,7 @@
 
 
 def _newcomer_share(pattern: Pattern, fleet: Fleet, names: list[str]):
-    """Returns the newest endpoint's part of an equal share, first 5 s."""
+    """Returns the new endpoint's arrivals over an equal share, first 5 s."""
     if len(names) <= ENDPOINTS:
         return ""
     window = (pattern.change_at, pattern.change_at + 5.0)
@@ -101,7 +101,7 @@
 
 
 def run() -> dict:
-    """Runs every pattern in every variant, and every size of fleet."""
+    """Runs all variants of all patterns, and all fleet sizes."""
     results = {pattern.name: _run_variants(pattern) for pattern in PATTERNS}
     return {**results, "sizes": run_sizes()}
 
--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -1,4 +1,4 @@
-"""Owners of flows: the ring beside a table filled by rendezvous hashing."""
+"""Flow ownership: hash ring compared to a rendezvous-hashing table."""
 
 import time
 import tracemalloc
@@ -26,7 +26,7 @@
 
 
 def _greatest_share(ring: Ring, count: int) -> float:
-    """Returns the greatest VM's part of the ring over the mean."""
+    """Returns the greatest share of the ring of any VM over the mean."""
     points, owners = ring._points, ring._owners
     parts: dict[int, int] = {}
     for index, owner in enumerate(owners):
@@ -36,7 +36,7 @@
 
 
 def _rendezvous_build_s(count: int) -> float:
-    """Returns the seconds to fill a whole table, from a sample of buckets."""
+    """Returns seconds to fill a table, extrapolated from sampled buckets."""
     names = [f"vm-{number}" for number in range(count)]
     start = time.process_time()
     for bucket in range(_SAMPLED_BUCKETS):
--- a/bench/packet_path.py
+++ b/bench/packet_path.py
@@ -1,4 +1,4 @@
-"""What a packet costs at its owner, beside bare system calls in one run."""
+"""CPU cost of a packet at its owner, compared to a bare socket loop."""
 
 import gc
 import os
@@ -50,7 +50,7 @@
 
 
 def _bare(caller, middle, upstream) -> float:
-    """Returns microseconds a packet of a bare recvfrom/sendto loop."""
+    """Returns microseconds per packet of a bare recvfrom/sendto loop."""
     spent = 0.0
     to_middle, to_upstream = middle.getsockname(), upstream.getsockname()
     for _ in range(_PACKETS // _BATCH):
@@ -69,7 +69,7 @@
 
 
 def _owner(caller, wire, core, upstream) -> float:
-    """Returns microseconds a packet of a relay that owns the flow."""
+    """Returns microseconds per packet from the caller, at the flow's owner."""
     spent = 0.0
     to_relay = ("127.0.11.1", _relay.SERVICE_PORT)
     for _ in range(_PACKETS // _BATCH):
@@ -84,7 +84,7 @@
 
 
 def _back(caller, wire, core, upstream, flow) -> float:
-    """Returns microseconds a packet from the upstream to the caller."""
+    """Returns microseconds per packet from the upstream to the caller."""
     spent = 0.0
     to_path = flow.path.sock.getsockname()
     for _ in range(_PACKETS // _BATCH):
@@ -150,38 +150,38 @@
 
 
 class _NullListener(Listener):
-    """A port that sends nowhere, for costs without system calls."""
+    """Listener that discards datagrams, to measure without system calls."""
 
     def send(self, data, caller):
-        """Takes a datagram."""
+        """Discards a datagram."""
 
     def close(self):
         """Does nothing."""
 
 
 class _NullPath(Path):
-    """A path that sends nowhere."""
+    """Path that discards datagrams."""
 
     def send(self, data, upstream):
-        """Takes a datagram."""
+        """Discards a datagram."""
 
     def close(self):
         """Does nothing."""
 
 
 class _NullWire(Wire):
-    """A wire without sockets."""
+    """Wire without sockets."""
 
     def open_listener(self, service):
-        """Returns a port that sends nowhere."""
+        """Returns a listener that discards datagrams."""
         return _NullListener(service)
 
     def open_path(self):
-        """Returns a path that sends nowhere."""
+        """Returns a path that discards datagrams."""
         return _NullPath()
 
     def send_peer(self, data, address):
-        """Takes an envelope."""
+        """Discards an envelope."""
 
 
 def _new_flows() -> dict:
@@ -233,13 +233,13 @@
 
 
 def _lookup_cost(core, size: int, busy: int) -> float:
-    """Returns microseconds of a packet's way without its system calls.
+    """Returns microseconds to process a packet, without system calls.
 
     Args:
-        core: The relay.
-        size: Flows in its table.
-        busy: Flows that packets come from, spread over the whole table. Where
-            all are busy, the processor's caches miss on most packets.
+        core: The relay core.
+        size: Number of flows in its table.
+        busy: Number of flows that send packets, spread over the whole table.
+            If all do, the CPU caches miss on most packets.
     """
     listener = core.table.listener(_relay.SERVICE)
     every = list(_callers(size))
--- a/bench/planned_change.py
+++ b/bench/planned_change.py
@@ -1,4 +1,4 @@
-"""Planned changes of every kind over 2,000 open sessions in one run."""
+"""All kinds of planned changes during a run with 2,000 open sessions."""
 
 import anyio
 
--- a/bench/program_faults.py
+++ b/bench/program_faults.py
@@ -1,7 +1,8 @@
-"""One program of one VM of three killed or frozen, its VM still listed.
+"""Kills or freezes one program on one of three VMs that stays listed.
 
-The fabric goes on handing that VM a third of all datagrams. What new flows
-meet that open when the fleet should have noticed, and how sessions fare.
+The fabric keeps sending this VM a third of all datagrams. Measures the flows
+opened after the fleet should have detected the fault, and the effect on
+existing sessions.
 """
 
 import signal
@@ -23,17 +24,20 @@
 _CALM_S = 4.0
 _WATCHED_S = 60.0
 _LATE_S = 1.0
-"""A handshake that took so long met the first or second repeat of a packet."""
+"""Handshake time in seconds that means a retransmission.
+
+Such a handshake needed the first or second repeat of a packet.
+"""
 
 
 @attrs.frozen
 class Fault:
-    """What goes wrong, or nothing.
+    """A fault to inject, or none.
 
     Attributes:
-        name: What the table calls it.
-        program: Which program of the VM it meets, empty for none.
-        sent: The signal that it is sent.
+        name: Name in the table.
+        program: The affected program of the VM, or "" for no fault.
+        sent: The signal sent to the program.
     """
 
     name: str
@@ -61,7 +65,7 @@
 
 
 def _new_flows(outcome: Outcome, began: float) -> dict:
-    """Returns what came of the image flows opened after detection."""
+    """Returns the results of image flows opened after the detection time."""
     flows = [
         flow
         for result in outcome.results
@@ -81,7 +85,7 @@
 
 
 def _sessions(outcome: Outcome, began: float) -> dict:
-    """Returns what came of the sessions that lived through the fault."""
+    """Returns the results of sessions that were open during the fault."""
     hit = outcome.ledger.after_loss
     return {
         "sessions_broken": sum(
@@ -98,7 +102,7 @@
 
 
 async def play(world: World, fault: Fault, watched_s: float) -> dict:
-    """Plays one fault in a running world; returns a row of the table."""
+    """Injects a fault into a running fleet and returns a table row."""
     world.start_usual_callers(_SESSIONS, _IMAGES_PER_S, _DEADLINE_S)
     await anyio.sleep(_CALM_S)
     world.mark_loss()
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -1,4 +1,4 @@
-"""Broken flows against control bytes, by the age at which flows replicate."""
+"""Broken flows against control bytes, by the minimum age for replication."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class _Caller:
-    """One caller of the scenario."""
+    """A caller of the scenario, with the times of its flow."""
 
     tag: str
     opens_s: float
@@ -43,7 +43,7 @@
 
 
 def _play(net: Net, callers: list[_Caller]) -> None:
-    """Opens and uses all flows; halfway an endpoint is added."""
+    """Opens and uses all flows; adds an endpoint halfway through."""
     waiting = list(callers)
     live: list[_Caller] = []
     for step in range(round(_SECONDS / _STEP_S)):
@@ -71,7 +71,7 @@
 
 
 def run_one(age_s: float, opened_per_s: int = _OPENED_PER_S) -> dict:
-    """Returns the figures of one age, with one VM killed at the end."""
+    """Returns the figures for one age; kills one VM at the end."""
     net = Net(vms=VMS, seed=_SEED, replicate_after_s=age_s)
     callers = _callers(random.Random(_SEED), opened_per_s)
     _play(net, callers)
--- a/docs_tool/__init__.py
+++ b/docs_tool/__init__.py
@@ -1,4 +1,4 @@
-"""Writes the pages of docs/ that repeat what the code says."""
+"""Generates the pages of docs/ whose content is taken from the code."""
 
 from docs_tool import _events, _imports, _manifest, _settings
 
@@ -8,4 +8,4 @@
     "MANIFEST.md": _manifest.page,
     "SETTINGS.md": _settings.page,
 }
-"""Each page's name and what makes its text."""
+"""Functions that generate the pages, by file name."""
--- a/docs_tool/__main__.py
+++ b/docs_tool/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m docs_tool`: writes the pages that repeat what the code says."""
+"""`python -m docs_tool`: writes the pages that are generated from code."""
 
 import pathlib
 
@@ -8,7 +8,7 @@
 
 
 def main() -> None:
-    """Writes every page."""
+    """Writes all generated pages."""
     for name, page in PAGES.items():
         (_DOCS / name).write_text(page())
         print(f"docs/{name}")
--- a/docs_tool/_events.py
+++ b/docs_tool/_events.py
@@ -1,4 +1,4 @@
-"""Makes docs/EVENTS.md from the catalogue of events."""
+"""Generates docs/EVENTS.md from the catalogue of events."""
 
 from docs_tool._markdown import HEAD, code, table
 from pollenmast.events import CATALOGUE
@@ -31,7 +31,7 @@
 
 
 def page() -> str:
-    """Returns the page."""
+    """Returns the text of the page."""
     text = HEAD + _INTRODUCTION
     for group, title in _GROUPS.items():
         rows = [
--- a/docs_tool/_imports.py
+++ b/docs_tool/_imports.py
@@ -1,4 +1,4 @@
-"""Makes docs/IMPORTS.md: which package imports which, lowest first."""
+"""Generates docs/IMPORTS.md: imports between packages, lowest level first."""
 
 import ast
 import graphlib
@@ -19,7 +19,7 @@
 
 
 def imports() -> dict[str, set[str]]:
-    """Returns the packages that each package imports."""
+    """Returns the imported packages of each package."""
     found: dict[str, set[str]] = {}
     for path in sorted(_ROOT.rglob("*.py")):
         package = _package(path.relative_to(_ROOT).parts)
@@ -29,10 +29,10 @@
 
 
 def levels(graph: dict[str, set[str]]) -> list[list[str]]:
-    """Returns the packages in levels, each above all that it imports.
+    """Sorts packages into levels, each above everything it imports.
 
     Raises:
-        graphlib.CycleError: Some packages import each other.
+        graphlib.CycleError: The imports form a cycle.
     """
     sorter = graphlib.TopologicalSorter(graph)
     sorter.prepare()
@@ -45,7 +45,7 @@
 
 
 def page() -> str:
-    """Returns the page."""
+    """Returns the text of the page."""
     graph = imports()
     rows = [
         (number, code(package), _listed(graph.get(package, set())))
--- a/docs_tool/_manifest.py
+++ b/docs_tool/_manifest.py
@@ -1,4 +1,4 @@
-"""Makes docs/MANIFEST.md from the manifest's rules."""
+"""Generates docs/MANIFEST.md from the validation rules of the manifest."""
 
 from docs_tool._markdown import HEAD, code, table
 from pollenmast.manifest import (
@@ -76,13 +76,13 @@
 
 
 def page() -> str:
-    """Returns the page."""
+    """Returns the text of the page."""
     text = HEAD + _INTRODUCTION + "\n".join(_objects(MANIFEST))
     return text.rstrip("\n") + "\n"
 
 
 def _objects(item: Object) -> list[str]:
-    """Returns a table for an object and for each one inside it."""
+    """Returns tables for an object and all objects nested in it."""
     heads = ("Key", "Meaning", "Allowed", "Default")
     rows = [_row(field) for field in item.fields]
     parts = [f"## {item.title.capitalize()}\n\n{table(heads, rows)}"]
--- a/docs_tool/_markdown.py
+++ b/docs_tool/_markdown.py
@@ -1,7 +1,7 @@
-"""Small pieces of Markdown."""
+"""Markdown formatting."""
 
 HEAD = "<!-- Made by `python -m docs_tool`; change the code instead. -->\n\n"
-"""First line of each page that is made."""
+"""First line of every generated page."""
 
 
 def table(heads: tuple[str, ...], rows: list[tuple[object, ...]]) -> str:
@@ -11,7 +11,7 @@
 
 
 def code(value: object) -> str:
-    """Returns a value set as code, or nothing for an empty one."""
+    """Returns a value as inline code, or "" for an empty value."""
     return f"`{value}`" if value not in (None, "") else ""
 
 
--- a/docs_tool/_settings.py
+++ b/docs_tool/_settings.py
@@ -1,4 +1,4 @@
-"""Makes docs/SETTINGS.md from the catalogue of keys."""
+"""Generates docs/SETTINGS.md from the catalogue of settings keys."""
 
 from docs_tool._markdown import HEAD, code, table
 from pollenmast.settings import KEY_FILE_VARIABLE, KEYS, Key
@@ -89,7 +89,7 @@
 
 
 def page() -> str:
-    """Returns the page."""
+    """Returns the text of the page."""
     text = HEAD + _INTRODUCTION
     for section in dict.fromkeys(key.section for key in KEYS):
         rows = [_row(key) for key in KEYS if key.section == section]
--- a/packing/__init__.py
+++ b/packing/__init__.py
@@ -1,4 +1,5 @@
 """Packs pollenmast and its libraries into one file, `dist/pollenmast`.
 
-docs/BINARY.md says what was weighed and what the file needs.
+See docs/BINARY.md for the alternatives considered and the requirements of the
+file.
 """
--- a/packing/__main__.py
+++ b/packing/__main__.py
@@ -9,7 +9,7 @@
 
 
 def main(words: list[str]) -> int:
-    """Builds the binary, says what came of it, and measures it if asked."""
+    """Builds the binary, prints the result, and optionally measures it."""
     paths = [pathlib.Path(word) for word in words if word != "--measure"]
     target = paths[0] if paths else _TARGET
     entries = _contents.gather()
--- a/packing/_archive.py
+++ b/packing/_archive.py
@@ -1,4 +1,4 @@
-"""Writes the binary: a line that names the interpreter, then a zip."""
+"""Writes the binary: an interpreter line followed by a zip archive."""
 
 import pathlib
 import stat
@@ -7,17 +7,20 @@
 from packing._contents import Entry
 
 INTERPRETER = b"#!/usr/bin/env -S python3.11 -IBS\n"
-"""Isolated (-I), without the machine's own libraries (-S), and without
-writing compiled modules (-B): what runs is what was packed."""
+"""Interpreter line; its flags make sure that only packed code runs.
+
+Python is isolated from the environment (-I), ignores installed libraries (-S)
+and writes no compiled modules (-B).
+"""
 
 _DATE = (1980, 1, 1, 0, 0, 0)
-"""The same for every file, so that equal contents give equal binaries."""
+"""Fixed time of all files, so that equal contents give equal binaries."""
 
 _MODE = 0o755
 
 
 def write(entries: list[Entry], target: pathlib.Path) -> None:
-    """Writes the entries into one file that can be started."""
+    """Writes the entries into one executable file."""
     target.parent.mkdir(parents=True, exist_ok=True)
     with target.open("wb") as stream:
         stream.write(INTERPRETER)
@@ -34,10 +37,10 @@
 
 
 def _folders(entries: list[Entry]) -> list[str]:
-    """Returns the folders of the entries, each with its final slash.
+    """Returns the folders of the entries, each with a trailing slash.
 
-    A package without `__init__.py` (a namespace package) is found inside a
-    zip only where the zip lists its folder; without, its import fails.
+    Importing a package without `__init__.py` (a namespace package) from a zip
+    fails unless the zip has an entry for its folder.
     """
     folders: set[str] = set()
     for entry in entries:
--- a/packing/_contents.py
+++ b/packing/_contents.py
@@ -1,4 +1,4 @@
-"""Gathers what goes into the binary: the product and its pinned libraries."""
+"""Collects the files of the binary: the product and its pinned libraries."""
 
 import importlib.machinery
 import importlib.metadata
@@ -16,28 +16,31 @@
 _PINS = _ROOT / "requirements.txt"
 
 _START = "__main__.py"
-"""What Python runs; it also runs on other versions, to say what it needs."""
+"""Entry point of the archive; packed as source.
+
+It must also run on other Python versions to report the required one.
+"""
 
 _LEFT_OUT_FOLDERS = frozenset({"__pycache__", "tests", "test", ".."})
-"""Folders of a library that no import of ours needs."""
+"""Folders of a library that the product never imports."""
 
 _LEFT_OUT_SUFFIXES = frozenset({".pyi", ".c", ".h", ".pxd", ".pyx", ".pyc"})
 
 
 @attrs.frozen
 class Entry:
-    """One file inside the binary."""
+    """A file inside the binary."""
 
     name: str
     data: bytes
 
 
 class MissingPinError(Exception):
-    """A library is not installed in its pinned version."""
+    """A library is installed in another version than the pinned one."""
 
 
 def gather() -> list[Entry]:
-    """Returns every file of the binary, sorted by name."""
+    """Returns all files of the binary, sorted by name."""
     files = {**_library_files(), **_own_files()}
     entries: list[Entry] = []
     with tempfile.TemporaryDirectory() as folder:
@@ -85,11 +88,11 @@
 
 
 def _compiled(name: str, path: pathlib.Path, target: pathlib.Path) -> Entry:
-    """Compiles a module, so that no start has to.
+    """Compiles a module, so that it need not be compiled at start.
 
-    Its source stays out: it made the binary a quarter greater, and tracebacks
-    name file and line without it. The mark "unchecked" says that there is no
-    source to compare with.
+    The source is left out: it would make the binary a quarter larger, and
+    tracebacks show file and line without it. The invalidation mode is
+    "unchecked", as there is no source to compare to.
     """
     py_compile.compile(
         str(path),
--- a/packing/_measure.py
+++ b/packing/_measure.py
@@ -1,4 +1,4 @@
-"""Measures the binary: its size, and the time and memory of a start."""
+"""Measures the size of the binary and its start-up time and memory."""
 
 import pathlib
 import statistics
@@ -7,14 +7,14 @@
 import time
 
 _STARTS = 15
-"""Starts timed; the median passes over a few that others disturbed."""
+"""Number of timed starts; the median ignores a few disturbed by other work."""
 
 _MEMORY = "import resource as r;print(r.getrusage(r.RUSAGE_CHILDREN).ru_maxrss)"
 _CHILD = f"import subprocess,sys;subprocess.run(sys.argv[1:]);{_MEMORY}"
 
 
 def report(binary: pathlib.Path) -> str:
-    """Returns what was measured, one line each."""
+    """Returns the measured figures, one per line."""
     packed = [sys.executable, "-IBS", str(binary), "--version"]
     plain = [sys.executable, "-m", "pollenmast", "--version"]
     lines = [f"size: {binary.stat().st_size / 1e6:.1f} MB"]
@@ -36,7 +36,10 @@
 
 
 def _memory_mb(command: list[str]) -> float:
-    """Returns the peak of a command, asked of a process that ran only it."""
+    """Returns the peak resident memory of a command.
+
+    It is read in a separate process that has no other child.
+    """
     done = subprocess.run(
         [sys.executable, "-c", _CHILD, *command],
         check=True,
--- a/packing/bootstrap/__init__.py
+++ b/packing/bootstrap/__init__.py
@@ -1,1 +1,1 @@
-"""What runs first inside the binary; copied to the top of its zip."""
+"""Bootstrap code of the binary; copied to the top level of its zip."""
--- a/packing/bootstrap/__main__.py
+++ b/packing/bootstrap/__main__.py
@@ -1,16 +1,17 @@
-"""Starts pollenmast from within the binary."""
+"""Entry point of the binary."""
 
 import sys
 
 _PYTHON = (3, 11)
-"""The version for which the packed native modules were built."""
+"""The Python version that the packed native modules are built for."""
 
 
 def _only_what_is_packed() -> None:
-    """Takes the machine's own libraries off the path.
+    """Removes the machine's installed libraries from the import path.
 
-    With another version of a library found first, the VM would run what
-    nobody has tested; a library spread over several folders would even mix.
+    Otherwise an installed version of a library could be found first, and the VM
+    would run an untested combination. A library spread over several folders
+    could even be loaded from two versions.
     """
     sys.path[:] = [
         path
--- a/packing/bootstrap/native_modules.py
+++ b/packing/bootstrap/native_modules.py
@@ -1,8 +1,8 @@
-"""Imports native modules from the zip that holds this one, through memory.
+"""Imports native modules from the zip that contains this module.
 
-The C library loads a native module from a file only, and a VM has no disk
-to unpack to. So the module is copied into an anonymous file in memory
-(memfd_create) that belongs to this process alone, and loaded from there.
+The C library can load a native module only from a file, and a VM has no disk to
+unpack it to. The module is therefore copied into an anonymous in-memory file
+(memfd_create), private to this process, and loaded from there.
 """
 
 import errno
@@ -16,16 +16,20 @@
 _SUFFIXES = tuple(importlib.machinery.EXTENSION_SUFFIXES)
 
 LIST = "native_modules.txt"
-"""File of the zip that lists its native modules, so that a start need not
-read the names of some three thousand files."""
+"""File in the zip that lists its native modules.
+
+It saves reading the names of some three thousand files at start.
+"""
 
 _MFD_EXEC = 0x10
-"""Asks for a file that may be executed, where the kernel wants to be asked
-(Linux 6.3 with vm.memfd_noexec=1). Python 3.11 has no name for it."""
+"""The flag MFD_EXEC of memfd_create, which Python 3.11 does not define.
+
+It requests an executable file, which Linux 6.3 requires if vm.memfd_noexec=1.
+"""
 
 
 class NativeFinder(importlib.abc.MetaPathFinder):
-    """Finds native modules inside a zip."""
+    """Import finder for native modules inside a zip."""
 
     def __init__(self, archive: str):
         self._archive = archive
@@ -35,7 +39,7 @@
 
     @property
     def modules(self) -> list[str]:
-        """The modules that it finds."""
+        """Names of the native modules in the zip."""
         return sorted(self._names)
 
     def find_spec(self, fullname, path=None, target=None):
@@ -54,22 +58,23 @@
 
 
 def install(archive: str) -> None:
-    """Adds the finder after those of Python itself."""
+    """Appends the finder to Python's own finders."""
     sys.meta_path.append(NativeFinder(archive))
 
 
 def _module(name: str) -> str:
-    # The longest suffix: ".abi3.so" ends with ".so" as well.
+    # Removes the longest suffix, as ".abi3.so" also ends with ".so".
     suffix = max((s for s in _SUFFIXES if name.endswith(s)), key=len)
     return name.removesuffix(suffix).replace("/", ".")
 
 
 def _in_memory(name: str, data: bytes) -> str:
-    """Returns the path of an anonymous file that holds the data.
+    """Writes the data to an anonymous file and returns its path.
 
-    Its descriptor stays open. Were it closed, the next module would get the
-    same number and so the same path, and the C library would take it for the
-    module it has already loaded: the import would end in "undefined symbol".
+    The descriptor is kept open. If it were closed, the next module would get
+    the same descriptor number and so the same path. The C library would take it
+    for the module already loaded, and the import would fail with "undefined
+    symbol".
     """
     descriptor = _open_memory(name)
     with open(descriptor, "wb", closefd=False) as stream:
--- a/tests/bench_measurements_page_test.py
+++ b/tests/bench_measurements_page_test.py
@@ -1,4 +1,4 @@
-"""Tests of bench._measurements_page and its aims and plots."""
+"""Tests for bench._measurements_page, bench._aims and bench._plots."""
 
 import json
 import pathlib
@@ -52,7 +52,7 @@
 
 
 class AimsTest(TestCase):
-    """A verdict is computed from the run; nobody types it in."""
+    """Verdicts are computed from results, never entered by hand."""
 
     @parameterized.expand(
         [
@@ -62,12 +62,12 @@
         ]
     )
     def test_judged(self, _, met, verdict):
-        """An aim met in some respects only is never called reached."""
+        """An aim is reached only if all of its conditions are met."""
         self.assertEqual(verdict, _aims.judged("aim", "1", *met).verdict)
 
     @parameterized.expand([("fewer", 3, "yes"), ("as many", 9, "no")])
     def test_loss(self, _, broken, verdict):
-        """Replication that saves no flow is reported as missing its aim."""
+        """Replication misses its aim if it saves no flow."""
         kills = [
             {"replication": "on", **_kill(broken)},
             {"replication": "off", **_kill(9)},
@@ -77,7 +77,7 @@
 
 
 class NoWorseOffTest(TestCase):
-    """A mechanism that does not pay is named, not passed over."""
+    """Mechanisms that bring no improvement are listed."""
 
     @parameterized.expand(
         [
@@ -88,7 +88,7 @@
         ]
     )
     def test_listed(self, _, answered, p99_ms, listed):
-        """Listed if off is no worse in answers and in time."""
+        """A variant is listed if both its answers and its time are no worse."""
         on = {"variant": "all on", "answered": 80, "p99_ms": 7.0}
         off = {"variant": "no x", "answered": answered, "p99_ms": p99_ms}
         found = _aims.no_worse_off({"steady": [on, off], "sizes": [{}]})
@@ -96,10 +96,10 @@
 
 
 class PageTest(TestCase):
-    """The page says what the JSON says, and what was not run."""
+    """The page shows the results and names measurements that were not run."""
 
     def setUp(self):
-        """Makes a folder for the pictures."""
+        """Creates a folder for the plots."""
         super().setUp()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -109,7 +109,7 @@
         return _measurements_page.page(results, self.folder)
 
     def test_figures(self):
-        """Figures, seed, machine and the default's age come from the JSON."""
+        """Figures, seed, machine and the row of the default age are shown."""
         note = {"python": "3.11.0", "load_before": 8.25}
         page = self._page(replication={**_replication(), "machine": note})
         self.assertIn("| 1 | 50 | 2 | 120.5 |", page)
@@ -118,13 +118,13 @@
         self.assertIn("default 1 s: 2 of 50 broken", page)
 
     def test_not_run(self):
-        """A measurement without a result is said not to have run."""
+        """A measurement without a result is marked as not run."""
         page = self._page(replication=_replication())
         others = len(_measurements_page.SECTIONS) - 1
         self.assertEqual(others, page.count("\nNot run.\n"))
 
     def test_missed(self):
-        """An aim that was missed stands at the top as well."""
+        """Missed aims are also listed at the top."""
         kills = [
             {"replication": each, **_kill(5), "never_allowed": 1}
             for each in ("on", "off")
@@ -134,7 +134,7 @@
         self.assertEqual(2, top.count("| loss |"))
 
     def test_merge(self):
-        """Of two runs of a measurement the later file's is shown."""
+        """If two files contain a measurement, the later file wins."""
         files = [self.folder / "a.json", self.folder / "b.json"]
         files[0].write_text(json.dumps({"loss": 1, "control": 1}))
         files[1].write_text(json.dumps({"loss": 2}))
@@ -145,7 +145,7 @@
         [("replication", _replication()), ("ownership", _ownership())]
     )
     def test_plots(self, name, result):
-        """A picture is a small PNG."""
+        """Plots are PNG files below 60 kB."""
         for plot in _plots.write(name, result, self.folder):
             data = (self.folder / plot.file).read_bytes()
             self.assertEqual(b"\x89PNG", data[:4])
--- a/tests/bench_slopes_test.py
+++ b/tests/bench_slopes_test.py
@@ -1,4 +1,4 @@
-"""Tests of bench._slopes: lines through measured points."""
+"""Tests for bench._slopes."""
 
 from parameterized import parameterized
 from testtools import TestCase
@@ -11,7 +11,7 @@
 
 
 class SlopeTest(TestCase):
-    """What a large fleet costs is read off these lines."""
+    """Linear fits, from which the cost of a large fleet is extrapolated."""
 
     @parameterized.expand(
         [
@@ -21,7 +21,7 @@
         ]
     )
     def test_exact(self, _, points, slope, intercept, value):
-        """Points on a line give that line, and no misfit."""
+        """Collinear points give their line and a misfit of 0."""
         line = _slope(points)
         self.assertAlmostEqual(slope, line.slope)
         self.assertAlmostEqual(intercept, line.intercept)
@@ -29,17 +29,17 @@
         self.assertAlmostEqual(0.0, line.misfit)
 
     def test_misfit(self):
-        """The misfit is the worst point's distance over the greatest value."""
+        """The misfit is the maximum residual over the greatest value."""
         line = _slope(((0, 0.0), (1, 3.0), (2, 0.0)))
         self.assertAlmostEqual(0.0, line.slope)
         self.assertAlmostEqual(2.0 / 3.0, line.misfit)
 
     def test_all_zero(self):
-        """Points at zero lie on a line and divide by nothing."""
+        """All-zero points give a misfit of 0, not a division by zero."""
         self.assertEqual(0.0, _slope(((1, 0.0), (2, 0.0))).misfit)
 
     def test_row(self):
-        """A row names every measured point."""
+        """A row lists all measured points."""
         row = _slope(((3, 10.0), (9, 22.0))).row()
         self.assertEqual("VMs 3: 10, 9: 22", row["points"])
         self.assertEqual("2", row["slope"])
