--- a/bench/_capacity_control.py
+++ b/bench/_capacity_control.py
@@ -20,7 +20,7 @@
 ENDPOINTS_PER_SERVICE = 4.4
 _MANIFEST_SIZES = (100, 1_000, 4_000)
 _VIEW_SIZES = ((9, 10), (100, 800), (400, 3_200))
-_SHARED_SIZES = ((50, 400), (200, 1_600), (400, 3_200))
+_ASSIGNMENT_SIZES = ((50, 400), (200, 1_600), (400, 3_200))
 _MEMBER_SIZES = (50, 200, 800)
 _REPORT_COUNTS = (1, 4, 8)
 _REPEATS = 3
@@ -123,7 +123,7 @@
     )
 
 
-def _least_s(work: Callable[[], object]) -> float:
+def _min_cpu_s(work: Callable[[], object]) -> float:
     """Returns the minimum CPU time over several runs, in seconds.
 
     The minimum is used because other work on the machine and garbage left by
@@ -143,7 +143,7 @@
     points = []
     for vms, endpoints in _VIEW_SIZES:
         view = _view(vms, endpoints)
-        spent = _least_s(lambda view=view: _codec.encode(view))
+        spent = _min_cpu_s(lambda view=view: _codec.encode(view))
         points.append((vms + endpoints, spent * 100))
     return Slope(
         "views to the relay",
@@ -166,7 +166,7 @@
             1, "", True, False, False, 1, 0, 0, (), loads
         )
         data = _codec.encode(report)
-        spent = _least_s(lambda data=data: _codec.decode(data))
+        spent = _min_cpu_s(lambda data=data: _codec.decode(data))
         points.append((endpoints, spent * 2 * 100))
     return Slope(
         "reports of the relay", "% core", "endpoints", tuple(points), at_size
@@ -219,14 +219,14 @@
     return Slope("heartbeats", "% core", "VMs", tuple(points), at_size)
 
 
-def sharing_cost(at_size: float) -> Slope:
+def probe_assignment_cost(at_size: float) -> Slope:
     """Returns the CPU time to assign probes, by VMs times endpoints."""
     points = []
-    for vms, endpoints in _SHARED_SIZES:
+    for vms, endpoints in _ASSIGNMENT_SIZES:
         members = tuple(_vm(number) for number in range(vms))
         text = manifest_text(endpoints)
         services = manifests.parse(text).unwrap().services
-        spent = _least_s(
+        spent = _min_cpu_s(
             lambda services=services, members=members: _probing.assignments(
                 services, members, "zone-0"
             )
@@ -241,7 +241,7 @@
     )
 
 
-def report_news_bytes(at_size: float) -> Slope:
+def endpoint_report_bytes(at_size: float) -> Slope:
     """Returns the size of a gossip message, by endpoint reports in it."""
     report = EndpointReport(
         17, "endpoint-4711", 1_796_000_000, True, 1, 0, 812, 99_999, 500.0
@@ -267,15 +267,15 @@
     new_flows_per_s: int = 58_000
     zones: int = 7
     regions: int = 3
-    changes_a_day: int = 970
-    restarts_a_day: int = 4_500
+    changes_per_day: int = 970
+    restarts_per_day: int = 4_500
 
     @property
-    def flows_a_vm(self) -> float:
+    def flows_per_vm(self) -> float:
         """Open flows per VM."""
         return self.flows / self.vms
 
     @property
-    def new_flows_a_vm(self) -> float:
+    def new_flows_per_vm_s(self) -> float:
         """New flows per second per VM."""
         return self.new_flows_per_s / self.vms
--- a/bench/_capacity_page.py
+++ b/bench/_capacity_page.py
@@ -4,10 +4,10 @@
 
 _SIZE = FleetSize()
 _COMMAND = "python -m bench run capacity --json out/capacity.json"
-_BUDGET_BYTES = 4_000
+_CONTROL_BYTES_PER_S = 4_000
 _HEARTBEATS_PER_S = 2
 _RACK_VMS = 40
-_NEWS_BYTES = 60
+_MEMBER_UPDATE_BYTES = 60
 _DAY_S = 86_400
 _PROBES_PER_S = 2
 """Probes per second of one endpoint, summed over its two probers."""
@@ -15,7 +15,9 @@
 _PROBED_ENDPOINTS = 10
 """Endpoints in the measured fleets of real agents."""
 
-_VIEW_SHARE = (_SIZE.vms + _SIZE.endpoints / 10) / (_SIZE.vms + _SIZE.endpoints)
+_AVERAGE_VIEW_SHARE = (_SIZE.vms + _SIZE.endpoints / 10) / (
+    _SIZE.vms + _SIZE.endpoints
+)
 """Average size of a view as a share of a full one.
 
 Views are sent once per second; only every tenth lists all endpoints.
@@ -53,8 +55,8 @@
     """Compares each user requirement with what the current code achieves."""
     value = _values(result)
     agent = result["agents"][-1]
-    ring_cpu = _ring_cpu(result)
-    agent_cpu = sum(float(row["% core"]) for row in _processor(result))
+    ring_cpu = _ring_cpu_percent(result)
+    agent_cpu = sum(float(row["% core"]) for row in _cpu_by_part(result))
     agent_mb = (
         agent["rss_mb"]
         + value["members"]
@@ -62,7 +64,9 @@
         + (value["manifest and decisions"] / 2)
     )
     control_bytes = (
-        agent["bytes_per_s"] + value["replication"] + _more_probe_bytes(agent)
+        agent["bytes_per_s"]
+        + value["replication"]
+        + _additional_probe_bytes(agent)
     )
     load_bytes = (value["load in a message"] / 8) * _SIZE.endpoints
     return [
@@ -94,19 +98,19 @@
     ]
 
 
-def _more_probe_bytes(agent: dict) -> float:
+def _additional_probe_bytes(agent: dict) -> float:
     """Returns probe bytes at the target size beyond those already measured."""
     probes = _PROBED_ENDPOINTS * _PROBES_PER_S / int(agent["VMs"])
     more = _SIZE.endpoints * _PROBES_PER_S / _SIZE.vms - probes
     return agent["of_these_probes"] / probes * more
 
 
-def _ring_cpu(result: dict) -> float:
+def _ring_cpu_percent(result: dict) -> float:
     change_ms = result["ring"][-1]["change_ms"]
     return change_ms / 10 * result["ring_changes_per_s"]
 
 
-def _processor(result: dict) -> list[dict]:
+def _cpu_by_part(result: dict) -> list[dict]:
     """Returns the CPU usage of an agent at the target size, by part."""
     value = _values(result)
     few, many = result["agents"][0], result["agents"][-1]
@@ -115,7 +119,7 @@
     a_probe = (few["cpu_percent"] - many["cpu_percent"]) / less
     more = _SIZE.endpoints * _PROBES_PER_S / _SIZE.vms
     changes_per_s = result["ring_changes_per_s"]
-    manifests_per_s = _SIZE.changes_a_day / _DAY_S
+    manifests_per_s = _SIZE.changes_per_day / _DAY_S
     parts = {
         f"as measured at {many['VMs']} VMs and 10 endpoints": many[
             "cpu_percent"
@@ -123,7 +127,7 @@
         f"{more:.1f} probes a second": a_probe * more,
         "members in the heartbeats": value["heartbeats"],
         "views to the relay, all endpoints each tenth": (
-            value["views to the relay"] * _VIEW_SHARE
+            value["views to the relay"] * _AVERAGE_VIEW_SHARE
         ),
         "reports of the relay, 200 endpoints a second": (
             value["reports of the relay"] * 200 / (2 * _SIZE.endpoints)
@@ -154,7 +158,7 @@
 
 def _losses(result: dict) -> list[dict]:
     """Returns the load on the remaining VMs when many are lost at once."""
-    take_over_ms = _take_over_ms(result)
+    take_over_ms = _takeover_ms(result)
     ring = result["ring"][-1]
     rows = []
     for name, lost in (
@@ -164,8 +168,8 @@
         ("a region is cut off, seen from outside", _SIZE.vms // _SIZE.regions),
     ):
         left = _SIZE.vms - lost
-        news = lost * _NEWS_BYTES
-        taken = lost * _SIZE.flows_a_vm / left
+        news = lost * _MEMBER_UPDATE_BYTES
+        taken = lost * _SIZE.flows_per_vm / left
         ring_ms = min(lost * ring["change_ms"], ring["build_ms"])
         rows.append(
             {
@@ -175,19 +179,19 @@
                 "its processor for them": f"{taken * take_over_ms:,.0f} ms",
                 "its ring": f"{ring_ms:,.0f} ms",
                 "news a VM must be told": f"{news / 1e3:,.1f} KB",
-                "seconds of its 4 KB/s": f"{news / _BUDGET_BYTES:,.1f}",
+                "seconds of its 4 KB/s": f"{news / _CONTROL_BYTES_PER_S:,.1f}",
             }
         )
     return rows
 
 
-def _take_over_ms(result: dict) -> float:
+def _takeover_ms(result: dict) -> float:
     """Returns the cost of taking over one flow, in milliseconds.
 
     It is the cost of a new flow plus that of querying two VMs.
     """
     value = _values(result)
-    new_flow_ms = value["new flows"] / 100 / _SIZE.new_flows_a_vm * 1e3
+    new_flow_ms = value["new flows"] / 100 / _SIZE.new_flows_per_vm_s * 1e3
     question_ms = 2 * value["a forwarded datagram, both relays"] / 1e3
     return new_flow_ms + question_ms
 
@@ -196,7 +200,7 @@
     """Returns the text of the page."""
     value = _values(result)
     handover_kb = value["a planned stop"] / 1e3
-    restarts = _SIZE.restarts_a_day / _SIZE.vms
+    restarts = _SIZE.restarts_per_day / _SIZE.vms
     return f"""<!-- Made by `python -m bench page`; change its code instead. -->
 
 # Capacity of relay and agent
@@ -238,7 +242,7 @@
   second, or one for the endpoints of a VM together), the ring a zone, and a
   cheaper check of manifests would carry it.
 
-{table(_processor(result))}
+{table(_cpu_by_part(result))}
 
 ## Relay
 
@@ -301,7 +305,7 @@
 
 {table(_losses(result))}
 
-Taking over a flow costs {_take_over_ms(result):.2f} ms (a new flow's cost and a
+Taking over a flow costs {_takeover_ms(result):.2f} ms (a new flow's cost and a
 question to two VMs). A remaining VM notices a death after about 1.4 s
 (docs/MEMBERSHIP.md). With a rack or a zone nothing is lost of what was
 replicated, since a record lies in another availability zone than its holder.
--- a/bench/_capacity_relay.py
+++ b/bench/_capacity_relay.py
@@ -26,9 +26,9 @@
 _FLOW_SIZES = (10_000, 50_000, 100_000)
 _RECORD_SIZES = (10_000, 50_000, 100_000)
 _DATAGRAM_SIZES = (100, 600, 1200)
-_BATCHES = (1, 8, 32, 64)
-_OPEN_RATES = (20, 60, 120)
-_HANDED_FLOWS = (50, 100, 200)
+_BATCH_SIZES = (1, 8, 32, 64)
+_NEW_FLOW_RATES = (20, 60, 120)
+_HANDOVER_FLOWS = (50, 100, 200)
 _UPKEEP_TICKS = 200
 _UDP_BYTES = 28
 
@@ -40,14 +40,14 @@
         tracemalloc.start()
         core = _relay.core(packet_path._NullWire(), _relay.manifest(200), 100.0)
         before = tracemalloc.get_traced_memory()[0]
-        _fill(core, size)
+        _fill_table(core, size)
         held = tracemalloc.get_traced_memory()[0] - before
         tracemalloc.stop()
         points.append((size, held / 1e6))
     return Slope("flow table", "MB", "flows", tuple(points), at_size)
 
 
-def _fill(core, size: int) -> None:
+def _fill_table(core, size: int) -> None:
     targets = core.table.targets
     for number, caller in enumerate(packet_path._callers(size)):
         target = targets[number % len(targets)]
@@ -59,7 +59,7 @@
     points = []
     for size in _FLOW_SIZES:
         core = _relay.core(packet_path._NullWire(), _relay.manifest(200), 100.0)
-        _fill(core, size)
+        _fill_table(core, size)
         now = 100.0
         start = time.process_time()
         for _ in range(_UPKEEP_TICKS):
@@ -124,7 +124,7 @@
     """Returns the bytes of a batch of records and its acknowledgement."""
     sealer = Sealer("vm-1", _relay.KEY)
     points = []
-    for count in _BATCHES:
+    for count in _BATCH_SIZES:
         record = FlowRecord(1, "10.0.0.1", 4000, 7)
         body = b"\0\0\0\1" + pack_records([record] * count)
         sent = len(sealer.seal(Kind.RECORDS, body)) + _UDP_BYTES
@@ -137,7 +137,7 @@
     """Returns the bytes of a batch of connection ids."""
     sealer = Sealer("vm-1", _relay.KEY)
     points = []
-    for count in _BATCHES:
+    for count in _BATCH_SIZES:
         body = pack_connection_ids([ConnectionId(1, 2, 3)] * count)
         sealed = sealer.seal(Kind.CONNECTION_IDS, body)
         points.append((count, len(sealed) + _UDP_BYTES))
@@ -149,7 +149,7 @@
 def replication_bytes(at_size: float) -> Slope:
     """Returns replication bytes per second, by new flows per second per VM."""
     points = []
-    for rate in _OPEN_RATES:
+    for rate in _NEW_FLOW_RATES:
         row = replication.run_one(1.0, rate)
         points.append((rate / replication.VMS, row["bytes_per_s_a_vm"]))
     return Slope(
@@ -160,7 +160,7 @@
 def handover_bytes(at_size: float) -> Slope:
     """Returns the bytes sent by a planned stop, by flows handed over."""
     points = []
-    for flows in _HANDED_FLOWS:
+    for flows in _HANDOVER_FLOWS:
         net = Net(vms=9, seed=5)
         tags = [f"h{number}" for number in range(flows * 9)]
         for tag in tags:
--- a/bench/_control_fleet.py
+++ b/bench/_control_fleet.py
@@ -140,7 +140,7 @@
         self.agents = [self._agent(n, root, key_file) for n in range(size)]
 
     def __enter__(self) -> "Fleet":
-        self._start_others()
+        self._start_stubs()
         self.publish(1)
         self.list_vms()
         for agent in self.agents:
@@ -165,7 +165,7 @@
     def publish(self, version: int, padding: int = 0) -> None:
         """Publishes a manifest followed by `padding` bytes of whitespace."""
         upstream = self._addresses.upstream(1)
-        self.admin("/publish", _manifest(upstream, version, padding))
+        self.platform_admin("/publish", _manifest(upstream, version, padding))
 
     def list_vms(self) -> None:
         """Makes the platform stand-in list every VM."""
@@ -182,9 +182,9 @@
             for agent in self.agents
         ]
         body = json.dumps({"vms": vms, "at_once": True}).encode()
-        self.admin("/vms", body)
+        self.platform_admin("/vms", body)
 
-    def admin(self, path: str, body: bytes | None = None) -> dict:
+    def platform_admin(self, path: str, body: bytes | None = None) -> dict:
         """Sends a request to the admin port of the platform stand-in."""
         url = f"http://{self._addresses.platform}:{ADMIN_PORT}{path}"
         method = "GET" if body is None else "POST"
@@ -192,7 +192,7 @@
         with urllib.request.urlopen(request, timeout=5) as answer:
             return json.load(answer)
 
-    def wait(self, met, timeout_s: float = 20.0) -> bool:
+    def wait_until(self, met, timeout_s: float = 20.0) -> bool:
         """Polls `met()` until it is true; returns False on timeout."""
         until = time.monotonic() + timeout_s
         while time.monotonic() < until:
@@ -201,7 +201,7 @@
             time.sleep(0.02)
         return False
 
-    def seen(self, **fields: object) -> dict[str, float]:
+    def first_event_times(self, **fields: object) -> dict[str, float]:
         """Returns the time of the first matching event, by VM."""
         times: dict[str, float] = {}
         for event in list(self.events):
@@ -229,7 +229,7 @@
         )
         return AgentProcess(name, zone, address, path)
 
-    def _start_others(self) -> None:
+    def _start_stubs(self) -> None:
         platform = self._run(
             "standins.platform",
             *(
@@ -254,11 +254,11 @@
         )
         self._others = [platform, stub]
         threading.Thread(
-            target=self._collect, args=(stub,), daemon=True
+            target=self._collect_events, args=(stub,), daemon=True
         ).start()
         platform.stdout.readline()
 
-    def _collect(self, stub: subprocess.Popen) -> None:
+    def _collect_events(self, stub: subprocess.Popen) -> None:
         for line in stub.stdout:
             self.events.append(json.loads(line))
 
--- a/bench/_control_stubs.py
+++ b/bench/_control_stubs.py
@@ -22,8 +22,8 @@
     RelayReport,
 )
 
-REPORT_S = 0.5
-AGES_S = 5.0
+REPORT_INTERVAL_S = 0.5
+LOAD_AGES_INTERVAL_S = 5.0
 """Seconds between printed lines with the age of the load data in views."""
 
 KEY = bytes(range(32))
@@ -41,25 +41,25 @@
         self._endpoints = endpoints
         self._ages: list[float] = []
 
-    async def tell_ages(self) -> None:
+    async def print_load_ages(self) -> None:
         """Periodically prints the age of load data in views until cancelled."""
         while True:
-            await anyio.sleep(AGES_S)
+            await anyio.sleep(LOAD_AGES_INTERVAL_S)
             ages, self._ages = self._ages, []
             self._print(ages=[round(age, 2) for age in ages])
 
-    async def report(self) -> None:
+    async def send_reports(self) -> None:
         """Sends periodic relay reports until cancelled."""
         while True:
-            await self._link.send(self._report())
-            await anyio.sleep(REPORT_S)
+            await self._link.send(self._build_report())
+            await anyio.sleep(REPORT_INTERVAL_S)
 
-    async def take(self) -> None:
+    async def receive_messages(self) -> None:
         """Receives views and drain orders until cancelled."""
         while True:
             message = await self._link.receive()
             if isinstance(message, FleetView):
-                self._see(message)
+                self._apply_view(message)
                 now = anyio.current_time()
                 self._ages += [
                     now - report.finished / 1000 for report in message.reports
@@ -67,7 +67,7 @@
             elif isinstance(message, DrainOrder):
                 self._draining = True
 
-    def _see(self, view: FleetView) -> None:
+    def _apply_view(self, view: FleetView) -> None:
         before = self._view.digest if self._view else ""
         has = view.manifest is not None
         if view.digest != before and (has or not view.digest):
@@ -85,7 +85,7 @@
         line = json.dumps({"vm": self._name, "at": at, **fields})
         print(line, flush=True)
 
-    def _report(self) -> RelayReport:
+    def _build_report(self) -> RelayReport:
         view = self._view
         values = tuple(
             CounterValue(name, reason, value + 12345)
@@ -144,9 +144,9 @@
             stub = RelayStub(
                 name, address, options.link_port, len(options.load_ports)
             )
-            tasks.start_soon(stub.report)
-            tasks.start_soon(stub.take)
-            tasks.start_soon(stub.tell_ages)
+            tasks.start_soon(stub.send_reports)
+            tasks.start_soon(stub.receive_messages)
+            tasks.start_soon(stub.print_load_ages)
 
 
 def main() -> None:
--- a/bench/_fleet_run.py
+++ b/bench/_fleet_run.py
@@ -60,7 +60,7 @@
     return attrs.asdict(promised)
 
 
-def silence_after(outcome: Outcome, at: float) -> float:
+def max_alert_delay_after(outcome: Outcome, at: float) -> float:
     """Returns the greatest alert delay of any session after `at`, in s."""
     stalls = [
         stall.lateness_s
--- a/bench/_load_measures.py
+++ b/bench/_load_measures.py
@@ -4,11 +4,11 @@
 
 from bench._load_model import Fleet, Job, Result
 
-BIN_S = 1.0
+WINDOW_STEP_S = 1.0
 WINDOW_S = 5.0
 """Length of the sliding windows for imbalance, in seconds.
 
-A window starts every BIN_S seconds.
+A window starts every WINDOW_STEP_S seconds.
 """
 
 EVEN = 1.15
@@ -81,15 +81,16 @@
     return round(done / (end - begin) / per_s, 3)
 
 
-def _ratio(values: list[float]) -> float:
+def _max_over_mean(values: list[float]) -> float:
     mean = sum(values) / len(values) if values else 0.0
     return max(values) / mean if mean else 1.0
 
 
-def _windows(begin: float, end: float) -> list[tuple[float, float]]:
+def _sliding_windows(begin: float, end: float) -> list[tuple[float, float]]:
     count = max(int(end - begin - WINDOW_S) + 1, 1)
     return [
-        (begin + n * BIN_S, begin + n * BIN_S + WINDOW_S) for n in range(count)
+        (begin + n * WINDOW_STEP_S, begin + n * WINDOW_STEP_S + WINDOW_S)
+        for n in range(count)
     ]
 
 
@@ -121,16 +122,17 @@
 ) -> dict:
     """Returns the maximum over the mean, for the whole time and its windows."""
     ratios = sorted(
-        _ratio(values(fleet, names, window)) for window in _windows(begin, end)
+        _max_over_mean(values(fleet, names, window))
+        for window in _sliding_windows(begin, end)
     )
     return {
-        "whole": round(_ratio(values(fleet, names, (begin, end))), 3),
+        "whole": round(_max_over_mean(values(fleet, names, (begin, end))), 3),
         "window_median": round(quantile(ratios, 0.5), 3),
         "window_most": round(ratios[-1], 3),
     }
 
 
-def time_to_even(
+def time_to_balance(
     fleet: Fleet, names: list[str], begin: float, end: float, values=placed_in
 ) -> float | None:
     """Returns seconds until all later windows are balanced, or None if never.
@@ -139,10 +141,10 @@
     seconds after the change were already balanced.
     """
     late = None
-    for window in _windows(begin, end):
-        if _ratio(values(fleet, names, window)) > EVEN:
+    for window in _sliding_windows(begin, end):
+        if _max_over_mean(values(fleet, names, window)) > EVEN:
             late = window[0]
     if late is None:
         return 0.0
-    last = _windows(begin, end)[-1][0]
-    return None if late >= last else round(late + BIN_S - begin, 1)
+    last = _sliding_windows(begin, end)[-1][0]
+    return None if late >= last else round(late + WINDOW_STEP_S - begin, 1)
--- a/bench/_load_model.py
+++ b/bench/_load_model.py
@@ -17,25 +17,25 @@
 from pollenmast.fleet import EndpointReport
 from pollenmast.manifest import Manifest
 
-WAY_S = 0.001
+ONE_WAY_DELAY_S = 0.001
 """One-way network delay of each hop between caller, VM and upstream."""
 
-RELEASE_S = 0.01
+RELEASE_INTERVAL_S = 0.01
 """Interval at which a relay polls for flows released from the hold queue."""
 
-PROBE_S = 0.5
+PROBE_INTERVAL_S = 0.5
 """Probe interval of each endpoint."""
 
-LAG_S = (0.05, 0.55)
+REPORT_DELAY_RANGE_S = (0.05, 0.55)
 """Range of the delay of a report to a VM: probe, gossip and link."""
 
-RETRY_S = 0.3
+ANSWER_TIMEOUT_S = 0.3
 """Time without an answer after which a relay retries a new flow."""
 
-SHED_QUEUE = 64
+MAX_QUEUE_LENGTH = 64
 """Length of an upstream's own queue; it sheds requests beyond that."""
 
-QUIET_S = 30.0
+SESSION_IDLE_TIMEOUT_S = 30.0
 """Idle time after which a relay considers a session ended."""
 
 DEADLINE_S = 1.0
@@ -85,7 +85,7 @@
     sent_at: float = 0.0
 
 
-class Loop:
+class EventLoop:
     """Event loop with a simulated clock."""
 
     def __init__(self):
@@ -126,7 +126,7 @@
 
     COLD_FACTOR = 4.0
 
-    def __init__(self, name: str, slots: int, loop: Loop):
+    def __init__(self, name: str, slots: int, loop: EventLoop):
         self.name = name
         self.slots = slots
         self.slowness = 1.0
@@ -151,7 +151,7 @@
         self.placed.append(self._loop.now)
         if self._running < self.slots:
             self._start(job, done)
-        elif len(self._queue) < SHED_QUEUE:
+        elif len(self._queue) < MAX_QUEUE_LENGTH:
             self._queue.append((job, done))
         else:
             done(job, Result.SHED)
@@ -228,7 +228,7 @@
         seed: int,
         sessions: bool = False,
     ):
-        self.loop = Loop()
+        self.loop = EventLoop()
         self.rng = random.Random(seed)
         self.manifest = manifest
         self.service = manifest.services[0]
@@ -248,7 +248,7 @@
         for number, dispatcher in enumerate(dispatchers):
             dispatcher.set_fleet(len(dispatchers))
             dispatcher.set_manifest(manifest, 0.0)
-            phase = self.rng.random() * RELEASE_S
+            phase = self.rng.random() * RELEASE_INTERVAL_S
             self.loop.at(phase, self._release, number)
         self.loop.at(0.0, self._sample)
 
@@ -256,7 +256,7 @@
         """Adds an upstream and starts probing it."""
         upstream = Upstream(name, slots, self.loop)
         self.upstreams[name] = upstream
-        phase = self.rng.random() * PROBE_S
+        phase = self.rng.random() * PROBE_INTERVAL_S
         self.loop.after(phase, self._probe, upstream)
         return upstream
 
@@ -269,7 +269,10 @@
         """
         for dispatcher in self.dispatchers:
             self.loop.after(
-                self.rng.random() * within, self._manifest, dispatcher, manifest
+                self.rng.random() * within,
+                self._apply_manifest,
+                dispatcher,
+                manifest,
             )
 
     def ask(self, caller: str, group: str, length_s: float, tries: int = 0):
@@ -288,9 +291,9 @@
         vm = self.rng.randrange(len(self.dispatchers))
         if self.rng.random() < self.favourite:
             vm = 0
-        self.loop.after(WAY_S, self._arrive, vm, job)
+        self.loop.after(ONE_WAY_DELAY_S, self._on_arrival, vm, job)
 
-    def _manifest(self, dispatcher, manifest: Manifest) -> None:
+    def _apply_manifest(self, dispatcher, manifest: Manifest) -> None:
         dispatcher.set_manifest(manifest, self.loop.now)
 
     def _request(self, job: Job) -> FlowRequest:
@@ -298,65 +301,73 @@
             job.ticket, self.service.number, job.caller, job.flow_hash
         )
 
-    def _arrive(self, vm: int, job: Job) -> None:
+    def _on_arrival(self, vm: int, job: Job) -> None:
         outcome = self.dispatchers[vm].on_new_flow(
             self._request(job), self.loop.now
         )
-        self._follow(vm, job, outcome)
+        self._apply_outcome(vm, job, outcome)
 
-    def _follow(self, vm: int, job: Job, outcome) -> None:
+    def _apply_outcome(self, vm: int, job: Job, outcome) -> None:
         if isinstance(outcome, Placed):
             self.off_default += outcome.off_default
-            self.loop.after(WAY_S, self._reach, vm, job, outcome.endpoint)
+            self.loop.after(
+                ONE_WAY_DELAY_S,
+                self._deliver_to_upstream,
+                vm,
+                job,
+                outcome.endpoint,
+            )
         elif isinstance(outcome, Held):
             self._held[vm][job.ticket] = job
         else:
             job.retry_after_ms = outcome.retry_after_ms
-            self.loop.after(WAY_S, self._told_refused, job)
+            self.loop.after(ONE_WAY_DELAY_S, self._on_refusal, job)
 
     def _release(self, vm: int) -> None:
-        self.loop.after(RELEASE_S, self._release, vm)
+        self.loop.after(RELEASE_INTERVAL_S, self._release, vm)
         for released in self.dispatchers[vm].release(self.loop.now):
             job = self._held[vm].pop(released.ticket)
-            self._follow(vm, job, released.outcome)
+            self._apply_outcome(vm, job, released.outcome)
 
-    def _reach(self, vm: int, job: Job, endpoint: str) -> None:
+    def _deliver_to_upstream(self, vm: int, job: Job, endpoint: str) -> None:
         upstream = self.upstreams[endpoint]
         take = upstream.connect if self._sessions else upstream.offer
         if take(job, self._finish):
-            self.loop.after(WAY_S, self._answered, vm, endpoint)
-            quiet = job.length_s + QUIET_S
-            self.loop.after(quiet, self._quiet, vm, endpoint)
+            self.loop.after(ONE_WAY_DELAY_S, self._on_answered, vm, endpoint)
+            quiet = job.length_s + SESSION_IDLE_TIMEOUT_S
+            self.loop.after(quiet, self._on_idle, vm, endpoint)
         else:
-            self.loop.after(RETRY_S, self._unanswered, vm, job, endpoint)
+            self.loop.after(
+                ANSWER_TIMEOUT_S, self._on_unanswered, vm, job, endpoint
+            )
 
-    def _answered(self, vm: int, endpoint: str) -> None:
+    def _on_answered(self, vm: int, endpoint: str) -> None:
         self.dispatchers[vm].on_answered(
             self.service.number, endpoint, self.loop.now
         )
 
-    def _quiet(self, vm: int, endpoint: str) -> None:
+    def _on_idle(self, vm: int, endpoint: str) -> None:
         self.dispatchers[vm].on_flow_ended(
             self.service.number, endpoint, self.loop.now
         )
 
-    def _unanswered(self, vm: int, job: Job, endpoint: str) -> None:
+    def _on_unanswered(self, vm: int, job: Job, endpoint: str) -> None:
         now = self.loop.now
         dispatcher = self.dispatchers[vm]
         dispatcher.on_unanswered(self.service.number, endpoint, now)
         job.tried += (endpoint,)
         self.retries += 1
-        self._follow(
+        self._apply_outcome(
             vm, job, dispatcher.retry(self._request(job), job.tried, now)
         )
 
     def _finish(self, job: Job, result: str) -> None:
-        late = self.loop.now + 2 * WAY_S - job.asked_at > DEADLINE_S
+        late = self.loop.now + 2 * ONE_WAY_DELAY_S - job.asked_at > DEADLINE_S
         if result == Result.ANSWERED and late and not self._sessions:
             result = Result.LATE
-        self._end(job, result, self.loop.now + 2 * WAY_S)
+        self._end(job, result, self.loop.now + 2 * ONE_WAY_DELAY_S)
 
-    def _told_refused(self, job: Job) -> None:
+    def _on_refusal(self, job: Job) -> None:
         self.refusal_delays.append(self.loop.now - job.sent_at)
         if job.tries > 0:
             job.tries -= 1
@@ -370,15 +381,15 @@
     def _probe(self, upstream: Upstream) -> None:
         if upstream.name not in self.upstreams:
             return
-        self.loop.after(PROBE_S, self._probe, upstream)
+        self.loop.after(PROBE_INTERVAL_S, self._probe, upstream)
         if not upstream.reports:
             return
         report = upstream.report(self.service.number)
         for dispatcher in self.dispatchers:
-            lag = self.rng.uniform(*LAG_S)
-            self.loop.after(lag, self._deliver, dispatcher, report)
+            lag = self.rng.uniform(*REPORT_DELAY_RANGE_S)
+            self.loop.after(lag, self._deliver_report, dispatcher, report)
 
-    def _deliver(self, dispatcher, report: EndpointReport) -> None:
+    def _deliver_report(self, dispatcher, report: EndpointReport) -> None:
         dispatcher.on_report(report, self.loop.now)
 
     def _sample(self) -> None:
--- a/bench/_load_patterns.py
+++ b/bench/_load_patterns.py
@@ -48,7 +48,7 @@
     change_at: float | None = None
     capacity: float = 0.0
 
-    def belongs(self, job: Job) -> bool:
+    def is_judged(self, job: Job) -> bool:
         """Returns whether the job's caller is evaluated."""
         return not self.judged or job.group == self.judged
 
@@ -108,26 +108,26 @@
     return setup
 
 
-def _returning_setup(fleet: Fleet) -> None:
+def _retrying_setup(fleet: Fleet) -> None:
     steady(fleet, 0.6 * CAPACITY, 0.0, 25.0, tries=8)
     steady(fleet, 4.0 * CAPACITY, 5.0, 6.0, "surge", tries=8)
 
 
-def _idle_lie(report):
+def _report_idle(report):
     return attrs.evolve(report, running=0, queued=0)
 
 
-def _lying_setup(fleet: Fleet) -> None:
+def _false_report_setup(fleet: Fleet) -> None:
     steady(fleet, 0.5 * CAPACITY, 0.0, 30.0)
     fleet.loop.at(5.0, _slow_down, fleet, 5.0)
-    fleet.loop.at(5.0, _lie, fleet, _idle_lie)
+    fleet.loop.at(5.0, _falsify_reports, fleet, _report_idle)
 
 
-def _lie(fleet: Fleet, lie) -> None:
+def _falsify_reports(fleet: Fleet, lie) -> None:
     fleet.upstreams["e0"].lie = lie
 
 
-def _freeze(fleet: Fleet, running: int, queued: int) -> None:
+def _freeze_reports(fleet: Fleet, running: int, queued: int) -> None:
     seen = fleet.upstreams["e0"].report(1)
 
     def frozen(report):
@@ -141,18 +141,18 @@
 def _frozen_setup(running: int, queued: int, load: float):
     def setup(fleet: Fleet) -> None:
         steady(fleet, load * CAPACITY, 0.0, 30.0)
-        fleet.loop.at(5.0, _freeze, fleet, running, queued)
+        fleet.loop.at(5.0, _freeze_reports, fleet, running, queued)
 
     return setup
 
 
 def _silent_setup(fleet: Fleet) -> None:
     steady(fleet, 0.6 * CAPACITY, 0.0, 30.0)
-    fleet.loop.at(5.0, _silence, fleet, True)
-    fleet.loop.at(15.0, _silence, fleet, False)
+    fleet.loop.at(5.0, _set_silent, fleet, True)
+    fleet.loop.at(15.0, _set_silent, fleet, False)
 
 
-def _silence(fleet: Fleet, silent: bool) -> None:
+def _set_silent(fleet: Fleet, silent: bool) -> None:
     fleet.upstreams["e0"].silent = silent
 
 
@@ -188,9 +188,9 @@
     return attrs.evolve(report, connections=0)
 
 
-def _session_lies_setup(fleet: Fleet) -> None:
+def _session_false_report_setup(fleet: Fleet) -> None:
     _sessions_setup(fleet)
-    fleet.loop.at(2.0, _lie, fleet, says_no_sessions)
+    fleet.loop.at(2.0, _falsify_reports, fleet, says_no_sessions)
 
 
 def _session_leaves_setup(fleet: Fleet) -> None:
@@ -209,8 +209,8 @@
     fleet.publish(manifest(2, ENDPOINTS + 1, kind=ServiceKind.SESSION))
 
 
-_REST = tuple(f"e{n}" for n in range(1, ENDPOINTS))
-_GROWN = tuple(f"e{n}" for n in range(ENDPOINTS + 1))
+_ALL_BUT_FIRST = tuple(f"e{n}" for n in range(1, ENDPOINTS))
+_WITH_NEW_ENDPOINT = tuple(f"e{n}" for n in range(ENDPOINTS + 1))
 
 PATTERNS: tuple[Pattern, ...] = (
     Pattern("steady", "70% load", 5.0, 40.0, _steady_setup),
@@ -287,7 +287,7 @@
         "60% load, 4 times for a second, 8 tries",
         5.0,
         25.0,
-        _returning_setup,
+        _retrying_setup,
         capacity=CAPACITY,
     ),
     Pattern(
@@ -295,7 +295,7 @@
         "50% load, one 5 times slower that says idle",
         5.0,
         30.0,
-        _lying_setup,
+        _false_report_setup,
     ),
     Pattern(
         "frozen idle",
@@ -324,7 +324,7 @@
         10.0,
         40.0,
         _leaves_setup,
-        names=_REST,
+        names=_ALL_BUT_FIRST,
         change_at=10.0,
     ),
     Pattern(
@@ -333,7 +333,7 @@
         10.0,
         40.0,
         _cold_setup,
-        names=_GROWN,
+        names=_WITH_NEW_ENDPOINT,
         change_at=10.0,
     ),
     Pattern(
@@ -349,7 +349,7 @@
         "2,000 open, one endpoint always reports none",
         15.0,
         120.0,
-        _session_lies_setup,
+        _session_false_report_setup,
         sessions=True,
     ),
     Pattern(
@@ -359,7 +359,7 @@
         120.0,
         _session_leaves_setup,
         sessions=True,
-        names=_REST,
+        names=_ALL_BUT_FIRST,
         change_at=60.0,
     ),
     Pattern(
@@ -369,7 +369,7 @@
         120.0,
         _session_cold_setup,
         sessions=True,
-        names=_GROWN,
+        names=_WITH_NEW_ENDPOINT,
         change_at=60.0,
     ),
 )
--- a/bench/_load_switches.py
+++ b/bench/_load_switches.py
@@ -44,7 +44,7 @@
         return 0
 
 
-def _default_or_any(placement, default, candidates, now):
+def _default_or_random(placement, default, candidates, now):
     """Chooses the default endpoint, or a random one if that has no room."""
     for candidate in candidates:
         if candidate.record.name == default:
@@ -67,7 +67,7 @@
     changes: tuple[tuple[object, str, object], ...]
 
     @contextlib.contextmanager
-    def off(self) -> Iterator[None]:
+    def disabled(self) -> Iterator[None]:
         """Returns a context manager that switches the mechanism off."""
         with contextlib.ExitStack() as stack:
             for module, attribute, value in self.changes:
@@ -80,8 +80,8 @@
         "load choice",
         ("steady", "long among short", "slow upstream", "sessions"),
         (
-            (_placement.RequestPlacement, "choose", _default_or_any),
-            (_placement.SessionPlacement, "choose", _default_or_any),
+            (_placement.RequestPlacement, "choose", _default_or_random),
+            (_placement.SessionPlacement, "choose", _default_or_random),
         ),
     ),
     Switch(
--- a/bench/_measurements_page.py
+++ b/bench/_measurements_page.py
@@ -109,7 +109,7 @@
 
 def _control_tables(result: dict) -> str:
     costs, kinds = [], []
-    for size, row in _aims.rows(result):
+    for size, row in _aims.cost_by_fleet_size(result):
         flat = dict(row)
         kinds.append({"vms": size, **flat.pop("bytes_per_s_by_kind")})
         ages = flat.pop("load_age_s")
@@ -124,19 +124,21 @@
             _titled("An agent, by the size of the fleet", costs),
             _titled("Bytes a second an agent sends, by kind", kinds),
             _titled("Slopes over these sizes, for each further VM", slopes),
-            _titled("Changes at 9 VMs, in seconds", _key_values(_flat(result))),
+            _titled(
+                "Changes at 9 VMs, in seconds", _key_values(_flattened(result))
+            ),
         )
     )
 
 
 def _overload_tables(result: dict) -> str:
-    rows = _aims.no_worse_off(result)
+    rows = _aims.variants_no_worse(result)
     title = "Where a mechanism off, or the baseline, was no worse"
     first = _titled(title, rows) if rows else f"{title}: nowhere."
     return f"{first}\n\n{overload.markdown(result)}"
 
 
-def _flat(result: dict) -> dict:
+def _flattened(result: dict) -> dict:
     changes = dict(result["nine"])
     changes["killed_s"] = [
         "never" if kill is None else f"{kill['first']} to {kill['last']}"
@@ -250,7 +252,7 @@
     return "## Runs\n\n" + (table(rows) if rows else "No notes.")
 
 
-def _missed(results: dict[str, dict]) -> str:
+def _missed_aims(results: dict[str, dict]) -> str:
     rows = [
         {"measurement": section.name, **row}
         for section in SECTIONS
@@ -287,7 +289,7 @@
 
 def page(results: dict[str, dict], folder: pathlib.Path) -> str:
     """Returns the text of the page and writes its plots into a folder."""
-    parts = [_HEAD.strip(), _runs(results), _missed(results)]
+    parts = [_HEAD.strip(), _runs(results), _missed_aims(results)]
     for section in SECTIONS:
         result = results.get(section.name)
         plots = _plots.write(section.name, result, folder) if result else []
--- a/bench/_plots.py
+++ b/bench/_plots.py
@@ -14,7 +14,7 @@
 
 from bench import _aims, _load_measures
 
-_WIDE_IN = (8.0, 3.0)
+_FIGURE_SIZE_IN = (8.0, 3.0)
 _DPI = 80
 """Resolution; keeps every plot below 60 kB so the repository stays small."""
 
@@ -50,7 +50,7 @@
 
 def _axes(count: int) -> tuple[Figure, list[Axes]]:
     figure, axes = pyplot.subplots(
-        1, count, figsize=_WIDE_IN, layout="constrained", squeeze=False
+        1, count, figsize=_FIGURE_SIZE_IN, layout="constrained", squeeze=False
     )
     for each in axes[0]:
         each.spines[["top", "right"]].set_visible(False)
@@ -58,7 +58,7 @@
     return figure, list(axes[0])
 
 
-def _from_zero(axes: Axes) -> None:
+def _start_at_zero(axes: Axes) -> None:
     """Starts the value axis at zero, with headroom above the maximum."""
     axes.set_ylim(0, axes.dataLim.y1 * _HEADROOM)
 
@@ -89,7 +89,7 @@
     flows = [row["flows"] / 1000 for row in rows]
     size.plot(flows, [row["bytes_a_flow"] for row in rows], "o-")
     size.set(xlabel="thousand flows", ylabel="bytes a flow")
-    _from_zero(size)
+    _start_at_zero(size)
     for key, name in (
         ("busy_1000_us", "1,000 flows busy"),
         ("all_busy_us", "all flows busy"),
@@ -99,7 +99,7 @@
         xlabel="thousand flows",
         ylabel="us a packet, no system calls",
     )
-    _from_zero(cost)
+    _start_at_zero(cost)
     cost.legend(frameon=False)
     return figure
 
@@ -132,7 +132,7 @@
         ends = [min(sizes), max(sizes)]
         axes.plot(ends, [line.intercept + line.slope * x for x in ends], "--")
         axes.set(xlabel="VMs", ylabel=line.unit, title=line.name)
-        _from_zero(axes)
+        _start_at_zero(axes)
     return figure
 
 
@@ -151,7 +151,7 @@
     axes.set(xlabel=label)
 
 
-def _overload_five(result: dict) -> Figure:
+def _fivefold_overload(result: dict) -> Figure:
     figure, (good, latency) = _axes(2)
     rows = result["overload 5"]
     _bars(good, rows, "goodput", "goodput, part of capacity")
@@ -223,7 +223,7 @@
             "overload.png",
             "Five times the capacity: the baseline, everything on, and one "
             "mechanism off at a time.",
-            _overload_five,
+            _fivefold_overload,
         ),
         Plot(
             "imbalance.png",
--- a/bench/_slopes.py
+++ b/bench/_slopes.py
@@ -10,7 +10,7 @@
     Attributes:
         name: Name of the measured quantity.
         unit: Unit of the measured value.
-        of: What the size counts, such as "VMs".
+        size_unit: What the size counts, such as "VMs".
         points: Measured pairs of size and value.
         at_size: The target size.
         command: The command that runs the measurement.
@@ -18,7 +18,7 @@
 
     name: str
     unit: str
-    of: str
+    size_unit: str
     points: tuple[tuple[float, float], ...]
     at_size: float
     command: str = "python -m bench run capacity"
@@ -49,9 +49,9 @@
         If the points are not linear, the line predicts little beyond them.
         """
         most = max(abs(y) for _, y in self.points) or 1.0
-        return max(abs(self._at(x) - y) for x, y in self.points) / most
+        return max(abs(self._predict(x) - y) for x, y in self.points) / most
 
-    def _at(self, x: float) -> float:
+    def _predict(self, x: float) -> float:
         return self.intercept + self.slope * x
 
     def _means(self) -> tuple[float, float]:
@@ -67,7 +67,7 @@
         return {
             "what": self.name,
             "unit": self.unit,
-            "points": f"{self.of} {points}",
+            "points": f"{self.size_unit} {points}",
             "intercept": f"{self.intercept:.4g}",
             "slope": f"{self.slope:.4g}",
             "misfit": f"{self.misfit:.0%}",
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -14,12 +14,12 @@
 
 _SIZE = FleetSize()
 _CALLER_DATAGRAM_BYTES = 1200
-_RING_CHANGES_PER_S = 2 * _SIZE.restarts_a_day / 86_400
+_RING_CHANGES_PER_S = 2 * _SIZE.restarts_per_day / 86_400
 
 
 def slopes() -> dict[str, list[dict]]:
     """Returns the linear fits of each role as table rows."""
-    flows, rate = _SIZE.flows_a_vm, _SIZE.new_flows_a_vm
+    flows, rate = _SIZE.flows_per_vm, _SIZE.new_flows_per_vm_s
     return {
         "relay": [
             relay.flow_memory(flows).row(),
@@ -40,8 +40,8 @@
             control.report_cost(_SIZE.endpoints).row(),
             control.member_memory(_SIZE.vms).row(),
             control.heartbeat_cost(_SIZE.vms).row(),
-            control.report_news_bytes(8).row(),
-            control.sharing_cost(_SIZE.vms * _SIZE.endpoints).row(),
+            control.endpoint_report_bytes(8).row(),
+            control.probe_assignment_cost(_SIZE.vms * _SIZE.endpoints).row(),
         ],
     }
 
--- a/bench/control.py
+++ b/bench/control.py
@@ -19,12 +19,12 @@
 def run() -> dict:
     """Returns the figures for fleets of several sizes."""
     return {
-        "cost": {str(size): _cost(size) for size in SIZES},
-        "nine": _changes(9),
+        "cost": {str(size): _steady_cost(size) for size in SIZES},
+        "nine": _change_figures(9),
     }
 
 
-def _joined(fleet: fleets.Fleet) -> bool:
+def _wait_until_joined(fleet: fleets.Fleet) -> bool:
     size = len(fleet.agents)
     started = [agent for agent in fleet.agents if agent.process]
 
@@ -38,21 +38,21 @@
             for status in statuses
         )
 
-    return fleet.wait(met)
+    return fleet.wait_until(met)
 
 
-def _cost(size: int) -> dict:
+def _steady_cost(size: int) -> dict:
     with fleets.Fleet(size) as fleet:
-        joined = _joined(fleet)
+        joined = _wait_until_joined(fleet)
         time.sleep(3.0)
-        calls = fleet.admin("/calls")["calls"]
+        calls = fleet.platform_admin("/calls")["calls"]
         before = [agent.usage() for agent in fleet.agents]
         began = time.monotonic()
         time.sleep(WINDOW_S)
         after = [agent.usage() for agent in fleet.agents]
         spent = time.monotonic() - began
-        calls = fleet.admin("/calls")["calls"] - calls
-        reference = _reference_ms()
+        calls = fleet.platform_admin("/calls")["calls"] - calls
+        reference = _reference_loop_ms()
         cpu = [
             (b.cpu_s - a.cpu_s) / spent * 100
             for a, b in zip(before, after, strict=True)
@@ -78,11 +78,11 @@
                 for kind in sent[0]
             },
             "platform_calls_per_s": round(calls / spent, 2),
-            "load_age_s": _ages(fleet, began),
+            "load_age_s": _load_ages(fleet, began),
         }
 
 
-def _ages(fleet: fleets.Fleet, since: float) -> dict:
+def _load_ages(fleet: fleets.Fleet, since: float) -> dict:
     """Returns the age of endpoint load data in the relays' views, in s."""
     events = [event for event in list(fleet.events) if event["at"] > since]
     ages = sorted(age for event in events for age in event.get("ages", ()))
@@ -95,7 +95,7 @@
     }
 
 
-def _reference_ms() -> float:
+def _reference_loop_ms() -> float:
     """Returns the CPU time of a fixed loop, for comparing machines.
 
     The same work takes more CPU time on a machine that others use too.
@@ -107,40 +107,46 @@
     return round((time.process_time() - began) * 1000, 1)
 
 
-def _changes(size: int) -> dict:
+def _change_figures(size: int) -> dict:
     with fleets.Fleet(size) as fleet:
-        figures = {"joined": _joined(fleet)}
+        figures = {"joined": _wait_until_joined(fleet)}
         time.sleep(2.0)
         version = 2
         times = []
         for _ in range(PUBLICATIONS):
-            times.append(_publish(fleet, version, 0))
+            times.append(_publish_time(fleet, version, 0))
             version += 1
             time.sleep(0.7)
         figures["manifest_s"] = times
-        figures["manifest_large_s"] = _publish(fleet, version, LARGE_BYTES)
-        figures["restart_platform_down_s"] = _restart(fleet, version)
-        figures["single_peer_s"] = _single_peer(fleet, version)
-        figures["killed_s"] = [_kill(fleet, n) for n in range(KILLS)]
+        figures["manifest_large_s"] = _publish_time(fleet, version, LARGE_BYTES)
+        figures["restart_platform_down_s"] = _restart_time(fleet, version)
+        figures["single_peer_s"] = _single_peer_time(fleet, version)
+        figures["killed_s"] = [_detection_times(fleet, n) for n in range(KILLS)]
         return figures
 
 
-def _publish(fleet: fleets.Fleet, version: int, padding: int) -> float | None:
+def _publish_time(
+    fleet: fleets.Fleet, version: int, padding: int
+) -> float | None:
     """Returns seconds until the last relay has the manifest, or None."""
     began = time.monotonic()
     fleet.publish(version, padding)
     size = len(fleet.agents)
-    if not fleet.wait(lambda: len(fleet.seen(version=version)) == size):
+    if not fleet.wait_until(
+        lambda: len(fleet.first_event_times(version=version)) == size
+    ):
         return None
-    return round(max(fleet.seen(version=version).values()) - began, 3)
+    return round(
+        max(fleet.first_event_times(version=version).values()) - began, 3
+    )
 
 
-def _restart(fleet: fleets.Fleet, version: int) -> float | None:
+def _restart_time(fleet: fleets.Fleet, version: int) -> float | None:
     """Returns seconds until a restarted VM has the fleet's manifest.
 
     The platform is down meanwhile, so the manifest comes from other VMs.
     """
-    fleet.admin("/fault", b'{"mode": "down"}')
+    fleet.platform_admin("/fault", b'{"mode": "down"}')
     agent = fleet.agents[-1]
     agent.send_signal(fleets.KILL)
     agent.process.wait()
@@ -154,10 +160,10 @@
         except OSError:
             return False
 
-    return round(time.monotonic() - began, 3) if fleet.wait(met) else None
+    return round(time.monotonic() - began, 3) if fleet.wait_until(met) else None
 
 
-def _single_peer(fleet: fleets.Fleet, version: int) -> dict:
+def _single_peer_time(fleet: fleets.Fleet, version: int) -> dict:
     """Restarts all VMs but one while the platform is down.
 
     Returns:
@@ -181,13 +187,16 @@
         except OSError:
             return False
 
-    met_in_time = fleet.wait(met)
+    met_in_time = fleet.wait_until(met)
     spent = round(time.monotonic() - began, 3)
-    fleet.admin("/fault", b'{"mode": "ok"}')
-    return {"s": spent if met_in_time else None, "joined": _joined(fleet)}
+    fleet.platform_admin("/fault", b'{"mode": "ok"}')
+    return {
+        "s": spent if met_in_time else None,
+        "joined": _wait_until_joined(fleet),
+    }
 
 
-def _kill(fleet: fleets.Fleet, n: int) -> dict | None:
+def _detection_times(fleet: fleets.Fleet, n: int) -> dict | None:
     """Returns how long other VMs consider a killed VM alive, in seconds."""
     time.sleep(2.0)
     agent = fleet.agents[n + 1]
@@ -197,15 +206,15 @@
     others = len(fleet.agents) - 1
 
     def told() -> dict[str, float]:
-        times = fleet.seen(gone=agent.name)
+        times = fleet.first_event_times(gone=agent.name)
         times.pop(agent.name, None)
         return times
 
-    met = fleet.wait(lambda: len(told()) >= others)
+    met = fleet.wait_until(lambda: len(told()) >= others)
     agent.process.wait()
     times = [at - began for at in told().values()]
     fleet.start(agent)
-    _joined(fleet)
+    _wait_until_joined(fleet)
     if not met:
         return None
     return {"first": round(min(times), 2), "last": round(max(times), 2)}
--- a/bench/entry_start.py
+++ b/bench/entry_start.py
@@ -24,18 +24,18 @@
 NAME = "entry_start"
 DESCRIPTION = "Processor time of a VM's start, until its first packet."
 
-BEFORE = "POLLENMAST_BEFORE"
+BASELINE_ENV = "POLLENMAST_BEFORE"
 """Environment variable with the `src` folder of the version to compare to."""
 
 _NET = f"127.{100 + os.getpid() % 100}"
-_STORE = (f"{_NET}.2.1", 8169)
+_STORE_ADDRESS = (f"{_NET}.2.1", 8169)
 _VM, _PACKETS, _READY = f"{_NET}.3.1", 8172, 8167
 _ENDPOINTS = 10
 _ROUTES = 115
 _STARTS = 20
-_PACE_S = 0.002
-_WITHIN_S = 20.0
-_NANO = 1e-6
+_POLL_INTERVAL_S = 0.002
+_START_TIMEOUT_S = 20.0
+_MS_PER_NS = 1e-6
 _SETTINGS = f"""\
 nodeId=vm-1
 zone=a
@@ -44,7 +44,7 @@
 listenAddrs.control={_VM}:8166
 internalPorts=7720,7735
 seedNodes={_VM}:8166
-platform.address={_STORE[0]}:{_STORE[1]}
+platform.address={_STORE_ADDRESS[0]}:{_STORE_ADDRESS[1]}
 """
 
 
@@ -68,8 +68,8 @@
 def run() -> dict:
     """Starts the program repeatedly, alternating with the other version."""
     sources = {"this": str(pathlib.Path("src").resolve())}
-    if os.environ.get(BEFORE):
-        sources["before"] = os.environ[BEFORE]
+    if os.environ.get(BASELINE_ENV):
+        sources["before"] = os.environ[BASELINE_ENV]
     starts = anyio.run(_measure, sources)
     return {"starts": [_row(name, each) for name, each in starts.items()]}
 
@@ -97,7 +97,7 @@
         settings = pathlib.Path(folder) / "vm.conf"
         settings.write_text(_SETTINGS)
         async with anyio.create_task_group() as tasks:
-            await tasks.start(http.serve, store, *_STORE)
+            await tasks.start(http.serve, store, *_STORE_ADDRESS)
             for number in range(_STARTS + 1):
                 for name, source in sources.items():
                     start = await _start(source, str(settings), sock)
@@ -156,11 +156,11 @@
     )
     began = anyio.current_time()
     try:
-        with anyio.fail_after(_WITHIN_S):
-            await _until_carried(sock)
+        with anyio.fail_after(_START_TIMEOUT_S):
+            await _wait_for_first_packet(sock)
             packet_ms = _cpu_ms(process.pid)
             wall_ms = (anyio.current_time() - began) * 1000.0
-            await _until_ready()
+            await _wait_until_ready()
             ready_ms = _cpu_ms(process.pid)
         return _Start(packet_ms, ready_ms, wall_ms, _peak_kb(process.pid))
     finally:
@@ -168,24 +168,24 @@
         process.wait()
 
 
-async def _until_carried(sock) -> None:
+async def _wait_for_first_packet(sock) -> None:
     """Sends a SYN of a new flow repeatedly until one reaches the endpoint."""
-    _drain(sock)
+    _drain_socket(sock)
     client = segments.bind(f"{_NET}.1.7", 0)
     port = 1024
     try:
-        while not _drain(sock):
+        while not _drain_socket(sock):
             port += 1
             head = segments.Head(
                 0, port, "100.64.0.7", 443, "198.18.0.1", 7, 0, segments.SYN
             )
             client.sendto(head.encode(), (_VM, _PACKETS))
-            await anyio.sleep(_PACE_S)
+            await anyio.sleep(_POLL_INTERVAL_S)
     finally:
         client.close()
 
 
-def _drain(sock) -> int:
+def _drain_socket(sock) -> int:
     """Reads all pending datagrams and returns their number."""
     count = 0
     while True:
@@ -196,19 +196,19 @@
         count += 1
 
 
-async def _until_ready() -> None:
+async def _wait_until_ready() -> None:
     while True:
         connection = http1.Connection(_VM, _READY)
         answer = await connection.get("/readiness", 1.0)
         await connection.aclose()
         if answer.is_ok() and answer.ok_value.status == 200:
             return
-        await anyio.sleep(_PACE_S)
+        await anyio.sleep(_POLL_INTERVAL_S)
 
 
 def _cpu_ms(pid: int) -> float:
     text = pathlib.Path(f"/proc/{pid}/schedstat").read_text()
-    return int(text.split()[0]) * _NANO
+    return int(text.split()[0]) * _MS_PER_NS
 
 
 def _peak_kb(pid: int) -> int:
--- a/bench/loss.py
+++ b/bench/loss.py
@@ -18,11 +18,11 @@
 _SUBMISSIONS_PER_S = 0.1
 _FEED_S = 1.0
 _KEEPALIVE_S = 2.0
-_WATCHED_S = 25.0
-_NEVER = {"relay": {"replicate_after_s": "3600"}}
+_OBSERVATION_S = 25.0
+_REPLICATION_OFF = {"relay": {"replicate_after_s": "3600"}}
 
 
-async def _script(world: World) -> dict:
+async def _kill_one(world: World) -> dict:
     await _fleet_run.open_sessions(
         world,
         _PROGRAMS,
@@ -35,12 +35,12 @@
     held = status["relay"]["flows"]
     killed_at = _fleet_run.now()
     await world.kill(2)
-    await anyio.sleep(_WATCHED_S)
+    await anyio.sleep(_OBSERVATION_S)
     outcome = await world.end_callers()
     after = attrs.asdict(outcome.ledger.after_loss)
     return {
         "held_by_killed": held,
-        "latest_alert_s": _fleet_run.silence_after(outcome, killed_at),
+        "latest_alert_s": _fleet_run.max_alert_delay_after(outcome, killed_at),
         **after,
         "never_allowed": outcome.ledger.promised.faults()
         + outcome.ledger.after_loss.never_excused(),
@@ -50,7 +50,7 @@
 def run() -> dict:
     """Runs the measurement."""
     rows = []
-    for name, overrides in (("on", None), ("off", _NEVER)):
-        row = _fleet_run.run_in_world(_VMS, _script, overrides)
+    for name, overrides in (("on", None), ("off", _REPLICATION_OFF)):
+        row = _fleet_run.run_in_world(_VMS, _kill_one, overrides)
         rows.append({"replication": name, **row})
     return {"sessions": _PROGRAMS * _SESSIONS, "kills": rows}
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -23,7 +23,7 @@
 
 SEED = 20
 
-SETTLE_S = 5.0
+DRAIN_S = 5.0
 """Seconds after the last request in which open requests may finish."""
 
 
@@ -39,13 +39,13 @@
     ]
     fleet = Fleet(manifest(kind=kind), dispatchers, seed, pattern.sessions)
     pattern.setup(fleet)
-    fleet.loop.run(pattern.end + SETTLE_S)
+    fleet.loop.run(pattern.end + DRAIN_S)
     return fleet
 
 
 def measure(pattern: Pattern, fleet: Fleet) -> dict:
     """Returns the figures of a run."""
-    jobs = [job for job in fleet.jobs if pattern.belongs(job)]
+    jobs = [job for job in fleet.jobs if pattern.is_judged(job)]
     names = list(pattern.names)
     begin, end = pattern.begin, pattern.end
     figures = measures.received(jobs, begin, end)
@@ -66,24 +66,24 @@
         ratios = measures.imbalance(fleet, names, begin, end, values)
         figures |= {f"{kind}_{key}": value for key, value in ratios.items()}
     if pattern.change_at is not None:
-        figures |= _change(pattern, fleet, names)
+        figures |= _recovery_figures(pattern, fleet, names)
     return figures
 
 
-def _change(pattern: Pattern, fleet: Fleet, names: list[str]) -> dict:
+def _recovery_figures(pattern: Pattern, fleet: Fleet, names: list[str]) -> dict:
     values = measures.used_in if pattern.sessions else measures.placed_in
     gone = set(fleet.upstreams) - set(names)
     last = [fleet.upstreams[n].placed[-1] - pattern.change_at for n in gone]
     return {
-        "to_even_s": measures.time_to_even(
+        "to_even_s": measures.time_to_balance(
             fleet, names, pattern.change_at, pattern.end, values
         ),
         "last_new_work_s": round(max(last), 2) if last else "",
-        "newcomer_share": _newcomer_share(pattern, fleet, names),
+        "newcomer_share": _new_endpoint_share(pattern, fleet, names),
     }
 
 
-def _newcomer_share(pattern: Pattern, fleet: Fleet, names: list[str]):
+def _new_endpoint_share(pattern: Pattern, fleet: Fleet, names: list[str]):
     """Returns the new endpoint's arrivals over an equal share, first 5 s."""
     if len(names) <= ENDPOINTS:
         return ""
@@ -97,7 +97,7 @@
     yield "all on", Dispatcher, contextlib.nullcontext
     for switch in SWITCHES:
         if pattern.name in switch.patterns:
-            yield f"no {switch.name}", Dispatcher, switch.off
+            yield f"no {switch.name}", Dispatcher, switch.disabled
 
 
 def run() -> dict:
--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -15,7 +15,7 @@
 _BUCKETS = 65_536
 _SAMPLED_BUCKETS = 200
 _ZONES = 7
-_SPACE = 1 << 64
+_HASH_SPACE = 1 << 64
 
 
 def _members(count: int) -> tuple[Member, ...]:
@@ -25,14 +25,14 @@
     )
 
 
-def _greatest_share(ring: Ring, count: int) -> float:
+def _max_over_mean_share(ring: Ring, count: int) -> float:
     """Returns the greatest share of the ring of any VM over the mean."""
     points, owners = ring._points, ring._owners
     parts: dict[int, int] = {}
     for index, owner in enumerate(owners):
-        length = (points[index] - points[index - 1]) % _SPACE
+        length = (points[index] - points[index - 1]) % _HASH_SPACE
         parts[owner.number] = parts.get(owner.number, 0) + length
-    return max(parts.values()) / (_SPACE / count)
+    return max(parts.values()) / (_HASH_SPACE / count)
 
 
 def _rendezvous_build_s(count: int) -> float:
@@ -78,7 +78,7 @@
         "owner_us": _lookup_us(ring.owner),
         "backup_us": _lookup_us(lambda key: ring.backup(key, members[0])),
         "memory_kb": held / 1024,
-        "greatest_share": _greatest_share(ring, count),
+        "greatest_share": _max_over_mean_share(ring, count),
         "rendezvous_table_ms": _rendezvous_build_s(count) * 1e3,
     }
 
--- a/bench/packet_path.py
+++ b/bench/packet_path.py
@@ -27,7 +27,7 @@
 _PAYLOAD = bytes([0x40]) + os.urandom(1199)
 _REPEATS = 5
 _NEW_FLOWS = 4_000
-_SIZES = (10_000, 50_000, 100_000, 200_000)
+_FLOW_COUNTS = (10_000, 50_000, 100_000, 200_000)
 _ENDPOINTS = 200
 
 
@@ -39,7 +39,7 @@
     return sock
 
 
-def _empty(sock: socket.socket) -> int:
+def _drain_socket(sock: socket.socket) -> int:
     count = 0
     while True:
         try:
@@ -49,7 +49,7 @@
         count += 1
 
 
-def _bare(caller, middle, upstream) -> float:
+def _bare_loop_us(caller, middle, upstream) -> float:
     """Returns microseconds per packet of a bare recvfrom/sendto loop."""
     spent = 0.0
     to_middle, to_upstream = middle.getsockname(), upstream.getsockname()
@@ -64,11 +64,11 @@
                 break
             middle.sendto(data, to_upstream)
         spent += time.process_time() - start
-        _empty(upstream)
+        _drain_socket(upstream)
     return spent / _PACKETS * 1e6
 
 
-def _owner(caller, wire, core, upstream) -> float:
+def _to_upstream_us(caller, wire, core, upstream) -> float:
     """Returns microseconds per packet from the caller, at the flow's owner."""
     spent = 0.0
     to_relay = ("127.0.11.1", _relay.SERVICE_PORT)
@@ -79,11 +79,11 @@
         while wire.pump_once(core):
             pass
         spent += time.process_time() - start
-        _empty(upstream)
+        _drain_socket(upstream)
     return spent / _PACKETS * 1e6
 
 
-def _back(caller, wire, core, upstream, flow) -> float:
+def _to_caller_us(caller, wire, core, upstream, flow) -> float:
     """Returns microseconds per packet from the upstream to the caller."""
     spent = 0.0
     to_path = flow.path.sock.getsockname()
@@ -94,7 +94,7 @@
         while wire.pump_once(core):
             pass
         spent += time.process_time() - start
-        _empty(caller)
+        _drain_socket(caller)
     return spent / _PACKETS * 1e6
 
 
@@ -120,7 +120,7 @@
         yield ip, 1024 + number % 60000
 
 
-def _paths_cost() -> dict:
+def _per_packet_costs() -> dict:
     wire = SocketWire("127.0.11.1", 7001, EventLog("bench", "vm-1"))
     upstream = _udp("127.0.12.1", 20001)
     caller = _udp("127.0.14.1")
@@ -130,9 +130,9 @@
     flow = _open_flow(core, caller.getsockname(), target, 0.0)
     rounds = [
         (
-            _bare(caller, middle, upstream),
-            _owner(caller, wire, core, upstream),
-            _back(caller, wire, core, upstream, flow),
+            _bare_loop_us(caller, middle, upstream),
+            _to_upstream_us(caller, wire, core, upstream),
+            _to_caller_us(caller, wire, core, upstream, flow),
         )
         for _ in range(_REPEATS)
     ]
@@ -210,7 +210,7 @@
 
 def _table_growth() -> list[dict]:
     rows = []
-    for size in _SIZES:
+    for size in _FLOW_COUNTS:
         gc.collect()
         tracemalloc.start()
         core = _relay.core(_NullWire(), _relay.manifest(_ENDPOINTS), 100.0)
@@ -255,7 +255,7 @@
 
 
 async def _run() -> dict:
-    paths = _paths_cost()
+    paths = _per_packet_costs()
     return {
         "per_packet": paths,
         "new_flows": _new_flows(),
--- a/bench/planned_change.py
+++ b/bench/planned_change.py
@@ -16,7 +16,7 @@
 _FEED_S = 2.0
 _KEEPALIVE_S = 2.0
 _IMAGES_PER_S = 10.0
-_PAUSE_S = 3.0
+_PAUSE_AFTER_CHANGE_S = 3.0
 _GRACE_S = 40.0
 
 
@@ -25,7 +25,7 @@
     return sum(each["load"]["connections"] for each in counted.values())
 
 
-async def _script(world: World) -> dict:
+async def _run_changes(world: World) -> dict:
     await _fleet_run.open_sessions(
         world,
         _PROGRAMS,
@@ -41,7 +41,7 @@
     async def change(name: str, waiting) -> None:
         took_s = await waiting
         rows.append({"change": name, "took_s": took_s})
-        await anyio.sleep(_PAUSE_S)
+        await anyio.sleep(_PAUSE_AFTER_CHANGE_S)
 
     draining = frozenset({"registry-3"})
     await change("an endpoint drains", world.publish(draining))
@@ -58,7 +58,7 @@
         "open_sessions": opened,
         "open_at_end": open_at_end,
         "changes": rows,
-        "latest_alert_s": _fleet_run.silence_after(outcome, 0.0),
+        "latest_alert_s": _fleet_run.max_alert_delay_after(outcome, 0.0),
         "result": _fleet_run.summary(outcome),
     }
 
@@ -71,4 +71,4 @@
 
 def run() -> dict:
     """Runs the measurement."""
-    return _fleet_run.run_in_world(_VMS, _script)
+    return _fleet_run.run_in_world(_VMS, _run_changes)
--- a/bench/program_faults.py
+++ b/bench/program_faults.py
@@ -21,9 +21,9 @@
 _SESSIONS = 30
 _IMAGES_PER_S = 20.0
 _DEADLINE_S = 40.0
-_CALM_S = 4.0
-_WATCHED_S = 60.0
-_LATE_S = 1.0
+_DELAY_BEFORE_FAULT_S = 4.0
+_OBSERVATION_S = 60.0
+_SLOW_HANDSHAKE_S = 1.0
 """Handshake time in seconds that means a retransmission.
 
 Such a handshake needed the first or second repeat of a packet.
@@ -37,12 +37,12 @@
     Attributes:
         name: Name in the table.
         program: The affected program of the VM, or "" for no fault.
-        sent: The signal sent to the program.
+        signal_sent: The signal sent to the program.
     """
 
     name: str
     program: str = ""
-    sent: signal.Signals = signal.SIGKILL
+    signal_sent: signal.Signals = signal.SIGKILL
 
 
 FAULTS = (
@@ -54,7 +54,7 @@
 )
 
 
-def _is_late(flow: _records.FlowRecord, began: float) -> bool:
+def _opened_after_detection(flow: _records.FlowRecord, began: float) -> bool:
     opened_after = flow.opened > began + _ledger.DETECT_S
     return opened_after and flow.service == fleet.BARCODES.name
 
@@ -70,14 +70,14 @@
         flow
         for result in outcome.results
         for flow in result.flows
-        if _is_late(flow, began)
+        if _opened_after_detection(flow, began)
     ]
     waits = [each.connected - each.opened for each in flows if each.connected]
     lost = (_records.Fate.BROKEN, _records.Fate.UNOPENED)
     return {
         "new_flows": len(flows),
         "lost": sum(each.fate in lost for each in flows),
-        "late": sum(wait >= _LATE_S for wait in waits),
+        "late": sum(wait >= _SLOW_HANDSHAKE_S for wait in waits),
         "connect_p50_s": _quantile(waits, 0.5),
         "connect_p99_s": _quantile(waits, 0.99),
         "connect_most_s": max(waits, default=0.0),
@@ -95,19 +95,19 @@
             if flow.service == fleet.REGISTRY.name
         ),
         "requests_lost": hit.lost + hit.cut + outcome.ledger.promised.lost,
-        "latest_alert_s": _fleet_run.silence_after(outcome, began),
+        "latest_alert_s": _fleet_run.max_alert_delay_after(outcome, began),
         "never_allowed": outcome.ledger.promised.never_excused()
         + hit.never_excused(),
     }
 
 
-async def play(world: World, fault: Fault, watched_s: float) -> dict:
+async def run_fault(world: World, fault: Fault, watched_s: float) -> dict:
     """Injects a fault into a running fleet and returns a table row."""
     world.start_usual_callers(_SESSIONS, _IMAGES_PER_S, _DEADLINE_S)
-    await anyio.sleep(_CALM_S)
+    await anyio.sleep(_DELAY_BEFORE_FAULT_S)
     world.mark_loss()
     if fault.program:
-        world.vms[2].programs[fault.program].signal(fault.sent)
+        world.vms[2].programs[fault.program].signal(fault.signal_sent)
     await anyio.sleep(watched_s)
     counts = await world.around.fabric_counts()
     outcome = await world.end_callers()
@@ -127,7 +127,7 @@
     for fault in FAULTS:
 
         async def script(world: World, fault: Fault = fault) -> dict:
-            return await play(world, fault, _WATCHED_S)
+            return await run_fault(world, fault, _OBSERVATION_S)
 
         rows.append(_fleet_run.run_in_world(_VMS, script))
     return {"faults": rows}
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -12,11 +12,11 @@
 
 VMS = 9
 _OPENED_PER_S = 60
-_SECONDS = 20
+_DURATION_S = 20
 _SHORT_SHARE = 0.7
 _SHORT_S = (0.2, 1.0)
 _LONG_S = 1e9
-_SAY_EVERY_S = 0.5
+_SEND_INTERVAL_S = 0.5
 _CHANGE_AT_S = 10
 _AGES_S = (0.0, 0.3, 1.0, 3.0, 10.0, 1e9)
 _SEED = 7
@@ -34,7 +34,7 @@
 
 def _callers(rng: random.Random, opened_per_s: int) -> list[_Caller]:
     callers = []
-    for number in range(opened_per_s * _SECONDS):
+    for number in range(opened_per_s * _DURATION_S):
         opens = number / opened_per_s
         short = rng.random() < _SHORT_SHARE
         lives = rng.uniform(*_SHORT_S) if short else _LONG_S
@@ -42,11 +42,11 @@
     return callers
 
 
-def _play(net: Net, callers: list[_Caller]) -> None:
+def _run_scenario(net: Net, callers: list[_Caller]) -> None:
     """Opens and uses all flows; adds an endpoint halfway through."""
     waiting = list(callers)
     live: list[_Caller] = []
-    for step in range(round(_SECONDS / _STEP_S)):
+    for step in range(round(_DURATION_S / _STEP_S)):
         at = step * _STEP_S
         if abs(at - _CHANGE_AT_S) < _STEP_S / 2:
             net.manifest = manifest(version=2, endpoints=4)
@@ -55,13 +55,13 @@
             live.append(waiting.pop(0))
             net.open(live[-1].tag)
         live = [caller for caller in live if caller.ends_s > at]
-        if step % round(_SAY_EVERY_S / _STEP_S) == 0:
+        if step % round(_SEND_INTERVAL_S / _STEP_S) == 0:
             for caller in live:
                 net.say(caller.tag, "on")
         net.advance(_STEP_S)
 
 
-def _off_default(net: Net) -> float:
+def _off_default_share(net: Net) -> float:
     flows = [
         flow
         for core in net.relays.values()
@@ -74,13 +74,13 @@
     """Returns the figures for one age; kills one VM at the end."""
     net = Net(vms=VMS, seed=_SEED, replicate_after_s=age_s)
     callers = _callers(random.Random(_SEED), opened_per_s)
-    _play(net, callers)
+    _run_scenario(net, callers)
     sent = sum(
         core.counters.value(c.CONTROL_BYTES, "replication")
         for core in net.relays.values()
     )
-    off_default = _off_default(net)
-    live = [each.tag for each in callers if each.ends_s > _SECONDS]
+    off_default = _off_default_share(net)
+    live = [each.tag for each in callers if each.ends_s > _DURATION_S]
     held = [tag for tag in live if 1 in net.holders(tag)]
     net.kill(1)
     net.declare_dead(1)
@@ -94,7 +94,7 @@
         "held_by_killed": len(held),
         "broken": len(broken),
         "off_default": off_default,
-        "bytes_per_s_a_vm": sent / _SECONDS / VMS,
+        "bytes_per_s_a_vm": sent / _DURATION_S / VMS,
         "bytes_a_flow_opened": sent / len(callers),
     }
 
--- a/docs_tool/_imports.py
+++ b/docs_tool/_imports.py
@@ -24,7 +24,7 @@
     for path in sorted(_ROOT.rglob("*.py")):
         package = _package(path.relative_to(_ROOT).parts)
         targets = found.setdefault(package, set())
-        targets |= _targets(path) - {package}
+        targets |= _imported_packages(path) - {package}
     return found
 
 
@@ -48,7 +48,7 @@
     """Returns the text of the page."""
     graph = imports()
     rows = [
-        (number, code(package), _listed(graph.get(package, set())))
+        (number, code(package), _format_packages(graph.get(package, set())))
         for number, level in enumerate(levels(graph), 1)
         for package in level
     ]
@@ -56,7 +56,7 @@
     return HEAD + _INTRODUCTION + table(heads, rows)
 
 
-def _listed(packages: set[str]) -> str:
+def _format_packages(packages: set[str]) -> str:
     return ", ".join(code(each) for each in sorted(packages)) or "nothing"
 
 
@@ -66,18 +66,20 @@
     return parts[0] if len(parts) > 1 else _TOP
 
 
-def _targets(path: pathlib.Path) -> set[str]:
+def _imported_packages(path: pathlib.Path) -> set[str]:
     found = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
             for alias in node.names:
-                found |= _named(alias.name, [])
+                found |= _resolve_packages(alias.name, [])
         elif isinstance(node, ast.ImportFrom) and node.module:
-            found |= _named(node.module, [alias.name for alias in node.names])
+            found |= _resolve_packages(
+                node.module, [alias.name for alias in node.names]
+            )
     return found
 
 
-def _named(module: str, names: list[str]) -> set[str]:
+def _resolve_packages(module: str, names: list[str]) -> set[str]:
     top, *rest = module.split(".")
     if top != _TOP:
         return set()
--- a/packing/_contents.py
+++ b/packing/_contents.py
@@ -15,16 +15,16 @@
 _PRODUCT = _ROOT / "src"
 _PINS = _ROOT / "requirements.txt"
 
-_START = "__main__.py"
+_ENTRY_POINT = "__main__.py"
 """Entry point of the archive; packed as source.
 
 It must also run on other Python versions to report the required one.
 """
 
-_LEFT_OUT_FOLDERS = frozenset({"__pycache__", "tests", "test", ".."})
+_EXCLUDED_FOLDERS = frozenset({"__pycache__", "tests", "test", ".."})
 """Folders of a library that the product never imports."""
 
-_LEFT_OUT_SUFFIXES = frozenset({".pyi", ".c", ".h", ".pxd", ".pyx", ".pyc"})
+_EXCLUDED_SUFFIXES = frozenset({".pyi", ".c", ".h", ".pxd", ".pyx", ".pyc"})
 
 
 @attrs.frozen
@@ -46,8 +46,8 @@
     with tempfile.TemporaryDirectory() as folder:
         target = pathlib.Path(folder) / "module.pyc"
         for name, path in files.items():
-            if path.suffix == ".py" and name != _START:
-                entries.append(_compiled(name, path, target))
+            if path.suffix == ".py" and name != _ENTRY_POINT:
+                entries.append(_compile_module(name, path, target))
             else:
                 entries.append(Entry(name, path.read_bytes()))
     entries.append(_native_list(entries))
@@ -70,15 +70,15 @@
         if library.version != version:
             raise MissingPinError(f"{name} {library.version}, pinned {version}")
         for file in library.files or ():
-            if _wanted(file):
+            if _is_included(file):
                 files[file.as_posix()] = pathlib.Path(library.locate_file(file))
     return files
 
 
-def _wanted(file: importlib.metadata.PackagePath) -> bool:
-    if _LEFT_OUT_FOLDERS.intersection(file.parts):
+def _is_included(file: importlib.metadata.PackagePath) -> bool:
+    if _EXCLUDED_FOLDERS.intersection(file.parts):
         return False
-    return file.suffix not in _LEFT_OUT_SUFFIXES
+    return file.suffix not in _EXCLUDED_SUFFIXES
 
 
 def _native_list(entries: list[Entry]) -> Entry:
@@ -87,7 +87,9 @@
     return Entry(native_modules.LIST, "\n".join(sorted(names)).encode())
 
 
-def _compiled(name: str, path: pathlib.Path, target: pathlib.Path) -> Entry:
+def _compile_module(
+    name: str, path: pathlib.Path, target: pathlib.Path
+) -> Entry:
     """Compiles a module, so that it need not be compiled at start.
 
     The source is left out: it would make the binary a quarter larger, and
--- a/packing/_measure.py
+++ b/packing/_measure.py
@@ -9,8 +9,12 @@
 _STARTS = 15
 """Number of timed starts; the median ignores a few disturbed by other work."""
 
-_MEMORY = "import resource as r;print(r.getrusage(r.RUSAGE_CHILDREN).ru_maxrss)"
-_CHILD = f"import subprocess,sys;subprocess.run(sys.argv[1:]);{_MEMORY}"
+_PRINT_PEAK_RSS = (
+    "import resource as r;print(r.getrusage(r.RUSAGE_CHILDREN).ru_maxrss)"
+)
+_RUN_AND_PRINT_PEAK_RSS = (
+    f"import subprocess,sys;subprocess.run(sys.argv[1:]);{_PRINT_PEAK_RSS}"
+)
 
 
 def report(binary: pathlib.Path) -> str:
@@ -41,7 +45,7 @@
     It is read in a separate process that has no other child.
     """
     done = subprocess.run(
-        [sys.executable, "-c", _CHILD, *command],
+        [sys.executable, "-c", _RUN_AND_PRINT_PEAK_RSS, *command],
         check=True,
         capture_output=True,
         text=True,
--- a/packing/bootstrap/__main__.py
+++ b/packing/bootstrap/__main__.py
@@ -6,7 +6,7 @@
 """The Python version that the packed native modules are built for."""
 
 
-def _only_what_is_packed() -> None:
+def _remove_installed_libraries() -> None:
     """Removes the machine's installed libraries from the import path.
 
     Otherwise an installed version of a library could be found first, and the VM
@@ -25,7 +25,7 @@
     if sys.version_info[:2] != _PYTHON:
         print("pollenmast: needs Python 3.11", file=sys.stderr)
         return 1
-    _only_what_is_packed()
+    _remove_installed_libraries()
 
     import native_modules
 
--- a/packing/bootstrap/native_modules.py
+++ b/packing/bootstrap/native_modules.py
@@ -35,7 +35,7 @@
         self._archive = archive
         self._importer = zipimport.zipimporter(archive)
         names = self._read(LIST).decode().split()
-        self._names = {_module(name): name for name in names}
+        self._names = {_module_name(name): name for name in names}
 
     @property
     def modules(self) -> list[str]:
@@ -47,7 +47,7 @@
         name = self._names.get(fullname)
         if name is None:
             return None
-        file = _in_memory(fullname, self._read(name))
+        file = _write_to_memfd(fullname, self._read(name))
         loader = importlib.machinery.ExtensionFileLoader(fullname, file)
         return importlib.util.spec_from_file_location(
             fullname, file, loader=loader
@@ -62,13 +62,13 @@
     sys.meta_path.append(NativeFinder(archive))
 
 
-def _module(name: str) -> str:
+def _module_name(name: str) -> str:
     # Removes the longest suffix, as ".abi3.so" also ends with ".so".
     suffix = max((s for s in _SUFFIXES if name.endswith(s)), key=len)
     return name.removesuffix(suffix).replace("/", ".")
 
 
-def _in_memory(name: str, data: bytes) -> str:
+def _write_to_memfd(name: str, data: bytes) -> str:
     """Writes the data to an anonymous file and returns its path.
 
     The descriptor is kept open. If it were closed, the next module would get
@@ -76,13 +76,13 @@
     for the module already loaded, and the import would fail with "undefined
     symbol".
     """
-    descriptor = _open_memory(name)
+    descriptor = _create_memfd(name)
     with open(descriptor, "wb", closefd=False) as stream:
         stream.write(data)
     return f"/proc/self/fd/{descriptor}"
 
 
-def _open_memory(name: str) -> int:
+def _create_memfd(name: str) -> int:
     try:
         return os.memfd_create(name, os.MFD_CLOEXEC | _MFD_EXEC)
     except OSError as error:
--- a/tests/bench_measurements_page_test.py
+++ b/tests/bench_measurements_page_test.py
@@ -63,7 +63,7 @@
     )
     def test_judged(self, _, met, verdict):
         """An aim is reached only if all of its conditions are met."""
-        self.assertEqual(verdict, _aims.judged("aim", "1", *met).verdict)
+        self.assertEqual(verdict, _aims.bounded_aim("aim", "1", *met).verdict)
 
     @parameterized.expand([("fewer", 3, "yes"), ("as many", 9, "no")])
     def test_loss(self, _, broken, verdict):
@@ -91,7 +91,7 @@
         """A variant is listed if both its answers and its time are no worse."""
         on = {"variant": "all on", "answered": 80, "p99_ms": 7.0}
         off = {"variant": "no x", "answered": answered, "p99_ms": p99_ms}
-        found = _aims.no_worse_off({"steady": [on, off], "sizes": [{}]})
+        found = _aims.variants_no_worse({"steady": [on, off], "sizes": [{}]})
         self.assertEqual(["no x"] * listed, [row["variant"] for row in found])
 
 
