--- a/bench/_aims.py
+++ b/bench/_aims.py
@@ -15,12 +15,18 @@
 _MIN_NEW_FLOWS_PER_S = 5_000
 _MAX_BYTES_PER_FLOW = 400
 _MAX_COST_GROWTH = 1.10
+"""Greatest cost per packet with the largest table over the smallest."""
+
 _MAX_MANIFEST_DELAY_S = 2.0
 _MAX_PLATFORM_CALLS_PER_S = 2_000
 _MIN_OPEN_SESSIONS = 2_000
 _MIN_GOODPUT = 0.9
 _MIN_PROMPT_REFUSALS = 1.0
+"""Share of refusals that must be answered at once."""
+
 _MAX_NEW_WORK_DELAY_S = 3.0
+"""Seconds after which a leaving upstream must get no new work."""
+
 _MUST_BE_ZERO = ("broken_flows", "cut", "doubled", "wrong_service")
 _OTHER_COUNTS = ("lost", "late_refusals")
 
--- a/bench/_capacity_page.py
+++ b/bench/_capacity_page.py
@@ -5,9 +5,13 @@
 _SIZE = FleetSize()
 _COMMAND = "python -m bench run capacity --json out/capacity.json"
 _CONTROL_BYTES_PER_S = 4_000
+"""Control budget of a VM, in bytes per second."""
+
 _HEARTBEATS_PER_S = 2
 _RACK_VMS = 40
 _MEMBER_UPDATE_BYTES = 60
+"""Bytes of gossip about one changed VM."""
+
 _DAY_S = 86_400
 _PROBES_PER_S = 2
 """Probes per second of one endpoint, summed over its two probers."""
--- a/bench/_capacity_relay.py
+++ b/bench/_capacity_relay.py
@@ -31,6 +31,7 @@
 _HANDOVER_FLOWS = (50, 100, 200)
 _UPKEEP_TICKS = 200
 _UDP_BYTES = 28
+"""Bytes of the IPv4 and UDP headers of a datagram."""
 
 
 def flow_memory(at_size: float) -> Slope:
--- a/bench/_slopes.py
+++ b/bench/_slopes.py
@@ -10,7 +10,7 @@
     Attributes:
         name: Name of the measured quantity.
         unit: Unit of the measured value.
-        size_unit: What the size counts, such as "VMs".
+        of: What the size counts, such as "VMs".
         points: Measured pairs of size and value.
         at_size: The target size.
         command: The command that runs the measurement.
@@ -18,7 +18,7 @@
 
     name: str
     unit: str
-    size_unit: str
+    of: str
     points: tuple[tuple[float, float], ...]
     at_size: float
     command: str = "python -m bench run capacity"
@@ -67,7 +67,7 @@
         return {
             "what": self.name,
             "unit": self.unit,
-            "points": f"{self.size_unit} {points}",
+            "points": f"{self.of} {points}",
             "intercept": f"{self.intercept:.4g}",
             "slope": f"{self.slope:.4g}",
             "misfit": f"{self.misfit:.0%}",
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -15,6 +15,7 @@
 _SIZE = FleetSize()
 _CALLER_DATAGRAM_BYTES = 1200
 _RING_CHANGES_PER_S = 2 * _SIZE.restarts_per_day / 86_400
+"""Membership changes per second: each restart is a leave and a join."""
 
 
 def slopes() -> dict[str, list[dict]]:
--- a/bench/loss.py
+++ b/bench/loss.py
@@ -20,6 +20,7 @@
 _KEEPALIVE_S = 2.0
 _OBSERVATION_S = 25.0
 _REPLICATION_OFF = {"relay": {"replicate_after_s": "3600"}}
+"""Settings with which no flow gets old enough to be replicated in a run."""
 
 
 async def _kill_one(world: World) -> dict:
--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -14,8 +14,11 @@
 _LOOKUPS = 20_000
 _BUCKETS = 65_536
 _SAMPLED_BUCKETS = 200
+"""Buckets that are filled; the time for the table is extrapolated."""
+
 _ZONES = 7
 _HASH_SPACE = 1 << 64
+"""Number of positions on the ring."""
 
 
 def _members(count: int) -> tuple[Member, ...]:
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -16,9 +16,13 @@
 _SHORT_SHARE = 0.7
 _SHORT_S = (0.2, 1.0)
 _LONG_S = 1e9
+"""Lifetime of long flows: beyond the end of the run."""
+
 _SEND_INTERVAL_S = 0.5
 _CHANGE_AT_S = 10
 _AGES_S = (0.0, 0.3, 1.0, 3.0, 10.0, 1e9)
+"""Values of `replicate_after_s`; 1e9 means never."""
+
 _SEED = 7
 _STEP_S = 0.1
 
