--- a/bench/_capacity_control.py
+++ b/bench/_capacity_control.py
@@ -1,4 +1,4 @@
-"""Slopes of what control spends: manifest, views, membership, reports."""
+"""Linear fits of control-plane costs: manifest, views, membership, reports."""
 
 import gc
 import json
@@ -20,7 +20,7 @@
 ENDPOINTS_PER_SERVICE = 4.4
 _MANIFEST_SIZES = (100, 1_000, 4_000)
 _VIEW_SIZES = ((9, 10), (100, 800), (400, 3_200))
-_SHARED_SIZES = ((50, 400), (200, 1_600), (400, 3_200))
+_ASSIGNMENT_SIZES = ((50, 400), (200, 1_600), (400, 3_200))
 _MEMBER_SIZES = (50, 200, 800)
 _REPORT_COUNTS = (1, 4, 8)
 _REPEATS = 3
@@ -28,7 +28,7 @@
 
 
 def manifest_text(endpoints: int) -> bytes:
-    """Returns a manifest of so many endpoints, four or five a service."""
+    """Returns a manifest with four or five endpoints per service."""
     services = []
     made = 0
     while made < endpoints:
@@ -60,7 +60,7 @@
 
 
 def manifest_bytes(at_size: float) -> Slope:
-    """Bytes of the manifest's text."""
+    """Returns the size of the manifest text in MB, by endpoints."""
     points = tuple(
         (size, len(manifest_text(size)) / 1e6) for size in _MANIFEST_SIZES
     )
@@ -68,7 +68,7 @@
 
 
 def manifest_parse(at_size: float) -> Slope:
-    """Processor time to check a manifest and put it into force."""
+    """Returns the CPU time to validate and apply a manifest."""
     points = []
     for size in _MANIFEST_SIZES:
         text = manifest_text(size)
@@ -85,7 +85,7 @@
 
 
 def manifest_memory(at_size: float) -> Slope:
-    """Memory of a manifest and its decisions in a relay."""
+    """Returns the memory of a manifest and its placement state in a relay."""
     points = []
     for size in _MANIFEST_SIZES:
         text = manifest_text(size)
@@ -123,11 +123,11 @@
     )
 
 
-def _least_s(work: Callable[[], object]) -> float:
-    """Returns the least processor time of some runs, in seconds.
+def _min_cpu_s(work: Callable[[], object]) -> float:
+    """Returns the minimum CPU time over several runs, in seconds.
 
-    The least, since other work on the machine and the garbage of runs before
-    only ever add to it.
+    The minimum is used because other work on the machine and garbage left by
+    earlier runs can only add to the time.
     """
     least = float("inf")
     for _ in range(_REPEATS):
@@ -139,11 +139,11 @@
 
 
 def view_cost(at_size: float) -> Slope:
-    """Agent's processor a second for one view a second to its relay."""
+    """Returns the agent's CPU share for one view per second to its relay."""
     points = []
     for vms, endpoints in _VIEW_SIZES:
         view = _view(vms, endpoints)
-        spent = _least_s(lambda view=view: _codec.encode(view))
+        spent = _min_cpu_s(lambda view=view: _codec.encode(view))
         points.append((vms + endpoints, spent * 100))
     return Slope(
         "views to the relay",
@@ -155,7 +155,7 @@
 
 
 def report_cost(at_size: float) -> Slope:
-    """Agent's processor a second for two reports a second of its relay."""
+    """Returns the agent's CPU share for two relay reports per second."""
     points = []
     for _, endpoints in _VIEW_SIZES:
         loads = tuple(
@@ -166,7 +166,7 @@
             1, "", True, False, False, 1, 0, 0, (), loads
         )
         data = _codec.encode(report)
-        spent = _least_s(lambda data=data: _codec.decode(data))
+        spent = _min_cpu_s(lambda data=data: _codec.decode(data))
         points.append((endpoints, spent * 2 * 100))
     return Slope(
         "reports of the relay", "% core", "endpoints", tuple(points), at_size
@@ -174,7 +174,7 @@
 
 
 def member_memory(at_size: float) -> Slope:
-    """Memory of the members that an agent knows."""
+    """Returns the memory of an agent's membership table."""
     points = []
     for size in _MEMBER_SIZES:
         tracemalloc.start()
@@ -198,7 +198,7 @@
 
 
 def heartbeat_cost(at_size: float) -> Slope:
-    """Processor of membership alone: two ticks and two pings a second."""
+    """Returns the CPU share of membership with two ticks and pings a second."""
     points = []
     for size in _MEMBER_SIZES:
         membership = _membership(size)
@@ -219,14 +219,14 @@
     return Slope("heartbeats", "% core", "VMs", tuple(points), at_size)
 
 
-def sharing_cost(at_size: float) -> Slope:
-    """Processor time to share out the probes, by VMs times endpoints."""
+def probe_assignment_cost(at_size: float) -> Slope:
+    """Returns the CPU time to assign probes, by VMs times endpoints."""
     points = []
-    for vms, endpoints in _SHARED_SIZES:
+    for vms, endpoints in _ASSIGNMENT_SIZES:
         members = tuple(_vm(number) for number in range(vms))
         text = manifest_text(endpoints)
         services = manifests.parse(text).unwrap().services
-        spent = _least_s(
+        spent = _min_cpu_s(
             lambda services=services, members=members: _probing.assignments(
                 services, members, "zone-0"
             )
@@ -241,8 +241,8 @@
     )
 
 
-def report_news_bytes(at_size: float) -> Slope:
-    """Bytes of endpoints' load in a message, by reports in it."""
+def endpoint_report_bytes(at_size: float) -> Slope:
+    """Returns the size of a gossip message, by endpoint reports in it."""
     report = EndpointReport(
         17, "endpoint-4711", 1_796_000_000, True, 1, 0, 812, 99_999, 500.0
     )
@@ -258,7 +258,7 @@
 
 @attrs.frozen
 class FleetSize:
-    """The size of two years' time, from the users' letter."""
+    """The size that the users expect in two years."""
 
     vms: int = 1_400
     endpoints: int = 11_000
@@ -267,15 +267,15 @@
     new_flows_per_s: int = 58_000
     zones: int = 7
     regions: int = 3
-    changes_a_day: int = 970
-    restarts_a_day: int = 4_500
+    changes_per_day: int = 970
+    restarts_per_day: int = 4_500
 
     @property
-    def flows_a_vm(self) -> float:
-        """Flows that one VM holds."""
+    def flows_per_vm(self) -> float:
+        """Open flows per VM."""
         return self.flows / self.vms
 
     @property
-    def new_flows_a_vm(self) -> float:
-        """New flows a second at one VM."""
+    def new_flows_per_vm_s(self) -> float:
+        """New flows per second per VM."""
         return self.new_flows_per_s / self.vms
--- a/bench/_control_fleet.py
+++ b/bench/_control_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real agents, with stubs for everything else."""
+"""Runs a fleet of real agents with stubs for all other components."""
 
 import json
 import os
@@ -20,7 +20,7 @@
 PLATFORM_PORT, ADMIN_PORT = 8501, 8502
 LINK_PORT, OPERATORS_PORT = 7502, 7505
 LOAD_PORTS = tuple(range(6501, 6512))
-"""Eleven endpoints: cellvakt has seven and profilarkiv four."""
+"""Load ports of eleven endpoints: seven of cellvakt, four of profilarkiv."""
 
 _SETTINGS = """[vm]
 name = {name}
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class Usage:
-    """What a process has used so far."""
+    """Resources that a process has used since it started."""
 
     cpu_s: float
     rss_mb: float
@@ -53,7 +53,7 @@
 
 @attrs.define
 class AgentProcess:
-    """One agent and where it is reached."""
+    """An agent process with its addresses."""
 
     name: str
     zone: str
@@ -62,7 +62,7 @@
     process: subprocess.Popen | None = None
 
     def usage(self) -> Usage:
-        """Returns what the process has used so far."""
+        """Returns the resources used since the process started."""
         proc = pathlib.Path(f"/proc/{self.process.pid}")
         fields = (proc / "stat").read_text().rsplit(")", 1)[1].split()
         ticks = int(fields[11]) + int(fields[12])
@@ -80,7 +80,7 @@
         )
 
     def status(self) -> dict:
-        """Returns what the agent tells operators."""
+        """Returns the status from the agent's operator port."""
         url = f"http://{self.address}:{OPERATORS_PORT}/status"
         with urllib.request.urlopen(url, timeout=5) as answer:
             return json.load(answer)
@@ -123,11 +123,11 @@
 
 
 class Fleet:
-    """Starts and ends the processes; a context manager."""
+    """Context manager that starts and stops the processes of a fleet."""
 
     def __init__(self, size: int):
-        # Two benches at once would fight for the ports, and each would
-        # measure the other's agents.
+        # Two benchmarks running at once would compete for the ports, and each
+        # would measure the other's agents.
         self._reservation = Reservation()
         self._addresses: Addresses = self._reservation.addresses
         self._folder = tempfile.TemporaryDirectory()
@@ -140,7 +140,7 @@
         self.agents = [self._agent(n, root, key_file) for n in range(size)]
 
     def __enter__(self) -> "Fleet":
-        self._start_others()
+        self._start_stubs()
         self.publish(1)
         self.list_vms()
         for agent in self.agents:
@@ -157,18 +157,18 @@
         self._reservation.release()
 
     def start(self, agent: AgentProcess) -> None:
-        """Starts an agent, also after its end."""
+        """Starts or restarts an agent."""
         agent.process = self._run(
             "pollenmast", "agent", "--settings", str(agent.settings)
         )
 
     def publish(self, version: int, padding: int = 0) -> None:
-        """Publishes a manifest, with so many bytes of space after it."""
+        """Publishes a manifest followed by `padding` bytes of whitespace."""
         upstream = self._addresses.upstream(1)
-        self.admin("/publish", _manifest(upstream, version, padding))
+        self.platform_admin("/publish", _manifest(upstream, version, padding))
 
     def list_vms(self) -> None:
-        """Has the platform list every VM."""
+        """Makes the platform stand-in list every VM."""
         vms = [
             {
                 "name": agent.name,
@@ -182,18 +182,18 @@
             for agent in self.agents
         ]
         body = json.dumps({"vms": vms, "at_once": True}).encode()
-        self.admin("/vms", body)
+        self.platform_admin("/vms", body)
 
-    def admin(self, path: str, body: bytes | None = None) -> dict:
-        """Turns the platform stand-in, or asks it."""
+    def platform_admin(self, path: str, body: bytes | None = None) -> dict:
+        """Sends a request to the admin port of the platform stand-in."""
         url = f"http://{self._addresses.platform}:{ADMIN_PORT}{path}"
         method = "GET" if body is None else "POST"
         request = urllib.request.Request(url, body, method=method)
         with urllib.request.urlopen(request, timeout=5) as answer:
             return json.load(answer)
 
-    def wait(self, met, timeout_s: float = 20.0) -> bool:
-        """Waits until `met()`; returns whether it came true in time."""
+    def wait_until(self, met, timeout_s: float = 20.0) -> bool:
+        """Polls `met()` until it is true; returns False on timeout."""
         until = time.monotonic() + timeout_s
         while time.monotonic() < until:
             if met():
@@ -201,8 +201,8 @@
             time.sleep(0.02)
         return False
 
-    def seen(self, **fields: object) -> dict[str, float]:
-        """Returns when each VM's relay first saw such an event."""
+    def first_event_times(self, **fields: object) -> dict[str, float]:
+        """Returns the time of the first matching event, by VM."""
         times: dict[str, float] = {}
         for event in list(self.events):
             if fields.items() <= event.items():
@@ -229,7 +229,7 @@
         )
         return AgentProcess(name, zone, address, path)
 
-    def _start_others(self) -> None:
+    def _start_stubs(self) -> None:
         platform = self._run(
             "standins.platform",
             *(
@@ -254,11 +254,11 @@
         )
         self._others = [platform, stub]
         threading.Thread(
-            target=self._collect, args=(stub,), daemon=True
+            target=self._collect_events, args=(stub,), daemon=True
         ).start()
         platform.stdout.readline()
 
-    def _collect(self, stub: subprocess.Popen) -> None:
+    def _collect_events(self, stub: subprocess.Popen) -> None:
         for line in stub.stdout:
             self.events.append(json.loads(line))
 
--- a/bench/_control_stubs.py
+++ b/bench/_control_stubs.py
@@ -1,7 +1,8 @@
-"""Stands in for the relays and upstreams of a fleet of agents.
+"""Stubs for the relays and upstreams of a fleet of agents.
 
-One process, so that the agents alone show what control costs. Prints a JSON
-line when a relay first sees a manifest's version in a view.
+All stubs run in one process, so that the agent processes show the cost of
+control alone. Prints a JSON line when a relay first receives a view with a new
+manifest version.
 """
 
 import argparse
@@ -21,15 +22,15 @@
     RelayReport,
 )
 
-REPORT_S = 0.5
-AGES_S = 5.0
-"""Between two lines that tell how old the load in the views was."""
+REPORT_INTERVAL_S = 0.5
+LOAD_AGES_INTERVAL_S = 5.0
+"""Seconds between printed lines with the age of the load data in views."""
 
 KEY = bytes(range(32))
 
 
 class RelayStub:
-    """Reports like a relay that carries flows, and takes views."""
+    """Reports like a relay that carries flows, and receives views."""
 
     def __init__(self, name: str, address: str, port: int, endpoints: int):
         self._name = name
@@ -40,25 +41,25 @@
         self._endpoints = endpoints
         self._ages: list[float] = []
 
-    async def tell_ages(self) -> None:
-        """Prints the age of the views' load until cancelled."""
+    async def print_load_ages(self) -> None:
+        """Periodically prints the age of load data in views until cancelled."""
         while True:
-            await anyio.sleep(AGES_S)
+            await anyio.sleep(LOAD_AGES_INTERVAL_S)
             ages, self._ages = self._ages, []
             self._print(ages=[round(age, 2) for age in ages])
 
-    async def report(self) -> None:
-        """Reports until cancelled."""
+    async def send_reports(self) -> None:
+        """Sends periodic relay reports until cancelled."""
         while True:
-            await self._link.send(self._report())
-            await anyio.sleep(REPORT_S)
+            await self._link.send(self._build_report())
+            await anyio.sleep(REPORT_INTERVAL_S)
 
-    async def take(self) -> None:
-        """Takes views until cancelled."""
+    async def receive_messages(self) -> None:
+        """Receives views and drain orders until cancelled."""
         while True:
             message = await self._link.receive()
             if isinstance(message, FleetView):
-                self._see(message)
+                self._apply_view(message)
                 now = anyio.current_time()
                 self._ages += [
                     now - report.finished / 1000 for report in message.reports
@@ -66,7 +67,7 @@
             elif isinstance(message, DrainOrder):
                 self._draining = True
 
-    def _see(self, view: FleetView) -> None:
+    def _apply_view(self, view: FleetView) -> None:
         before = self._view.digest if self._view else ""
         has = view.manifest is not None
         if view.digest != before and (has or not view.digest):
@@ -84,7 +85,7 @@
         line = json.dumps({"vm": self._name, "at": at, **fields})
         print(line, flush=True)
 
-    def _report(self) -> RelayReport:
+    def _build_report(self) -> RelayReport:
         view = self._view
         values = tuple(
             CounterValue(name, reason, value + 12345)
@@ -109,7 +110,10 @@
 
 
 async def serve_load(address: str, port: int, rng: random.Random) -> None:
-    """Serves a load report that changes with each probe, like a busy one."""
+    """Serves a load report that changes with each probe.
+
+    This is how the report of a busy endpoint behaves.
+    """
 
     async def handle(_: http1.Request) -> http1.Answer:
         load = {
@@ -117,7 +121,7 @@
             "running": rng.randint(0, 2),
             "queued": rng.randint(0, 2),
             "connections": 1000 + rng.randint(-20, 20),
-            # The time of the report, from which its age in a view is told.
+            # The report's timestamp; its age in a view is computed from it.
             "finished": int(anyio.current_time() * 1000),
             "uptime_s": anyio.current_time(),
         }
@@ -130,7 +134,7 @@
 
 
 async def serve(options: argparse.Namespace) -> None:
-    """Runs every stub until cancelled."""
+    """Runs all stubs until cancelled."""
     rng = random.Random(1)
     async with anyio.create_task_group() as tasks:
         for port in options.load_ports:
@@ -140,13 +144,13 @@
             stub = RelayStub(
                 name, address, options.link_port, len(options.load_ports)
             )
-            tasks.start_soon(stub.report)
-            tasks.start_soon(stub.take)
-            tasks.start_soon(stub.tell_ages)
+            tasks.start_soon(stub.send_reports)
+            tasks.start_soon(stub.receive_messages)
+            tasks.start_soon(stub.print_load_ages)
 
 
 def main() -> None:
-    """Runs the program."""
+    """Runs the stubs with the options of the command line."""
     parser = argparse.ArgumentParser(prog="bench._control_stubs")
     parser.add_argument("--upstreams", required=True)
     parser.add_argument("--load-ports", type=int, nargs="+", required=True)
--- a/bench/_measurements_page.py
+++ b/bench/_measurements_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/MEASUREMENTS.md from the JSON of runs of the bench."""
+"""Generates docs/MEASUREMENTS.md from the JSON results of benchmark runs."""
 
 import json
 import pathlib
@@ -21,14 +21,14 @@
 
 @attrs.frozen
 class Section:
-    """A measurement's part of the page.
+    """The section of the page for one measurement.
 
     Attributes:
-        name: The measurement.
-        title: Its heading.
-        answers: What it answers and how, in a few sentences.
-        seeds: Its seeds.
-        tables: Returns its tables as Markdown.
+        name: Name of the measurement.
+        title: Heading.
+        answers: The question it answers and its method, in a few sentences.
+        seeds: Random seeds of the measurement.
+        tables: Formats the result as Markdown tables.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
 
 def merge(files: Iterable[pathlib.Path]) -> dict[str, dict]:
-    """Returns the results of several files; of two runs the later file's."""
+    """Merges result files; for duplicate measurements the last file wins."""
     results: dict[str, dict] = {}
     for file in files:
         results |= json.loads(file.read_text())
@@ -47,7 +47,7 @@
 
 
 def table(rows: list[dict]) -> str:
-    """Returns rows as a Markdown table."""
+    """Returns a Markdown table of the rows."""
     columns = list(dict.fromkeys(key for row in rows for key in row))
     lines = [
         _line(column.replace("_", " ") for column in columns),
@@ -109,7 +109,7 @@
 
 def _control_tables(result: dict) -> str:
     costs, kinds = [], []
-    for size, row in _aims.rows(result):
+    for size, row in _aims.cost_by_fleet_size(result):
         flat = dict(row)
         kinds.append({"vms": size, **flat.pop("bytes_per_s_by_kind")})
         ages = flat.pop("load_age_s")
@@ -124,19 +124,21 @@
             _titled("An agent, by the size of the fleet", costs),
             _titled("Bytes a second an agent sends, by kind", kinds),
             _titled("Slopes over these sizes, for each further VM", slopes),
-            _titled("Changes at 9 VMs, in seconds", _key_values(_flat(result))),
+            _titled(
+                "Changes at 9 VMs, in seconds", _key_values(_flattened(result))
+            ),
         )
     )
 
 
 def _overload_tables(result: dict) -> str:
-    rows = _aims.no_worse_off(result)
+    rows = _aims.variants_no_worse(result)
     title = "Where a mechanism off, or the baseline, was no worse"
     first = _titled(title, rows) if rows else f"{title}: nowhere."
     return f"{first}\n\n{overload.markdown(result)}"
 
 
-def _flat(result: dict) -> dict:
+def _flattened(result: dict) -> dict:
     changes = dict(result["nine"])
     changes["killed_s"] = [
         "never" if kill is None else f"{kill['first']} to {kill['last']}"
@@ -250,7 +252,7 @@
     return "## Runs\n\n" + (table(rows) if rows else "No notes.")
 
 
-def _missed(results: dict[str, dict]) -> str:
+def _missed_aims(results: dict[str, dict]) -> str:
     rows = [
         {"measurement": section.name, **row}
         for section in SECTIONS
@@ -286,8 +288,8 @@
 
 
 def page(results: dict[str, dict], folder: pathlib.Path) -> str:
-    """Returns the page and writes its pictures into a folder."""
-    parts = [_HEAD.strip(), _runs(results), _missed(results)]
+    """Returns the text of the page and writes its plots into a folder."""
+    parts = [_HEAD.strip(), _runs(results), _missed_aims(results)]
     for section in SECTIONS:
         result = results.get(section.name)
         plots = _plots.write(section.name, result, folder) if result else []
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,7 @@
-"""What each role spends at the size of two years' time, from slopes."""
+"""Estimates the cost of each role at the size expected in two years.
+
+The estimates are linear fits through measurements at smaller sizes.
+"""
 
 from bench import _capacity_control as control
 from bench import _capacity_relay as relay
@@ -11,12 +14,13 @@
 
 _SIZE = FleetSize()
 _CALLER_DATAGRAM_BYTES = 1200
-_RING_CHANGES_PER_S = 2 * _SIZE.restarts_a_day / 86_400
+_RING_CHANGES_PER_S = 2 * _SIZE.restarts_per_day / 86_400
+"""Membership changes per second: each restart is a leave and a join."""
 
 
 def slopes() -> dict[str, list[dict]]:
-    """Returns the lines of each role as rows."""
-    flows, rate = _SIZE.flows_a_vm, _SIZE.new_flows_a_vm
+    """Returns the linear fits of each role as table rows."""
+    flows, rate = _SIZE.flows_per_vm, _SIZE.new_flows_per_vm_s
     return {
         "relay": [
             relay.flow_memory(flows).row(),
@@ -37,8 +41,8 @@
             control.report_cost(_SIZE.endpoints).row(),
             control.member_memory(_SIZE.vms).row(),
             control.heartbeat_cost(_SIZE.vms).row(),
-            control.report_news_bytes(8).row(),
-            control.sharing_cost(_SIZE.vms * _SIZE.endpoints).row(),
+            control.endpoint_report_bytes(8).row(),
+            control.probe_assignment_cost(_SIZE.vms * _SIZE.endpoints).row(),
         ],
     }
 
@@ -58,7 +62,7 @@
 
 
 def run() -> dict:
-    """Runs every slope, the ring at full size, and real agents."""
+    """Measures all linear fits, the ring at full size, and real agents."""
     measured = agents.run()
     return {
         "slopes": slopes(),
--- a/bench/entry_start.py
+++ b/bench/entry_start.py
@@ -1,9 +1,9 @@
-"""How long a VM of the platform takes from its start to its first packet.
+"""Start-up time of a platform VM until it forwards its first packet.
 
-Where all VMs lose power at once, clients wait for nothing else: each tenth of
-a second of start is a tenth of a second in which nobody is served. On a small
-VM processor time decides, so that is what is measured: until the first packet
-reaches an endpoint, and until the program answers that it is ready.
+When all VMs lose power at once, clients wait only for this: each tenth of a
+second of start-up is a tenth of a second in which nobody is served. On a small
+VM the start is bound by CPU, so CPU time is measured: until the first packet
+reaches an endpoint, and until the program reports that it is ready.
 """
 
 import os
@@ -24,18 +24,18 @@
 NAME = "entry_start"
 DESCRIPTION = "Processor time of a VM's start, until its first packet."
 
-BEFORE = "POLLENMAST_BEFORE"
-"""An environment variable: the `src` folder of the version to compare with."""
+BASELINE_ENV = "POLLENMAST_BEFORE"
+"""Environment variable with the `src` folder of the version to compare to."""
 
 _NET = f"127.{100 + os.getpid() % 100}"
-_STORE = (f"{_NET}.2.1", 8169)
+_STORE_ADDRESS = (f"{_NET}.2.1", 8169)
 _VM, _PACKETS, _READY = f"{_NET}.3.1", 8172, 8167
 _ENDPOINTS = 10
 _ROUTES = 115
 _STARTS = 20
-_PACE_S = 0.002
-_WITHIN_S = 20.0
-_NANO = 1e-6
+_POLL_INTERVAL_S = 0.002
+_START_TIMEOUT_S = 20.0
+_MS_PER_NS = 1e-6
 _SETTINGS = f"""\
 nodeId=vm-1
 zone=a
@@ -44,13 +44,20 @@
 listenAddrs.control={_VM}:8166
 internalPorts=7720,7735
 seedNodes={_VM}:8166
-platform.address={_STORE[0]}:{_STORE[1]}
+platform.address={_STORE_ADDRESS[0]}:{_STORE_ADDRESS[1]}
 """
 
 
 @attrs.frozen
 class _Start:
-    """One start: milliseconds of processor time, and of time, and memory."""
+    """Measured figures of one start.
+
+    Attributes:
+        packet_ms: CPU time until the first packet reached the endpoint.
+        ready_ms: CPU time until the program reported that it was ready.
+        packet_wall_ms: Wall-clock time until the first packet.
+        memory_kb: Peak resident memory.
+    """
 
     packet_ms: float
     ready_ms: float
@@ -59,10 +66,10 @@
 
 
 def run() -> dict:
-    """Starts the program again and again, by turns with the other version."""
+    """Starts the program repeatedly, alternating with the other version."""
     sources = {"this": str(pathlib.Path("src").resolve())}
-    if os.environ.get(BEFORE):
-        sources["before"] = os.environ[BEFORE]
+    if os.environ.get(BASELINE_ENV):
+        sources["before"] = os.environ[BASELINE_ENV]
     starts = anyio.run(_measure, sources)
     return {"starts": [_row(name, each) for name, each in starts.items()]}
 
@@ -90,11 +97,11 @@
         settings = pathlib.Path(folder) / "vm.conf"
         settings.write_text(_SETTINGS)
         async with anyio.create_task_group() as tasks:
-            await tasks.start(http.serve, store, *_STORE)
+            await tasks.start(http.serve, store, *_STORE_ADDRESS)
             for number in range(_STARTS + 1):
                 for name, source in sources.items():
                     start = await _start(source, str(settings), sock)
-                    # The first start compiles the modules.
+                    # The first start is dropped, as it compiles the modules.
                     if number:
                         starts[name].append(start)
             tasks.cancel_scope.cancel()
@@ -103,7 +110,7 @@
 
 
 def _store() -> Store:
-    """Returns a store with a small site's entries; all at one address."""
+    """Returns a store with the entries of a small site, all at one address."""
     store = Store()
     routes = [
         {
@@ -149,11 +156,11 @@
     )
     began = anyio.current_time()
     try:
-        with anyio.fail_after(_WITHIN_S):
-            await _until_carried(sock)
+        with anyio.fail_after(_START_TIMEOUT_S):
+            await _wait_for_first_packet(sock)
             packet_ms = _cpu_ms(process.pid)
             wall_ms = (anyio.current_time() - began) * 1000.0
-            await _until_ready()
+            await _wait_until_ready()
             ready_ms = _cpu_ms(process.pid)
         return _Start(packet_ms, ready_ms, wall_ms, _peak_kb(process.pid))
     finally:
@@ -161,25 +168,25 @@
         process.wait()
 
 
-async def _until_carried(sock) -> None:
-    """Sends SYNs, each of another flow, until one reaches the endpoint."""
-    _drain(sock)
+async def _wait_for_first_packet(sock) -> None:
+    """Sends a SYN of a new flow repeatedly until one reaches the endpoint."""
+    _drain_socket(sock)
     client = segments.bind(f"{_NET}.1.7", 0)
     port = 1024
     try:
-        while not _drain(sock):
+        while not _drain_socket(sock):
             port += 1
             head = segments.Head(
                 0, port, "100.64.0.7", 443, "198.18.0.1", 7, 0, segments.SYN
             )
             client.sendto(head.encode(), (_VM, _PACKETS))
-            await anyio.sleep(_PACE_S)
+            await anyio.sleep(_POLL_INTERVAL_S)
     finally:
         client.close()
 
 
-def _drain(sock) -> int:
-    """Reads what waits; returns how many datagrams that were."""
+def _drain_socket(sock) -> int:
+    """Reads all pending datagrams and returns their number."""
     count = 0
     while True:
         try:
@@ -189,19 +196,19 @@
         count += 1
 
 
-async def _until_ready() -> None:
+async def _wait_until_ready() -> None:
     while True:
         connection = http1.Connection(_VM, _READY)
         answer = await connection.get("/readiness", 1.0)
         await connection.aclose()
         if answer.is_ok() and answer.ok_value.status == 200:
             return
-        await anyio.sleep(_PACE_S)
+        await anyio.sleep(_POLL_INTERVAL_S)
 
 
 def _cpu_ms(pid: int) -> float:
     text = pathlib.Path(f"/proc/{pid}/schedstat").read_text()
-    return int(text.split()[0]) * _NANO
+    return int(text.split()[0]) * _MS_PER_NS
 
 
 def _peak_kb(pid: int) -> int:
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,8 +1,8 @@
-"""Decisions under load, judged by what callers receive.
+"""Placement decisions under load, evaluated by the results of callers.
 
-Each load pattern runs with the baseline (random placement, no limits), with
-everything on, and once with each mechanism off that answers it. Every run of
-one pattern has the same seed, so the same callers ask.
+Each load pattern runs with the baseline (random placement, no limits), with all
+mechanisms on, and once with each relevant mechanism off. All runs of a pattern
+use the same seed and so the same callers.
 """
 
 import contextlib
@@ -23,15 +23,15 @@
 
 SEED = 20
 
-SETTLE_S = 5.0
-"""Time after the last request in which the open ones may end."""
+DRAIN_S = 5.0
+"""Seconds after the last request in which open requests may finish."""
 
 
 _IMBALANCES = (("placed", measures.placed_in), ("used", measures.used_in))
 
 
 def run_pattern(pattern: Pattern, make=Dispatcher, seed: int = SEED) -> Fleet:
-    """Runs one pattern and returns the fleet for measuring."""
+    """Runs a pattern and returns the simulated fleet for evaluation."""
     kind = ServiceKind.SESSION if pattern.sessions else ServiceKind.REQUEST
     dispatchers = [
         make(ZONES[vm % len(ZONES)], random.Random(seed * 1000 + vm))
@@ -39,18 +39,18 @@
     ]
     fleet = Fleet(manifest(kind=kind), dispatchers, seed, pattern.sessions)
     pattern.setup(fleet)
-    fleet.loop.run(pattern.end + SETTLE_S)
+    fleet.loop.run(pattern.end + DRAIN_S)
     return fleet
 
 
 def measure(pattern: Pattern, fleet: Fleet) -> dict:
-    """Returns a run's figures."""
-    jobs = [job for job in fleet.jobs if pattern.belongs(job)]
+    """Returns the figures of a run."""
+    jobs = [job for job in fleet.jobs if pattern.is_judged(job)]
     names = list(pattern.names)
     begin, end = pattern.begin, pattern.end
     figures = measures.received(jobs, begin, end)
     if pattern.sessions:
-        # Sessions last; how long says nothing of the decisions.
+        # The length of a session does not depend on the decisions.
         figures["open"] = figures.pop("unanswered")
         figures |= dict.fromkeys(("median_ms", "p99_ms", "p999_ms"), "")
     figures |= measures.refusals(fleet)
@@ -66,25 +66,25 @@
         ratios = measures.imbalance(fleet, names, begin, end, values)
         figures |= {f"{kind}_{key}": value for key, value in ratios.items()}
     if pattern.change_at is not None:
-        figures |= _change(pattern, fleet, names)
+        figures |= _recovery_figures(pattern, fleet, names)
     return figures
 
 
-def _change(pattern: Pattern, fleet: Fleet, names: list[str]) -> dict:
+def _recovery_figures(pattern: Pattern, fleet: Fleet, names: list[str]) -> dict:
     values = measures.used_in if pattern.sessions else measures.placed_in
     gone = set(fleet.upstreams) - set(names)
     last = [fleet.upstreams[n].placed[-1] - pattern.change_at for n in gone]
     return {
-        "to_even_s": measures.time_to_even(
+        "to_even_s": measures.time_to_balance(
             fleet, names, pattern.change_at, pattern.end, values
         ),
         "last_new_work_s": round(max(last), 2) if last else "",
-        "newcomer_share": _newcomer_share(pattern, fleet, names),
+        "newcomer_share": _new_endpoint_share(pattern, fleet, names),
     }
 
 
-def _newcomer_share(pattern: Pattern, fleet: Fleet, names: list[str]):
-    """Returns the newest endpoint's part of an equal share, first 5 s."""
+def _new_endpoint_share(pattern: Pattern, fleet: Fleet, names: list[str]):
+    """Returns the new endpoint's arrivals over an equal share, first 5 s."""
     if len(names) <= ENDPOINTS:
         return ""
     window = (pattern.change_at, pattern.change_at + 5.0)
@@ -97,11 +97,11 @@
     yield "all on", Dispatcher, contextlib.nullcontext
     for switch in SWITCHES:
         if pattern.name in switch.patterns:
-            yield f"no {switch.name}", Dispatcher, switch.off
+            yield f"no {switch.name}", Dispatcher, switch.disabled
 
 
 def run() -> dict:
-    """Runs every pattern in every variant, and every size of fleet."""
+    """Runs all variants of all patterns, and all fleet sizes."""
     results = {pattern.name: _run_variants(pattern) for pattern in PATTERNS}
     return {**results, "sizes": run_sizes()}
 
--- a/docs_tool/_imports.py
+++ b/docs_tool/_imports.py
@@ -1,4 +1,4 @@
-"""Makes docs/IMPORTS.md: which package imports which, lowest first."""
+"""Generates docs/IMPORTS.md: imports between packages, lowest level first."""
 
 import ast
 import graphlib
@@ -19,20 +19,20 @@
 
 
 def imports() -> dict[str, set[str]]:
-    """Returns the packages that each package imports."""
+    """Returns the imported packages of each package."""
     found: dict[str, set[str]] = {}
     for path in sorted(_ROOT.rglob("*.py")):
         package = _package(path.relative_to(_ROOT).parts)
         targets = found.setdefault(package, set())
-        targets |= _targets(path) - {package}
+        targets |= _imported_packages(path) - {package}
     return found
 
 
 def levels(graph: dict[str, set[str]]) -> list[list[str]]:
-    """Returns the packages in levels, each above all that it imports.
+    """Sorts packages into levels, each above everything it imports.
 
     Raises:
-        graphlib.CycleError: Some packages import each other.
+        graphlib.CycleError: The imports form a cycle.
     """
     sorter = graphlib.TopologicalSorter(graph)
     sorter.prepare()
@@ -45,10 +45,10 @@
 
 
 def page() -> str:
-    """Returns the page."""
+    """Returns the text of the page."""
     graph = imports()
     rows = [
-        (number, code(package), _listed(graph.get(package, set())))
+        (number, code(package), _format_packages(graph.get(package, set())))
         for number, level in enumerate(levels(graph), 1)
         for package in level
     ]
@@ -56,7 +56,7 @@
     return HEAD + _INTRODUCTION + table(heads, rows)
 
 
-def _listed(packages: set[str]) -> str:
+def _format_packages(packages: set[str]) -> str:
     return ", ".join(code(each) for each in sorted(packages)) or "nothing"
 
 
@@ -66,18 +66,20 @@
     return parts[0] if len(parts) > 1 else _TOP
 
 
-def _targets(path: pathlib.Path) -> set[str]:
+def _imported_packages(path: pathlib.Path) -> set[str]:
     found = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
             for alias in node.names:
-                found |= _named(alias.name, [])
+                found |= _resolve_packages(alias.name, [])
         elif isinstance(node, ast.ImportFrom) and node.module:
-            found |= _named(node.module, [alias.name for alias in node.names])
+            found |= _resolve_packages(
+                node.module, [alias.name for alias in node.names]
+            )
     return found
 
 
-def _named(module: str, names: list[str]) -> set[str]:
+def _resolve_packages(module: str, names: list[str]) -> set[str]:
     top, *rest = module.split(".")
     if top != _TOP:
         return set()
--- a/packing/bootstrap/native_modules.py
+++ b/packing/bootstrap/native_modules.py
@@ -1,8 +1,8 @@
-"""Imports native modules from the zip that holds this one, through memory.
+"""Imports native modules from the zip that contains this module.
 
-The C library loads a native module from a file only, and a VM has no disk
-to unpack to. So the module is copied into an anonymous file in memory
-(memfd_create) that belongs to this process alone, and loaded from there.
+The C library can load a native module only from a file, and a VM has no disk to
+unpack it to. The module is therefore copied into an anonymous in-memory file
+(memfd_create), private to this process, and loaded from there.
 """
 
 import errno
@@ -16,26 +16,30 @@
 _SUFFIXES = tuple(importlib.machinery.EXTENSION_SUFFIXES)
 
 LIST = "native_modules.txt"
-"""File of the zip that lists its native modules, so that a start need not
-read the names of some three thousand files."""
+"""File in the zip that lists its native modules.
+
+It saves reading the names of some three thousand files at start.
+"""
 
 _MFD_EXEC = 0x10
-"""Asks for a file that may be executed, where the kernel wants to be asked
-(Linux 6.3 with vm.memfd_noexec=1). Python 3.11 has no name for it."""
+"""The flag MFD_EXEC of memfd_create, which Python 3.11 does not define.
+
+It requests an executable file, which Linux 6.3 requires if vm.memfd_noexec=1.
+"""
 
 
 class NativeFinder(importlib.abc.MetaPathFinder):
-    """Finds native modules inside a zip."""
+    """Import finder for native modules inside a zip."""
 
     def __init__(self, archive: str):
         self._archive = archive
         self._importer = zipimport.zipimporter(archive)
         names = self._read(LIST).decode().split()
-        self._names = {_module(name): name for name in names}
+        self._names = {_module_name(name): name for name in names}
 
     @property
     def modules(self) -> list[str]:
-        """The modules that it finds."""
+        """Names of the native modules in the zip."""
         return sorted(self._names)
 
     def find_spec(self, fullname, path=None, target=None):
@@ -43,7 +47,7 @@
         name = self._names.get(fullname)
         if name is None:
             return None
-        file = _in_memory(fullname, self._read(name))
+        file = _write_to_memfd(fullname, self._read(name))
         loader = importlib.machinery.ExtensionFileLoader(fullname, file)
         return importlib.util.spec_from_file_location(
             fullname, file, loader=loader
@@ -54,30 +58,31 @@
 
 
 def install(archive: str) -> None:
-    """Adds the finder after those of Python itself."""
+    """Appends the finder to Python's own finders."""
     sys.meta_path.append(NativeFinder(archive))
 
 
-def _module(name: str) -> str:
-    # The longest suffix: ".abi3.so" ends with ".so" as well.
+def _module_name(name: str) -> str:
+    # Removes the longest suffix, as ".abi3.so" also ends with ".so".
     suffix = max((s for s in _SUFFIXES if name.endswith(s)), key=len)
     return name.removesuffix(suffix).replace("/", ".")
 
 
-def _in_memory(name: str, data: bytes) -> str:
-    """Returns the path of an anonymous file that holds the data.
+def _write_to_memfd(name: str, data: bytes) -> str:
+    """Writes the data to an anonymous file and returns its path.
 
-    Its descriptor stays open. Were it closed, the next module would get the
-    same number and so the same path, and the C library would take it for the
-    module it has already loaded: the import would end in "undefined symbol".
+    The descriptor is kept open. If it were closed, the next module would get
+    the same descriptor number and so the same path. The C library would take it
+    for the module already loaded, and the import would fail with "undefined
+    symbol".
     """
-    descriptor = _open_memory(name)
+    descriptor = _create_memfd(name)
     with open(descriptor, "wb", closefd=False) as stream:
         stream.write(data)
     return f"/proc/self/fd/{descriptor}"
 
 
-def _open_memory(name: str) -> int:
+def _create_memfd(name: str) -> int:
     try:
         return os.memfd_create(name, os.MFD_CLOEXEC | _MFD_EXEC)
     except OSError as error:
