--- a/src/pollenmast/entry/_peers.py
+++ b/src/pollenmast/entry/_peers.py
@@ -25,7 +25,7 @@
 POLL_INTERVAL_S = 1.0
 """Seconds between two rounds of requests to the seeds."""
 
-TIMEOUTS = http1.Patience(first_s=0.4, idle_s=0.4, total_s=2.0)
+TIMEOUTS = http1.Timeouts(first_s=0.4, idle_s=0.4, total_s=2.0)
 """Timeouts of a request to a peer. A peer in the region answers within
 milliseconds unless it is down or cut off. The total is longer because the
 peer's link may be slow while all VMs of a zone ask it at once."""
--- a/src/pollenmast/http1/__init__.py
+++ b/src/pollenmast/http1/__init__.py
@@ -3,8 +3,8 @@
 from pollenmast.http1._client import (
     Connection,
     HttpFault,
-    Patience,
     Response,
+    Timeouts,
 )
 from pollenmast.http1._server import Answer, Handler, Request, serve
 
@@ -13,8 +13,8 @@
     "Connection",
     "Handler",
     "HttpFault",
-    "Patience",
     "Request",
     "Response",
+    "Timeouts",
     "serve",
 ]
--- a/src/pollenmast/http1/_client.py
+++ b/src/pollenmast/http1/_client.py
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class Patience:
+class Timeouts:
     """Timeouts for a response that can take seconds over a slow link.
 
     With a single timeout, a response that is too long for the link to transfer
@@ -81,7 +81,7 @@
     async def get(
         self,
         target: str,
-        timeout: float | Patience,
+        timeout: float | Timeouts,
         most: int | None = None,
     ) -> Result[Response, HttpFault]:
         """Sends a GET request and reads the response.
@@ -99,8 +99,8 @@
         Returns:
             The response, or the reason why there is none.
         """
-        if not isinstance(timeout, Patience):
-            timeout = Patience(timeout, timeout, timeout)
+        if not isinstance(timeout, Timeouts):
+            timeout = Timeouts(timeout, timeout, timeout)
         self._request_max_body_bytes, self._response_started = most, False
         total_deadline = anyio.current_time() + timeout.total_s
         with anyio.move_on_after(timeout.first_s) as scope:
--- a/src/pollenmast/platform/_store.py
+++ b/src/pollenmast/platform/_store.py
@@ -21,7 +21,7 @@
     Update,
 )
 
-READ_TIMEOUTS = http1.Patience(first_s=1.0, idle_s=1.0, total_s=8.0)
+READ_TIMEOUTS = http1.Timeouts(first_s=1.0, idle_s=1.0, total_s=8.0)
 """Timeouts of reads, in seconds.
 
 The store responds in 4 ms; a second without a byte means that the store is down
@@ -139,7 +139,7 @@
             The changes, none if nothing changed within `wait_s`, or a fault.
         """
         first_s = wait_s + WATCH_MARGIN_S
-        timeouts = http1.Patience(
+        timeouts = http1.Timeouts(
             first_s, WATCH_IDLE_TIMEOUT_S, first_s + WATCH_BODY_TIMEOUT_S
         )
         target = _watch_target(_ALL_KEYS_PREFIX, after, wait_s)
@@ -180,7 +180,7 @@
         self,
         target: str,
         after: Position,
-        timeouts: http1.Patience,
+        timeouts: http1.Timeouts,
         max_bytes: int | None = None,
     ) -> Result[_WatchedEvents, DirectoryFault]:
         """Requests a watch and returns its events.
@@ -215,7 +215,7 @@
         connection: http1.Connection,
         target: str,
         known_epoch: int,
-        timeouts: http1.Patience,
+        timeouts: http1.Timeouts,
         max_bytes: int | None = None,
     ) -> Result[_StoreResponse, DirectoryFault]:
         """Requests a JSON object.
--- a/tests/fleet_group.py
+++ b/tests/fleet_group.py
@@ -37,7 +37,7 @@
     def __init__(self, site: HttpHandler | None):
         self._site = site
 
-    async def get(self, target: str, patience, most=None):
+    async def get(self, target: str, timeouts, most=None):
         if self._site is None:
             return Err(HttpFault.UNREACHABLE)
         answer = await self._site.answer(http1.Request("GET", target))
@@ -56,11 +56,11 @@
         self._host = host
         self.sent_bytes = 0
 
-    async def get(self, target: str, patience, most=None):
+    async def get(self, target: str, timeouts, most=None):
         if self._host in self._cut_off:
-            await anyio.sleep(patience.first_s)
+            await anyio.sleep(timeouts.first_s)
             return Err(HttpFault.TIMEOUT)
-        return await self._store.get(target, patience, most)
+        return await self._store.get(target, timeouts, most)
 
     async def aclose(self) -> None:
         """Closes nothing."""
--- a/tests/http1_test.py
+++ b/tests/http1_test.py
@@ -14,7 +14,7 @@
     Answer,
     Connection,
     HttpFault,
-    Patience,
+    Timeouts,
     _client,
     _server,
 )
@@ -206,18 +206,18 @@
         self.assertNotIn(b"200", self._serve(data)[:20])
 
 
-class PatienceTest(TestCase):
+class SlowResponseTest(TestCase):
     """Responses that take seconds over a slow link."""
 
     def _get(self, server, most: int | None = None):
-        patience = Patience(first_s=1.0, idle_s=0.5, total_s=6.0)
+        timeouts = Timeouts(first_s=1.0, idle_s=0.5, total_s=6.0)
 
         async def main():
             async with trio.open_nursery() as nursery:
                 Network(self, nursery, server)
                 connection = Connection("10.0.0.1", 1)
                 started_at = trio.current_time()
-                outcome = await connection.get("/", patience, most)
+                outcome = await connection.get("/", timeouts, most)
                 nursery.cancel_scope.cancel()
                 return outcome, trio.current_time() - started_at
 
--- a/tests/store_group.py
+++ b/tests/store_group.py
@@ -14,7 +14,7 @@
 from pollenmast.counters import Counters, Histograms
 from pollenmast.entry._follow import Follower
 from pollenmast.events import EventLog
-from pollenmast.http1 import HttpFault, Patience, Response
+from pollenmast.http1 import HttpFault, Response, Timeouts
 from pollenmast.platform._store import StoreDirectory
 from standins.http import Request
 from standins.store import Store
@@ -54,18 +54,18 @@
         self._link = link
         self.sent_bytes = 0
 
-    async def get(self, target: str, patience: Patience, most=None):
+    async def get(self, target: str, timeouts: Timeouts, most=None):
         """Returns a response as `http1.Connection.get` does."""
         path, _, query = target.partition("?")
         pairs = dict(urllib.parse.parse_qsl(query, keep_blank_values=True))
-        with anyio.move_on_after(patience.first_s):
+        with anyio.move_on_after(timeouts.first_s):
             request = Request("GET", path, pairs, b"")
             response = await self._store.handle(request)
             if response.status is None:
                 return Err(HttpFault.UNREACHABLE)
             if most is not None and len(response.body) > most:
                 return Err(HttpFault.OVERSIZED)
-            return await self._transfer(response, patience.total_s)
+            return await self._transfer(response, timeouts.total_s)
         return Err(HttpFault.TIMEOUT)
 
     async def _transfer(self, response, total_s: float):
