--- a/bench/_control_stubs.py
+++ b/bench/_control_stubs.py
@@ -111,7 +111,7 @@
 async def serve_load(address: str, port: int, rng: random.Random) -> None:
     """Serves a load report that changes with each probe, like a busy one."""
 
-    async def handle(_: http1.Request) -> http1.Answer:
+    async def handle(_: http1.Request) -> http1.ServerResponse:
         load = {
             "accepting": True,
             "running": rng.randint(0, 2),
@@ -121,7 +121,7 @@
             "finished": int(anyio.current_time() * 1000),
             "uptime_s": anyio.current_time(),
         }
-        return http1.Answer(200, json.dumps(load).encode())
+        return http1.ServerResponse(200, json.dumps(load).encode())
 
     listener = await anyio.create_tcp_listener(
         local_host=address, local_port=port
--- a/src/pollenmast/entry/_site.py
+++ b/src/pollenmast/entry/_site.py
@@ -10,7 +10,7 @@
 from pollenmast.entry import _metrics as metrics
 from pollenmast.entry import _peers as peers
 from pollenmast.entry import _snapshot as snapshot
-from pollenmast.http1 import Answer, Request
+from pollenmast.http1 import Request, ServerResponse
 from pollenmast.steering import START_POSITION, Position, Steering
 
 METRICS_PATH = "/metrics"
@@ -22,8 +22,8 @@
 MAX_DIGITS = 19
 """Maximum number of digits of a number in a query string."""
 
-_NOT_FOUND = Answer(404, b"not found\n")
-_NO_CONTENT = Answer(204)
+_NOT_FOUND = ServerResponse(404, b"not found\n")
+_NO_CONTENT = ServerResponse(204)
 
 
 class HttpHandler:
@@ -47,7 +47,7 @@
         """Reports the VM as not ready from now on, as it shuts down."""
         self._stopping = True
 
-    async def answer(self, request: Request) -> http1.Answer:
+    async def answer(self, request: Request) -> http1.ServerResponse:
         """Returns the response to a request."""
         url = urllib.parse.urlsplit(request.target)
         if url.path == self._ready_path:
@@ -58,19 +58,21 @@
             return self._metrics()
         return _NOT_FOUND
 
-    def _readiness(self) -> Answer:
+    def _readiness(self) -> ServerResponse:
         if self._steering.serves and not self._stopping:
-            return Answer(200, b"ready\n")
-        return Answer(503, b"not ready\n")
+            return ServerResponse(200, b"ready\n")
+        return ServerResponse(503, b"not ready\n")
 
-    def _snapshot(self, query: str) -> Answer:
+    def _snapshot(self, query: str) -> ServerResponse:
         fields = urllib.parse.parse_qs(query)
         known = Position(
             _parse_count(fields, "epoch"), _parse_count(fields, "after")
         )
         if not self._steering.ready or self._steering.position <= known:
             return _NO_CONTENT
-        return Answer(200, self._cached_snapshot(known), "application/zlib")
+        return ServerResponse(
+            200, self._cached_snapshot(known), "application/zlib"
+        )
 
     def _cached_snapshot(self, known: Position) -> bytes:
         """Returns a snapshot of what is newer than a position, from the cache.
@@ -88,10 +90,10 @@
             bodies[known] = snapshot.encode(self._steering, known)
         return bodies[known]
 
-    def _metrics(self) -> Answer:
+    def _metrics(self) -> ServerResponse:
         samples = gauges.read(self._steering, anyio.current_time())
         body = metrics.text(self._counters, self._histograms, samples)
-        return Answer(200, body, metrics.CONTENT_TYPE)
+        return ServerResponse(200, body, metrics.CONTENT_TYPE)
 
 
 def _parse_count(fields: dict[str, list[str]], name: str) -> int:
--- a/src/pollenmast/http1/__init__.py
+++ b/src/pollenmast/http1/__init__.py
@@ -6,15 +6,15 @@
     Response,
     Timeouts,
 )
-from pollenmast.http1._server import Answer, Handler, Request, serve
+from pollenmast.http1._server import Handler, Request, ServerResponse, serve
 
 __all__ = [
-    "Answer",
     "Connection",
     "Handler",
     "HttpFault",
     "Request",
     "Response",
+    "ServerResponse",
     "Timeouts",
     "serve",
 ]
--- a/src/pollenmast/http1/_server.py
+++ b/src/pollenmast/http1/_server.py
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class Answer:
+class ServerResponse:
     """An HTTP response to be sent.
 
     Attributes:
@@ -48,7 +48,7 @@
     content_type: str = "text/plain; charset=utf-8"
 
 
-Handler = Callable[[Request], Awaitable[Answer]]
+Handler = Callable[[Request], Awaitable[ServerResponse]]
 
 
 async def serve(listener: anyio.abc.Listener, handler: Handler) -> None:
@@ -132,18 +132,18 @@
 
     async def _send_bad_request(self) -> None:
         if self._protocol.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            await self._send_answer(Answer(400, b"bad request\n"))
+            await self._send_answer(ServerResponse(400, b"bad request\n"))
 
-    async def _send_answer(self, answer: Answer) -> None:
+    async def _send_answer(self, response: ServerResponse) -> None:
         head = h11.Response(
-            status_code=answer.status,
+            status_code=response.status,
             headers=[
-                ("Content-Type", answer.content_type),
-                ("Content-Length", str(len(answer.body))),
+                ("Content-Type", response.content_type),
+                ("Content-Length", str(len(response.body))),
             ],
         )
         data = self._protocol.send(head)
-        if answer.body:
-            data += self._protocol.send(h11.Data(data=answer.body))
+        if response.body:
+            data += self._protocol.send(h11.Data(data=response.body))
         data += self._protocol.send(h11.EndOfMessage())
         await self._stream.send(data)
--- a/src/pollenmast/operators/_site.py
+++ b/src/pollenmast/operators/_site.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from pollenmast.http1 import Answer, Request
+from pollenmast.http1 import Request, ServerResponse
 from pollenmast.operators import _metrics
 from pollenmast.operators._status import Status, to_json
 
@@ -53,39 +53,43 @@
         self._knowledge = knowledge
         self._metrics = metrics
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> ServerResponse:
         """Answers one request."""
         if request.method != "GET":
-            return Answer(405, b"only GET is answered here\n")
+            return ServerResponse(405, b"only GET is answered here\n")
         path, _, query = request.target.partition("?")
         match path:
             case "/status":
                 body = to_json(self._knowledge.status())
-                return Answer(200, body, _JSON)
+                return ServerResponse(200, body, _JSON)
             case "/metrics":
                 text = self._metrics.text()
-                return Answer(200, text, _metrics.CONTENT_TYPE)
+                return ServerResponse(200, text, _metrics.CONTENT_TYPE)
             case "/health":
                 return _check_answer(self._knowledge.health())
             case "/ready":
                 return _check_answer(self._knowledge.readiness())
             case "/explain":
                 return await self._explain(query)
-        return Answer(404, b"known: /status /metrics /health /ready /explain\n")
+        return ServerResponse(
+            404, b"known: /status /metrics /health /ready /explain\n"
+        )
 
-    async def _explain(self, query: str) -> Answer:
+    async def _explain(self, query: str) -> ServerResponse:
         try:
             fields = urllib.parse.parse_qs(query, max_num_fields=4)
         except ValueError:
-            return Answer(400, b"too many fields\n")
+            return ServerResponse(400, b"too many fields\n")
         subject = fields.get("subject", [""])[0]
         lines = await self._knowledge.explain(subject)
         if lines is None:
-            return Answer(503, b"the relay of this VM does not answer\n")
-        return Answer(200, to_json(_Explanation(subject, lines)), _JSON)
+            return ServerResponse(
+                503, b"the relay of this VM does not answer\n"
+            )
+        return ServerResponse(200, to_json(_Explanation(subject, lines)), _JSON)
 
 
-def _check_answer(fault: str | None) -> Answer:
+def _check_answer(fault: str | None) -> ServerResponse:
     if fault is None:
-        return Answer(200, b"ok\n")
-    return Answer(503, f"{fault}\n".encode())
+        return ServerResponse(200, b"ok\n")
+    return ServerResponse(503, f"{fault}\n".encode())
--- a/tests/fleet_group.py
+++ b/tests/fleet_group.py
@@ -40,8 +40,8 @@
     async def get(self, target: str, timeouts, most=None):
         if self._site is None:
             return Err(HttpFault.UNREACHABLE)
-        answer = await self._site.answer(http1.Request("GET", target))
-        return Ok(Response(answer.status, answer.body))
+        response = await self._site.answer(http1.Request("GET", target))
+        return Ok(Response(response.status, response.body))
 
     async def aclose(self) -> None:
         """Closes nothing."""
--- a/tests/http1_test.py
+++ b/tests/http1_test.py
@@ -11,9 +11,9 @@
 from testtools import TestCase
 
 from pollenmast.http1 import (
-    Answer,
     Connection,
     HttpFault,
+    ServerResponse,
     Timeouts,
     _client,
     _server,
@@ -160,7 +160,7 @@
 
     def _serve(self, *sent: bytes, end: bool = True) -> bytes:
         async def handle(request):
-            return Answer(200, request.target.encode())
+            return ServerResponse(200, request.target.encode())
 
         async def main():
             client_end, server_end = trio.testing.memory_stream_pair()
--- a/tests/operators_site_test.py
+++ b/tests/operators_site_test.py
@@ -93,9 +93,9 @@
 
         The fabric checks readiness and sees why a VM accepts no flows.
         """
-        answer = _ask(target, FakeKnowledge("no manifest yet"))
+        response = _ask(target, FakeKnowledge("no manifest yet"))
         self.assertEqual(
-            (503, b"no manifest yet\n"), (answer.status, answer.body)
+            (503, b"no manifest yet\n"), (response.status, response.body)
         )
 
     def test_status(self):
@@ -107,9 +107,9 @@
     def test_explain(self):
         """The subject is passed on unquoted, and the lines are returned."""
         knowledge = FakeKnowledge()
-        answer = _ask("/explain?subject=10.0.0.1%3A99", knowledge)
+        response = _ask("/explain?subject=10.0.0.1%3A99", knowledge)
         self.assertEqual(["10.0.0.1:99"], knowledge.subjects)
-        self.assertEqual(["a line"], json.loads(answer.body)["lines"])
+        self.assertEqual(["a line"], json.loads(response.body)["lines"])
 
     def test_explain_without_relay(self):
         """Without an answer of the relay, the status code is 503."""
