--- a/src/pollenmast/platform/_items.py
+++ b/src/pollenmast/platform/_items.py
@@ -25,7 +25,7 @@
 )
 
 
-def read_items(
+def parse_items(
     items: list[Any],
     revision: int,
     *,
--- a/src/pollenmast/platform/_listing.py
+++ b/src/pollenmast/platform/_listing.py
@@ -5,7 +5,7 @@
 from result import Err, Ok, Result
 
 from pollenmast.platform._early import LIST_ALL_PATH
-from pollenmast.platform._items import read_items
+from pollenmast.platform._items import parse_items
 from pollenmast.steering import DirectoryFault, Position, Update
 
 MAX_PAGES = 1000
@@ -91,7 +91,7 @@
 
     def to_update(self) -> Update:
         """Converts the list to an update; valid only after the last page."""
-        return read_items(
+        return parse_items(
             self._items,
             self.position.revision,
             complete=True,
--- a/src/pollenmast/platform/_store.py
+++ b/src/pollenmast/platform/_store.py
@@ -11,7 +11,7 @@
 from pollenmast.platform._early_client import MAX_BODY_BYTES
 from pollenmast.platform._entries import ENDPOINT_PREFIX, OPERATOR_PREFIX
 from pollenmast.platform._epoch import read_epoch
-from pollenmast.platform._items import read_items
+from pollenmast.platform._items import parse_items
 from pollenmast.platform._listing import Listing
 from pollenmast.steering import (
     START_POSITION,
@@ -117,7 +117,7 @@
         events = await self._fetch_events(target, after, READ_TIMEOUTS)
         if isinstance(events, Err):
             return events
-        update = read_items(
+        update = parse_items(
             [*operators.items, *events.ok_value.items],
             operators.position.revision,
             complete=False,
@@ -150,7 +150,7 @@
             return events
         position = events.ok_value.position
         return Ok(
-            read_items(
+            parse_items(
                 events.ok_value.items,
                 position.revision,
                 complete=False,
--- a/tests/steering_drains_test.py
+++ b/tests/steering_drains_test.py
@@ -7,7 +7,7 @@
 
 from pollenmast.counters import CheckReason, PlacementReason, ResetReason
 from pollenmast.entry import _snapshot as snapshot
-from pollenmast.platform._items import read_items
+from pollenmast.platform._items import parse_items
 from pollenmast.steering import (
     CheckResult,
     EndpointAnnounced,
@@ -229,7 +229,7 @@
         store = Store()
         store.put(key, value)
         items = json.loads(store.items_body())["items"]
-        return read_items(items, store.revision, complete=complete)
+        return parse_items(items, store.revision, complete=complete)
 
     def test_valid(self):
         """A drain is accepted even if no endpoint is known in the zone."""
@@ -259,5 +259,5 @@
     def test_removed(self):
         """Removing the entry restores the zone."""
         item = {"key": "op/evacuate/a", "revision": 5, "deleted": True}
-        update = read_items([item], 5, complete=False)
+        update = parse_items([item], 5, complete=False)
         self.assertEqual((ZoneRestored("a", 5),), update.changes)
