--- a/src/pollenmast/entry/_carrier.py
+++ b/src/pollenmast/entry/_carrier.py
@@ -107,7 +107,7 @@
         outcome = self._steering.on_segment(segment, now)
         if isinstance(outcome, Forward):
             endpoint = outcome.endpoint
-            data = self._packets.for_endpoint(segment, endpoint)
+            data = self._packets.encode_for_endpoint(segment, endpoint)
             self._send(data, (endpoint.host, endpoint.port))
             self._log_forward(segment, outcome, now)
         elif isinstance(outcome, Reset):
--- a/src/pollenmast/entry/_ports.py
+++ b/src/pollenmast/entry/_ports.py
@@ -74,7 +74,9 @@
         """
 
     @abc.abstractmethod
-    def for_endpoint(self, segment: Segment, endpoint: Endpoint) -> bytes:
+    def encode_for_endpoint(
+        self, segment: Segment, endpoint: Endpoint
+    ) -> bytes:
         """Returns the datagram that forwards a segment to its endpoint."""
 
     @abc.abstractmethod
--- a/src/pollenmast/platform/_packet.py
+++ b/src/pollenmast/platform/_packet.py
@@ -80,7 +80,9 @@
             )
         )
 
-    def for_endpoint(self, segment: Segment, endpoint: Endpoint) -> bytes:
+    def encode_for_endpoint(
+        self, segment: Segment, endpoint: Endpoint
+    ) -> bytes:
         """Returns the datagram that carries a segment to its endpoint."""
         packet = segment.datagram
         token = endpoint.token.to_bytes(4, "big")
--- a/tests/platform_packet_test.py
+++ b/tests/platform_packet_test.py
@@ -96,7 +96,7 @@
         """
         endpoint = group.endpoint(0x7F3A91C2)
         segment = PACKETS.decode(SYN).ok_value
-        data = PACKETS.for_endpoint(segment, endpoint)
+        data = PACKETS.encode_for_endpoint(segment, endpoint)
         number, packet = data[:8], data[8:]
         self.assertEqual(0x7F3A91C2, int.from_bytes(number, "big"))
         self.assertEqual(bytes.fromhex("7f3a91c2"), packet[4:8])
