--- a/src/pollenmast/entry/_carrier.py
+++ b/src/pollenmast/entry/_carrier.py
@@ -116,7 +116,7 @@
             self._log_drop(segment, outcome, now)
 
     def _send_reset(self, reset: Reset, request: str, now: float) -> None:
-        data, address = self._packets.for_reset(reset)
+        data, address = self._packets.encode_reset(reset)
         self._send(data, address)
         self._log.write(
             FLOW_RESET,
--- a/src/pollenmast/entry/_ports.py
+++ b/src/pollenmast/entry/_ports.py
@@ -80,7 +80,7 @@
         """Returns the datagram that forwards a segment to its endpoint."""
 
     @abc.abstractmethod
-    def for_reset(self, reset: Reset) -> tuple[bytes, Address]:
+    def encode_reset(self, reset: Reset) -> tuple[bytes, Address]:
         """Returns the datagram of a reset and the client's address."""
 
     @abc.abstractmethod
--- a/src/pollenmast/platform/_packet.py
+++ b/src/pollenmast/platform/_packet.py
@@ -95,7 +95,7 @@
             )
         )
 
-    def for_reset(self, reset: Reset) -> tuple[bytes, tuple[str, int]]:
+    def encode_reset(self, reset: Reset) -> tuple[bytes, tuple[str, int]]:
         """Returns the reset packet and the address to send it to."""
         flow = reset.flow
         packet = _HEADER.pack(
--- a/tests/platform_packet_test.py
+++ b/tests/platform_packet_test.py
@@ -105,6 +105,6 @@
     def test_for_reset(self):
         """A reset has the service's address as source and the clients' port."""
         reset = Reset(FLOW, 0, ResetReason.NO_ROUTE)
-        data, address = PACKETS.for_reset(reset)
+        data, address = PACKETS.encode_reset(reset)
         self.assertEqual(RESET, data)
         self.assertEqual(("100.64.0.7", 8172), address)
