--- a/src/pollenmast/exchange/__init__.py
+++ b/src/pollenmast/exchange/__init__.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 client protocol without I/O: no sockets, no event loop."""
 
 from pollenmast.exchange._exchange import (
-    EndedError,
+    ConnectionClosedError,
     Exchange,
     ProtocolError,
     Response,
@@ -9,7 +9,7 @@
 )
 
 __all__ = [
-    "EndedError",
+    "ConnectionClosedError",
     "Exchange",
     "ProtocolError",
     "Response",
--- a/src/pollenmast/exchange/_exchange.py
+++ b/src/pollenmast/exchange/_exchange.py
@@ -11,7 +11,7 @@
     """The response body exceeds the limit."""
 
 
-class EndedError(Exception):
+class ConnectionClosedError(Exception):
     """The connection was closed before the response was complete."""
 
 
@@ -76,8 +76,8 @@
         Raises:
             ProtocolError: The received bytes are not a valid HTTP response.
             TooLargeError: The body exceeds the limit.
-            EndedError: The connection was closed before the response was
-                complete.
+            ConnectionClosedError: The connection was closed before the
+                response was complete.
         """
         while True:
             event = self._protocol.next_event()
@@ -96,7 +96,7 @@
                 body = b"".join(self._body_parts)
                 return Response(self._status, body, self._headers)
             elif isinstance(event, h11.ConnectionClosed):
-                raise EndedError
+                raise ConnectionClosedError
 
     def next_cycle(self) -> bool:
         """Prepares for the next request; returns whether one is possible."""
--- a/src/pollenmast/http1/_client.py
+++ b/src/pollenmast/http1/_client.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from pollenmast.exchange import (
-    EndedError,
+    ConnectionClosedError,
     Exchange,
     ProtocolError,
     Response,
@@ -155,7 +155,7 @@
     async def _attempt(self, target: str) -> Result[Response, HttpFault]:
         try:
             response = await self._request(target)
-        except (OSError, anyio.BrokenResourceError, EndedError):
+        except (OSError, anyio.BrokenResourceError, ConnectionClosedError):
             await self.aclose()
             return Err(HttpFault.UNREACHABLE)
         except anyio.ClosedResourceError:
@@ -195,7 +195,7 @@
             if not data and not received:
                 # Closed before any byte of a response. Usually this is a
                 # reused connection that the server closed while it was idle.
-                raise EndedError
+                raise ConnectionClosedError
             received = self._response_started = True
             self._on_progress()
             self._exchange.feed(data)
--- a/src/pollenmast/platform/_early_client.py
+++ b/src/pollenmast/platform/_early_client.py
@@ -85,7 +85,7 @@
 
         Raises:
             OSError: The store cannot be reached.
-            EndedError: The store closed the connection early.
+            ConnectionClosedError: The store closed the connection early.
             ProtocolError: The response is not valid HTTP.
             TooLargeError: The body is longer than `MAX_BODY_BYTES`.
         """
--- a/src/pollenmast/platform/_first_read.py
+++ b/src/pollenmast/platform/_first_read.py
@@ -8,7 +8,11 @@
 
 from pollenmast.counters import PLATFORM_CALLS, Counters
 from pollenmast.entry import InitialRead
-from pollenmast.exchange import EndedError, ProtocolError, TooLargeError
+from pollenmast.exchange import (
+    ConnectionClosedError,
+    ProtocolError,
+    TooLargeError,
+)
 from pollenmast.platform._early_client import EarlyStoreClient
 from pollenmast.platform._epoch import read_epoch
 from pollenmast.platform._listing import Listing
@@ -82,7 +86,7 @@
         """
         try:
             response = self._client.receive(wait_s)
-        except (OSError, EndedError):
+        except (OSError, ConnectionClosedError):
             return Err(DirectoryFault.UNREACHABLE)
         except (ProtocolError, TooLargeError):
             return Err(DirectoryFault.MALFORMED)
