--- a/src/pollenmast/entry/_carrier.py
+++ b/src/pollenmast/entry/_carrier.py
@@ -107,7 +107,7 @@
         outcome = self._steering.on_segment(segment, now)
         if isinstance(outcome, Forward):
             endpoint = outcome.endpoint
-            data = self._packets.for_endpoint(segment, endpoint)
+            data = self._packets.encode_for_endpoint(segment, endpoint)
             self._send(data, (endpoint.host, endpoint.port))
             self._log_forward(segment, outcome, now)
         elif isinstance(outcome, Reset):
@@ -116,7 +116,7 @@
             self._log_drop(segment, outcome, now)
 
     def _send_reset(self, reset: Reset, request: str, now: float) -> None:
-        data, address = self._packets.for_reset(reset)
+        data, address = self._packets.encode_reset(reset)
         self._send(data, address)
         self._log.write(
             FLOW_RESET,
--- a/src/pollenmast/entry/_ports.py
+++ b/src/pollenmast/entry/_ports.py
@@ -74,11 +74,13 @@
         """
 
     @abc.abstractmethod
-    def for_endpoint(self, segment: Segment, endpoint: Endpoint) -> bytes:
+    def encode_for_endpoint(
+        self, segment: Segment, endpoint: Endpoint
+    ) -> bytes:
         """Returns the datagram that forwards a segment to its endpoint."""
 
     @abc.abstractmethod
-    def for_reset(self, reset: Reset) -> tuple[bytes, Address]:
+    def encode_reset(self, reset: Reset) -> tuple[bytes, Address]:
         """Returns the datagram of a reset and the client's address."""
 
     @abc.abstractmethod
--- a/src/pollenmast/http1/__init__.py
+++ b/src/pollenmast/http1/__init__.py
@@ -3,18 +3,18 @@
 from pollenmast.http1._client import (
     Connection,
     HttpFault,
-    Patience,
     Response,
+    Timeouts,
 )
-from pollenmast.http1._server import Answer, Handler, Request, serve
+from pollenmast.http1._server import Handler, Request, ServerResponse, serve
 
 __all__ = [
-    "Answer",
     "Connection",
     "Handler",
     "HttpFault",
-    "Patience",
     "Request",
     "Response",
+    "ServerResponse",
+    "Timeouts",
     "serve",
 ]
--- a/src/pollenmast/platform/_packet.py
+++ b/src/pollenmast/platform/_packet.py
@@ -80,7 +80,9 @@
             )
         )
 
-    def for_endpoint(self, segment: Segment, endpoint: Endpoint) -> bytes:
+    def encode_for_endpoint(
+        self, segment: Segment, endpoint: Endpoint
+    ) -> bytes:
         """Returns the datagram that carries a segment to its endpoint."""
         packet = segment.datagram
         token = endpoint.token.to_bytes(4, "big")
@@ -93,7 +95,7 @@
             )
         )
 
-    def for_reset(self, reset: Reset) -> tuple[bytes, tuple[str, int]]:
+    def encode_reset(self, reset: Reset) -> tuple[bytes, tuple[str, int]]:
         """Returns the reset packet and the address to send it to."""
         flow = reset.flow
         packet = _HEADER.pack(
--- a/src/pollenmast/platform/_store.py
+++ b/src/pollenmast/platform/_store.py
@@ -11,7 +11,7 @@
 from pollenmast.platform._early_client import MAX_BODY_BYTES
 from pollenmast.platform._entries import ENDPOINT_PREFIX, OPERATOR_PREFIX
 from pollenmast.platform._epoch import read_epoch
-from pollenmast.platform._items import read_items
+from pollenmast.platform._items import parse_items
 from pollenmast.platform._listing import Listing
 from pollenmast.steering import (
     START_POSITION,
@@ -21,7 +21,7 @@
     Update,
 )
 
-READ_TIMEOUTS = http1.Patience(first_s=1.0, idle_s=1.0, total_s=8.0)
+READ_TIMEOUTS = http1.Timeouts(first_s=1.0, idle_s=1.0, total_s=8.0)
 """Timeouts of reads, in seconds.
 
 The store responds in 4 ms; a second without a byte means that the store is down
@@ -117,7 +117,7 @@
         events = await self._fetch_events(target, after, READ_TIMEOUTS)
         if isinstance(events, Err):
             return events
-        update = read_items(
+        update = parse_items(
             [*operators.items, *events.ok_value.items],
             operators.position.revision,
             complete=False,
@@ -139,7 +139,7 @@
             The changes, none if nothing changed within `wait_s`, or a fault.
         """
         first_s = wait_s + WATCH_MARGIN_S
-        timeouts = http1.Patience(
+        timeouts = http1.Timeouts(
             first_s, WATCH_IDLE_TIMEOUT_S, first_s + WATCH_BODY_TIMEOUT_S
         )
         target = _watch_target(_ALL_KEYS_PREFIX, after, wait_s)
@@ -150,7 +150,7 @@
             return events
         position = events.ok_value.position
         return Ok(
-            read_items(
+            parse_items(
                 events.ok_value.items,
                 position.revision,
                 complete=False,
@@ -180,7 +180,7 @@
         self,
         target: str,
         after: Position,
-        timeouts: http1.Patience,
+        timeouts: http1.Timeouts,
         max_bytes: int | None = None,
     ) -> Result[_WatchedEvents, DirectoryFault]:
         """Requests a watch and returns its events.
@@ -215,7 +215,7 @@
         connection: http1.Connection,
         target: str,
         known_epoch: int,
-        timeouts: http1.Patience,
+        timeouts: http1.Timeouts,
         max_bytes: int | None = None,
     ) -> Result[_StoreResponse, DirectoryFault]:
         """Requests a JSON object.
--- a/tests/platform_packet_test.py
+++ b/tests/platform_packet_test.py
@@ -96,7 +96,7 @@
         """
         endpoint = group.endpoint(0x7F3A91C2)
         segment = PACKETS.decode(SYN).ok_value
-        data = PACKETS.for_endpoint(segment, endpoint)
+        data = PACKETS.encode_for_endpoint(segment, endpoint)
         number, packet = data[:8], data[8:]
         self.assertEqual(0x7F3A91C2, int.from_bytes(number, "big"))
         self.assertEqual(bytes.fromhex("7f3a91c2"), packet[4:8])
@@ -105,6 +105,6 @@
     def test_for_reset(self):
         """A reset has the service's address as source and the clients' port."""
         reset = Reset(FLOW, 0, ResetReason.NO_ROUTE)
-        data, address = PACKETS.for_reset(reset)
+        data, address = PACKETS.encode_reset(reset)
         self.assertEqual(RESET, data)
         self.assertEqual(("100.64.0.7", 8172), address)
