--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what surrounds pollenmast, for the demo and tests."""
+"""Stand-ins for the systems around pollenmast, for the demo and tests."""
--- a/standins/_ledger.py
+++ b/standins/_ledger.py
@@ -1,4 +1,4 @@
-"""Joins what callers were told with what upstreams ran."""
+"""Compares the outcomes that callers saw with the requests upstreams ran."""
 
 import collections
 from collections.abc import Iterable, Mapping
@@ -8,28 +8,31 @@
 from standins import _records
 
 DETECT_S = 5.0
-"""Flows opened so shortly after an unplanned loss still meet it: the lease of
-the lost VM runs out and the platform's list lags."""
+"""Time after an unplanned loss in which new flows may still be affected.
+
+In seconds. In this time the lease of the lost VM expires and the platform's
+list is outdated.
+"""
 
 _BROKEN = (_records.Fate.BROKEN, _records.Fate.UNOPENED)
 
 
 @attrs.define
 class Tally:
-    """Counts of one part of the flows.
+    """Counts of a group of flows and requests.
 
     Attributes:
-        flows: Flows begun, refused ones included.
-        requests: Requests asked, each once however many attempts it took.
-        answered: Requests answered whole.
-        refused: Requests that ended with being told that they were not run.
-        broken_flows: Flows that ended although their caller kept them, or
-            were never answered.
+        flows: Flows started, including refused ones.
+        requests: Requests made, each counted once regardless of its attempts.
+        answered: Requests with a complete answer.
+        refused: Requests that ended with a refusal, so were not run.
+        broken_flows: Flows that ended without being closed by their caller,
+            or were never answered.
         wrong_service: Requests that reached another service.
-        lost: Requests without an answer, their outcome unknown.
+        lost: Requests without an answer, whose outcome is unknown.
         doubled: Requests run more than once.
-        cut: Requests of which a part of the answer came.
-        late_refusals: Attempts told not to have run, which ran.
+        cut: Requests with a partial answer.
+        late_refusals: Attempts that were refused as not run, but did run.
     """
 
     flows: int = 0
@@ -44,41 +47,50 @@
     late_refusals: int = 0
 
     def faults(self) -> int:
-        """Returns how much went wrong."""
+        """Returns the number of faults."""
         return self.broken_flows + self.lost + self.cut + self.never_excused()
 
     def never_excused(self) -> int:
-        """Returns what must not happen even after an unplanned loss."""
+        """Returns the number of faults that no unplanned loss excuses."""
         return self.wrong_service + self.doubled + self.late_refusals
 
 
 @attrs.frozen
 class Loss:
-    """An unplanned loss of a VM, at this monotonic time."""
+    """An unplanned loss of a VM.
+
+    Attributes:
+        at: Time of the loss, on the monotonic clock.
+    """
 
     at: float
 
     def hits_flow(self, flow: _records.FlowRecord) -> bool:
-        """Returns whether the flow lived through it."""
+        """Returns whether the loss may have affected the flow."""
         ended = flow.ended is None or flow.ended >= self.at
         return flow.opened <= self.at + DETECT_S and ended
 
     def hits_request(self, request: _records.RequestRecord) -> bool:
-        """Returns whether the request, or the flow that bore it, did."""
+        """Returns whether the loss may have affected the request or its flow."""
         ended = request.ended is None or request.ended >= self.at
         return request.flow_opened <= self.at + DETECT_S and ended
 
 
 @attrs.frozen
 class Ledger:
-    """Both parts: what is promised, and what an unplanned loss may break."""
+    """The tallies of one run.
+
+    Attributes:
+        promised: Flows and requests for which every guarantee holds.
+        after_loss: Those that an unplanned loss may have broken.
+    """
 
     promised: Tally
     after_loss: Tally
 
 
 class Executions:
-    """What all upstreams together ran."""
+    """The executions of all upstreams together."""
 
     def __init__(self, counted: Mapping[str, Mapping]):
         self.wrong_service = 0
@@ -91,11 +103,11 @@
                 self._requests[attempt.rpartition("#")[0]] += times
 
     def of_request(self, identifier: str) -> int:
-        """Returns how often any attempt of a request ran."""
+        """Returns how many times a request ran, over all attempts."""
         return self._requests[identifier]
 
     def of_attempt(self, identifier: str, attempt: int) -> int:
-        """Returns how often one attempt ran."""
+        """Returns how many times one attempt ran."""
         return self._attempts[f"{identifier}#{attempt}"]
 
 
@@ -104,13 +116,13 @@
     executions: Executions,
     loss: Loss | None = None,
 ) -> Ledger:
-    """Returns the counts of both parts.
+    """Returns the tallies of a run.
 
     Args:
-        results: What each callers program recorded.
-        executions: What the upstreams ran.
-        loss: The unplanned loss, if there was one. Flows and requests that
-            lived through it are counted on their own.
+        results: The records of each callers program.
+        executions: The executions of the upstreams.
+        loss: The unplanned loss, if there was one. Flows and requests that it
+            may have affected are counted separately.
     """
     promised, after = Tally(), Tally()
     for result in results:
@@ -120,7 +132,7 @@
         for request in result.requests:
             hit = loss is not None and loss.hits_request(request)
             _count_request(after if hit else promised, request, executions)
-    # An upstream knows the request but not when its flow was opened.
+    # Not attributable to a loss: upstreams do not know when a flow was opened.
     promised.wrong_service += executions.wrong_service
     return Ledger(promised, after)
 
@@ -149,5 +161,5 @@
         case _records.Outcome.LOST | _records.Outcome.PENDING:
             tally.lost += 1
         case _records.Outcome.WRONG:
-            # The upstream that was reached has counted it already.
+            # Counted by the upstream that received it.
             pass
--- a/standins/_places.py
+++ b/standins/_places.py
@@ -1,7 +1,8 @@
-"""Where a fleet's endpoints and VMs run, and the files that say so.
+"""Locations of a fleet's endpoints and VMs, its manifest and settings files.
 
-The sizes are Ramcharan's: three availability zones, a registry of seven
-endpoints and barcodes of three, 2 slots and 2,000 connections each.
+The sizes are those of Ramcharan: three availability zones, a registry with
+seven endpoints and a barcode service with three, and 2 slots and 2,000
+connections per endpoint.
 """
 
 import configparser
@@ -24,7 +25,7 @@
 
 @attrs.frozen
 class Upstream:
-    """Where one upstream endpoint runs."""
+    """Name, service and location of one upstream endpoint."""
 
     name: str
     service: str
@@ -50,12 +51,12 @@
     """A service of the brief.
 
     Attributes:
-        name: Its name.
-        number: Its number in the manifest.
-        port: UDP port that callers use.
+        name: The service's name.
+        number: The service's number in the manifest.
+        port: The UDP port that callers use.
         kind: `session` or `request`.
         idempotent: Whether a request may run twice.
-        endpoints: How many endpoints it has.
+        endpoints: The number of endpoints.
     """
 
     name: str
@@ -76,7 +77,7 @@
     zones: tuple[str, ...] = ZONES,
     addresses: Addresses = FIRST_BLOCK,
 ) -> list[Upstream]:
-    """Returns all endpoints, spread over the zones."""
+    """Returns all endpoints, distributed over the zones."""
     places = []
     for service in services:
         for number in range(service.endpoints):
@@ -97,7 +98,7 @@
     draining: frozenset[str] = frozenset(),
     services: tuple[ServiceSize, ...] = SERVICES,
 ) -> bytes:
-    """Returns a manifest's text with these endpoints."""
+    """Returns the text of a manifest with these endpoints."""
     return json.dumps(
         {
             "version": version,
@@ -124,7 +125,7 @@
 
 @attrs.frozen
 class VmPlace:
-    """Where one entry VM runs."""
+    """Name and location of one entry VM."""
 
     name: str
     zone: str
@@ -148,7 +149,7 @@
     zones: tuple[str, ...] = ZONES,
     addresses: Addresses = FIRST_BLOCK,
 ) -> VmPlace:
-    """Returns the place of the VM with this number, from 1."""
+    """Returns the location of a VM, numbered from 1."""
     zone = zones[(number - 1) % len(zones)]
     return VmPlace(f"vm-{number}", zone, addresses.vm(number))
 
@@ -160,7 +161,11 @@
     overrides: dict[str, dict[str, str]] | None = None,
     addresses: Addresses = FIRST_BLOCK,
 ) -> pathlib.Path:
-    """Writes a VM's settings file, and the fleet's key beside it."""
+    """Writes a VM's settings file, and the fleet key unless it exists.
+
+    Returns:
+        The path of the settings file.
+    """
     key = folder / "fleet.key"
     if not key.exists():
         key.write_text(secrets.token_hex(32))
--- a/standins/_quic.py
+++ b/standins/_quic.py
@@ -1,4 +1,4 @@
-"""Drives one aioquic connection from a reactor."""
+"""Runs aioquic connections on a reactor."""
 
 import abc
 import datetime
@@ -15,19 +15,23 @@
 ALPN = "pollenmast-demo"
 CONNECTION_REFUSED = 0x2
 IDLE_S = 15.0
-"""Several keep-alives, and short enough for a demo to see a dead session."""
+"""Idle time-out of a connection, in seconds.
+
+Spans several keep-alives, and is short enough for the demo to detect a dead
+session.
+"""
 
 
 class Peer(abc.ABC):
-    """What a connection tells the program above it."""
+    """Receives the events of a connection."""
 
     @abc.abstractmethod
     def on_event(self, event: events.QuicEvent) -> None:
-        """Takes one event of the connection."""
+        """Handles one event of the connection."""
 
 
 class Link:
-    """One QUIC connection, its socket and its timer."""
+    """A QUIC connection with its socket and timer."""
 
     def __init__(
         self,
@@ -46,14 +50,15 @@
         self._dirty = False
 
     def receive(self, data: bytes, address: _reactor.Address) -> None:
-        """Takes one datagram."""
+        """Handles a received datagram."""
         self.quic.receive_datagram(data, address, self._reactor.now)
         self.touch()
 
     def touch(self) -> None:
-        """Sends what is due at the end of this turn.
+        """Schedules sending for the end of this reactor turn.
 
-        Several datagrams that came in one turn share an acknowledgement.
+        Datagrams that arrive in the same turn can thus share one
+        acknowledgement.
         """
         if not self._dirty:
             self._dirty = True
@@ -66,10 +71,10 @@
         self.touch()
 
     def refuse(self, reason: str) -> None:
-        """Refuses the connection.
+        """Refuses the connection with a transport error.
 
-        A transport error: one of the application's own would reach a caller
-        in the middle of its handshake without its code and reason.
+        An application error during the handshake would reach the caller
+        without its code and reason.
         """
         self.closing = True
         self.quic.close(
@@ -96,9 +101,9 @@
         self._arm()
 
     def _closed_by_peer(self) -> bool:
-        # The library tells of a close only when its draining period is over,
-        # 0.6 s after a refusal that came at once. Callers would then seem to
-        # have waited for what they were told long before.
+        # aioquic reports a close only after its draining period, which is
+        # 0.6 s after an immediate refusal. Without this check callers would
+        # appear to have waited that long for the refusal.
         known = self.quic._close_event is not None
         return known and not self.closing and not self.ended
 
@@ -121,10 +126,10 @@
 
 
 def client_configuration(idle_s: float = IDLE_S):
-    """Returns what a caller's connection needs.
+    """Returns the configuration of a caller's connection.
 
-    The certificate is made by the stand-in upstream itself, so there is
-    nothing to check it against.
+    Certificates are not verified, because stand-in upstreams use self-signed
+    ones.
     """
     return configuration.QuicConfiguration(
         is_client=True,
@@ -135,7 +140,7 @@
 
 
 def server_configuration(name: str, idle_s: float = IDLE_S):
-    """Returns what an upstream's connections need, with a new certificate."""
+    """Returns an upstream's configuration, with a new certificate."""
     key = ec.generate_private_key(ec.SECP256R1())
     return configuration.QuicConfiguration(
         is_client=False,
--- a/standins/_session.py
+++ b/standins/_session.py
@@ -1,4 +1,4 @@
-"""A caller that keeps a long session: a live feed, and submissions."""
+"""A caller with a long-lived session that has a live feed and submissions."""
 
 import json
 
@@ -7,16 +7,17 @@
 REOPEN_S = 1.0
 RETIRE_CHECK_S = 0.05
 LATE_S = 0.5
-"""An alert older than this is noted as late."""
+"""Age in seconds beyond which an alert is recorded as late."""
 
 MOST_STALLS = 50
 
 
 class SessionCaller(_flow.FlowOwner):
-    """One publisher or cell controller.
+    """A publisher or cell controller.
 
-    A submission whose outcome is unknown is never sent again: it may have
-    run. One that was told not to have run comes back under the same id.
+    A submission whose outcome is unknown is never retried, because it may
+    have run. A submission that was refused without being run is retried under
+    the same id.
     """
 
     def __init__(self, shared: _asking.Shared):
@@ -30,7 +31,7 @@
         self._again: list[_records.RequestRecord] = []
 
     def open(self) -> None:
-        """Opens a session, unless the program is about to end."""
+        """Opens a session, unless the program is finishing."""
         shared = self._shared
         if shared.finishing:
             return
@@ -49,7 +50,7 @@
 
     @property
     def waiting(self) -> int:
-        """Submissions whose outcome is open."""
+        """Number of submissions that have no outcome yet."""
         return len(self._asked)
 
     def close(self) -> None:
@@ -58,7 +59,7 @@
             self._flow.close()
 
     def on_connected(self) -> None:
-        """Opens the feed and begins to submit."""
+        """Opens the feed, retries refused submissions and starts timers."""
         plan = self._shared.plan
         if plan.feed_s:
             self._open_feed()
@@ -74,7 +75,7 @@
             self._later(plan.lifetime_s, lambda: self._retire(flow))
 
     def on_data(self, stream: int, data: bytes, end: bool) -> None:
-        """Takes alerts, or an answer."""
+        """Handles data of the feed or of an answer."""
         if stream == self._feed:
             self._take_alerts(data)
             return
@@ -88,7 +89,10 @@
             self._end_request(stream, outcome)
 
     def on_end(self, ending: _flow.Ending) -> None:
-        """Notes what is lost, and opens another session where one broke."""
+        """Records the outcome of open submissions and schedules a new session.
+
+        Submissions of a refused flow are kept to be retried.
+        """
         self._shared.open_flows -= 1
         refused = ending.fate is _records.Fate.REFUSED
         for stream, record in list(self._asked.items()):
--- a/standins/_work.py
+++ b/standins/_work.py
@@ -1,4 +1,4 @@
-"""What one upstream does with requests: runs, answers, feeds, and counts."""
+"""Request handling of one upstream: running, answering, feeds and counters."""
 
 import collections
 import enum
@@ -11,38 +11,41 @@
 from standins import _listener, _reactor, _slots
 
 COLD_FACTOR = 3.0
-"""How much longer work takes on an endpoint that has just started."""
+"""Factor on the duration of work while an endpoint is newly started."""
 
 SLOW_FACTOR = 10.0
 MOST_LINE_BYTES = 4_096
 SILENT_AFTER_DRAIN_S = 3.0
-"""A leaving upstream gets no new work this long after it said so."""
+"""Time after the start of a drain for which new connections may still come.
+
+In seconds. From then on a leaving upstream must get no new work.
+"""
 
 
 class Fault(str, enum.Enum):
-    """How the endpoint misbehaves."""
+    """A fault that the endpoint simulates."""
 
     OK = "ok"
     SLOW = "slow"
     LYING = "lying"
-    """Reports that it is idle, whatever it does."""
+    """Reports that it is idle, whatever its load."""
 
     FROZEN_REPORT = "frozen_report"
     SILENT = "silent"
-    """Takes datagrams and answers none; its report goes on."""
+    """Reads datagrams and answers none, but still reports its load."""
 
     DEAD = "dead"
 
 
 @attrs.define
 class Tally:
-    """What the endpoint counted since it started.
+    """Counters of one endpoint since its start.
 
     Attributes:
         executions: How often each attempt (`id`, `attempt`) was run.
         wrong_service: Requests that named another service.
-        cut: Requests whose connection ended before their answer was out.
-        shed: Requests told that they were not run.
+        cut: Requests whose connection ended before the answer was sent.
+        shed: Requests rejected without being run.
         late_connections: Connections opened well after a drain began.
     """
 
@@ -54,13 +57,13 @@
 
 
 def image(identifier: str, size: int) -> bytes:
-    """Returns the image that this request id stands for."""
+    """Returns the image that belongs to a request id."""
     seed = hashlib.blake2b(identifier.encode(), digest_size=32).digest()
     return (seed * (size // len(seed) + 1))[:size]
 
 
 class Endpoint(_listener.SessionFactory):
-    """The state that all connections of one endpoint share."""
+    """State shared by all connections of one endpoint."""
 
     def __init__(
         self,
@@ -80,7 +83,7 @@
         self._sessions: dict[int, WorkSession] = {}
 
     def open(self) -> "WorkSession":
-        """Returns what serves one new connection."""
+        """Returns the session that serves a new connection."""
         since = self.draining_since
         if since is not None:
             late = self.reactor.now - since > SILENT_AFTER_DRAIN_S
@@ -90,11 +93,15 @@
         return session
 
     def close(self, session: "WorkSession") -> None:
-        """Forgets a connection that has ended."""
+        """Removes a connection that has ended."""
         self._sessions.pop(id(session), None)
 
     def work_s(self, asked_s: float) -> float:
-        """Returns how long this work takes now."""
+        """Returns the current duration of work, in seconds.
+
+        Args:
+            asked_s: The duration that the request asked for, in seconds.
+        """
         if self.fault is Fault.SLOW:
             return asked_s * SLOW_FACTOR
         if self.reactor.now < self._cold_until:
@@ -102,7 +109,7 @@
         return asked_s
 
     def start(self, job: _slots.Job) -> None:
-        """Counts a job as run and lets its time pass."""
+        """Counts a job as run and schedules its end."""
         session_id, stream = job.key
         session = self._sessions.get(session_id)
         if session is not None:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,7 +1,7 @@
-"""The demo: a small fleet under real requests, while things change.
+"""The demo: a small fleet that serves requests while its configuration changes.
 
-Its last line of output is one JSON object. It exits with 0 when nothing that
-is promised was broken, with 1 otherwise.
+The last line of output is one JSON object. The exit code is 0 if every
+guarantee was kept and no step failed, otherwise 1.
 """
 
 import argparse
@@ -18,31 +18,38 @@
 from standins import _summary, fleet, world
 
 MOST_S = 56.0
-"""The whole demo stays under a minute."""
+"""Time limit in seconds, so that the whole demo stays under a minute."""
 
 SESSIONS = 120
 SUBMISSIONS_A_SECOND = 0.2
 VISITORS = 20
 VISITOR_SUBMISSIONS_A_SECOND = 1.0
 VISIT_S = 2.0
-"""Short sessions, so that there is new work to be kept off the leaving."""
+"""Lifetime of a visitor's session, in seconds.
+
+Short, so that new sessions keep arriving that must not be sent to endpoints
+and VMs that are leaving.
+"""
 
 IMAGES_A_SECOND = 20.0
 PAUSE_S = 3.0
-"""Between two changes, so that what each does can be told apart."""
+"""Pause between changes in seconds, to keep their effects apart."""
 
 INTERRUPTED = 130
-"""The exit code that shells expect after a keyboard interrupt."""
+"""Exit code that shells expect after a keyboard interrupt."""
 
 GRACE_S = 15.0
 SETTINGS = {"relay": {"grace_s": "8"}}
-"""A leaving relay passes on late answers while their callers still use its
-path; they send at least each 2 s here, so 8 s are ample."""
+"""VM settings of the demo.
+
+A leaving relay forwards late answers for as long as callers use its path.
+Callers here send at least every 2 s, so a grace period of 8 s is ample.
+"""
 
 PROGRESS_EVERY_S = 2.0
 SHOWN_COUNTERS = ("drops", "fallbacks", "refusals", "repaths", "retries")
 LAST_WORDS = 3
-"""Lines of error output shown of each process when the demo fails."""
+"""Number of last stderr lines shown per failed process."""
 
 FIRST_VMS = (1, 2, 3)
 REPLACED, REPLACEMENT, KILLED = 1, 4, 2
@@ -52,19 +59,23 @@
 
 
 class Demo:
-    """One run."""
+    """One run of the demo.
+
+    Attributes:
+        problems: Failures other than those of requests and flows.
+    """
 
     def __init__(self, folder: pathlib.Path):
         self._world = world.World(folder, overrides=SETTINGS)
         self._began = time.monotonic()
         self.problems: list[str] = []
-        """What went wrong besides requests and flows."""
+        """Failures other than those of requests and flows."""
 
     async def run(self) -> dict:
         """Runs the demo and returns its summary.
 
         Raises:
-            world.WorldError: Something without which it cannot go on.
+            world.WorldError: A failure after which the run cannot continue.
         """
         await self._start()
         async with anyio.create_task_group() as tasks:
@@ -76,7 +87,7 @@
         return await self._summary(outcome)
 
     async def stop(self) -> None:
-        """Ends every process, and looks that all have ended."""
+        """Stops every process and reports those that are still running."""
         processes = self._world.processes
         await processes.stop()
         for process in processes.running:
@@ -87,12 +98,12 @@
             self.say("all processes have ended")
 
     def say(self, text: str) -> None:
-        """Prints one line of progress."""
+        """Prints one progress line with the elapsed time."""
         elapsed_s = time.monotonic() - self._began
         print(f"{elapsed_s:5.1f} s  {text}", flush=True)
 
     def problem(self, text: str) -> None:
-        """Notes what went wrong; the demo ends with a fault."""
+        """Records a failure, which makes the demo exit with 1."""
         self.problems.append(text)
         self.say(f"PROBLEM: {text}")
 
@@ -103,7 +114,7 @@
                 self.say(f"{process.name} ({process.exit_code}): {line}")
 
     async def _attempt(self, step: Awaitable[float]) -> float | None:
-        """Takes one step; the run goes on where it fails."""
+        """Awaits one step; on failure records the problem and returns None."""
         try:
             return await step
         except world.WorldError as error:
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -1,9 +1,9 @@
-"""A stand-in for the fabric: hands each datagram to a VM picked at random.
+"""A stand-in for the fabric that sends each datagram to a random VM.
 
-It keeps one socket for each caller and service, bound to the caller's own
-IP number, so that relays see a stable flow and know callers apart. On request
-it writes the way of every datagram to a file, so that what a lost flow met can
-be told datagram by datagram.
+It keeps one socket per caller and service, bound to the caller's own IP
+address, so that relays see a stable source address for each flow and can tell
+callers apart. It can trace every datagram to a file, so that the path of a
+lost flow can be followed datagram by datagram.
 """
 
 import argparse
@@ -25,15 +25,29 @@
 IDLE_S = 30.0
 SWEEP_EVERY_S = 1.0
 LONG_HEADER = 0x80
-"""Set in the first byte of a packet of the handshake."""
+"""Bit in the first byte of a QUIC packet that marks a long header.
+
+Handshake packets have long headers.
+"""
 
 MOST_CALLERS = 16_000
-"""Below the usual bound of open files; the longest idle one goes first."""
+"""Limit on open caller sockets, below the usual limit of open files.
+
+At the limit the caller that has been idle longest is evicted.
+"""
 
 
 @attrs.define(eq=False)
 class _Caller:
-    """One caller of one service."""
+    """The sockets of one caller and service.
+
+    Attributes:
+        address: The caller's address.
+        service: The socket that the caller sends to.
+        port: The service's UDP port.
+        socket: The socket from which the caller's datagrams go to VMs.
+        last: Time of the caller's last datagram.
+    """
 
     address: _reactor.Address
     service: socket.socket
@@ -43,7 +57,7 @@
 
 
 class Fabric:
-    """The data path between callers and VMs."""
+    """Forwards datagrams between callers and VMs."""
 
     def __init__(
         self,
@@ -68,13 +82,13 @@
 
     @property
     def callers(self) -> int:
-        """How many callers are kept."""
+        """Number of callers that have an open socket."""
         return len(self._callers)
 
     def forget_callers(self) -> None:
-        """Forgets every caller, as a router does that restarts.
+        """Drops the state of every caller, as a restarting router does.
 
-        Each caller's next datagram comes to the VMs from another port.
+        Each caller's next datagram reaches the VMs from a new source port.
         """
         for caller in self._callers.values():
             self._reactor.remove(caller.socket)
@@ -105,7 +119,7 @@
         self._deliver(caller.service, data, caller.address)
 
     def _note(self, caller: _Caller, way: str, vm: str, data: bytes) -> None:
-        """Writes one datagram's way, if that was asked for."""
+        """Writes one datagram to the trace, if tracing is on."""
         if self._trace is None:
             return
         line = {
@@ -163,13 +177,13 @@
 
 
 class AdminPort(http.Handler):
-    """What tests and the demo turn."""
+    """The HTTP port by which tests and the demo control the fabric."""
 
     def __init__(self, fabric: Fabric):
         self._fabric = fabric
 
     async def handle(self, request: http.Request) -> http.Response:
-        """Sets the faults, forgets callers, or shows the counts."""
+        """Sets the faults, drops caller state, or returns the counters."""
         match request.method, request.path:
             case "POST", "/fault":
                 self._fabric.spray.faults = _faults(request.json())
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet in the brief's sizes: its files, and its processes."""
+"""A small fleet of the size in the brief: its files and processes."""
 
 import json
 import pathlib
@@ -62,7 +62,7 @@
             self.start_program(program)
 
     def start_program(self, program: str) -> None:
-        """Starts one program, for the first time or after its end."""
+        """Starts one program, or restarts it after it has exited."""
         self.programs[program] = self._processes.start(
             f"{self.place.name}-{program}",
             "pollenmast",
@@ -77,7 +77,7 @@
             process.signal(number)
 
     async def ended(self, within_s: float) -> bool:
-        """Waits for the end of both; returns whether both came."""
+        """Waits for both programs to exit; returns whether both did."""
         until = time.monotonic() + within_s
         ends = [
             await process.ended(until - time.monotonic())
@@ -98,12 +98,12 @@
         return all(code is None for code in self.exit_codes.values())
 
     async def is_ready(self) -> bool:
-        """Returns whether the VM says that it takes flows."""
+        """Returns whether the VM reports that it accepts flows."""
         answer = await self._ask("/ready")
         return answer.status == 200
 
     async def status(self) -> dict:
-        """Returns what the VM says of itself, empty where it is silent."""
+        """Returns the VM's status, or an empty dict if it does not answer."""
         answer = await self._ask("/status")
         return json.loads(answer.body) if answer.status == 200 else {}
 
@@ -114,7 +114,7 @@
 
 
 class Surroundings:
-    """What stands around the VMs: platform, upstreams, fabric, callers."""
+    """The stand-ins around the VMs: platform, upstreams, fabric and callers."""
 
     def __init__(
         self,
@@ -131,7 +131,7 @@
         lag_s: float = 1.0,
         trace: pathlib.Path | None = None,
     ) -> bool:
-        """Starts all but the callers; returns whether all became ready.
+        """Starts all stand-ins except callers; returns whether all are ready.
 
         Args:
             places: The upstreams.
@@ -176,7 +176,7 @@
     def start_callers(
         self, name: str, kind: str, service: ServiceSize, **options: object
     ):
-        """Starts a callers program; options are its flags."""
+        """Starts a callers program; `options` become its flags."""
         flags = [
             text
             for flag, value in options.items()
@@ -209,40 +209,40 @@
         )
 
     async def list_vms(self, entries: list[dict], at_once=False) -> None:
-        """Sets the platform's list."""
+        """Sets the platform's VM list."""
         await self._platform("/vms", {"vms": entries, "at_once": at_once})
 
     async def platform_fault(self, mode: str, delay_s: float = 0.0) -> None:
-        """Brings a fault of the platform, or ends it with `ok`."""
+        """Sets the platform's fault; `ok` clears it."""
         await self._platform("/fault", {"mode": mode, "delay_s": delay_s})
 
     async def fabric_fault(self, **faults: object) -> None:
-        """Sets the fabric's faults; without any it is whole."""
+        """Sets the fabric's faults; without arguments clears them."""
         await self._fabric("/fault", faults)
 
     async def fabric_counts(self) -> dict[str, int]:
-        """Returns how many datagrams went where."""
+        """Returns the fabric's datagram counters."""
         answer = await http.fetch(
             self._addresses.fabric, FABRIC_ADMIN_PORT, "/counts"
         )
         return json.loads(answer.body)
 
     async def forget_callers(self) -> None:
-        """Has the fabric give every caller a new source port."""
+        """Makes the fabric give every caller a new source port."""
         await self._fabric("/forget", {})
 
     async def upstream_fault(self, name: str, mode: str) -> None:
-        """Brings a fault of one upstream, or ends it with `ok`."""
+        """Sets the fault of one upstream; `ok` clears it."""
         address = self.upstreams[name].address
         await http.post(address, ADMIN_PORT, "/fault", {"mode": mode})
 
     async def drain(self, name: str) -> None:
-        """Has one upstream say that it takes no new work."""
+        """Makes one upstream report that it accepts no new work."""
         address = self.upstreams[name].address
         await http.post(address, ADMIN_PORT, "/drain", {})
 
     async def executions(self) -> dict[str, dict]:
-        """Returns what each upstream counted, by its name."""
+        """Returns each upstream's counters, by its name."""
         counted = {}
         for name, place in self.upstreams.items():
             answer = await http.fetch(place.address, ADMIN_PORT, "/executions")
@@ -251,7 +251,7 @@
         return counted
 
     async def calls(self) -> dict:
-        """Returns how often the platform was read."""
+        """Returns the platform's counts of calls."""
         answer = await http.fetch(
             self._addresses.platform, PLATFORM_ADMIN_PORT, "/calls"
         )
--- a/standins/http.py
+++ b/standins/http.py
@@ -1,4 +1,4 @@
-"""A minimal HTTP/1.1 server and client: JSON, keep-alive, h11 over TCP."""
+"""A minimal HTTP/1.1 server and client for JSON: h11 over TCP, keep-alive."""
 
 import abc
 import json
@@ -11,7 +11,10 @@
 import h11
 
 MOST_BODY_BYTES = 4 * 1024 * 1024
-"""A manifest is a megabyte at most; more than four is not ours."""
+"""Limit on the size of a body, in bytes.
+
+A manifest has at most 1 MB, so a body of more than 4 MB is not one of ours.
+"""
 
 READ_BYTES = 65_536
 CLIENT_TIMEOUT_S = 5.0
@@ -19,7 +22,7 @@
 
 @attrs.frozen
 class Request:
-    """One request that was read whole."""
+    """A complete HTTP request."""
 
     method: str
     path: str
@@ -27,13 +30,19 @@
     body: bytes
 
     def json(self) -> dict:
-        """Returns the body's JSON object; an empty body is an empty one."""
+        """Returns the body's JSON object, or an empty dict without a body."""
         return json.loads(self.body) if self.body else {}
 
 
 @attrs.frozen
 class Response:
-    """An answer; with status None the connection is closed without one."""
+    """An HTTP response.
+
+    Attributes:
+        status: The status code; None closes the connection unanswered.
+        body: The body.
+        headers: Additional headers.
+    """
 
     status: int | None
     body: bytes = b""
@@ -50,11 +59,11 @@
 
 
 class Handler(abc.ABC):
-    """Answers the requests of one port."""
+    """Handles the requests of one port."""
 
     @abc.abstractmethod
     async def handle(self, request: Request) -> Response:
-        """Answers one request."""
+        """Returns the response to one request."""
 
 
 async def serve(
@@ -159,10 +168,10 @@
     body: bytes = b"",
     timeout_s: float = CLIENT_TIMEOUT_S,
 ) -> Response:
-    """Makes one request on a connection of its own.
+    """Makes one request on a new connection.
 
     Returns:
-        The answer, or `CLOSE_UNANSWERED` when none came in time.
+        The response, or `CLOSE_UNANSWERED` if none came in time.
     """
     with anyio.move_on_after(timeout_s):
         try:
@@ -173,7 +182,7 @@
 
 
 async def post(address: str, port: int, target: str, value: object) -> Response:
-    """Posts this value as JSON."""
+    """Makes a POST request with a value encoded as JSON."""
     body = json.dumps(value).encode()
     return await fetch(address, port, target, method="POST", body=body)
 
--- a/standins/memory.py
+++ b/standins/memory.py
@@ -1,8 +1,8 @@
-"""A fleet's relays in memory: small stand-ins at the relay's interfaces.
+"""An in-memory fleet of relays with fakes at the relay's interfaces.
 
-Wires, upstreams and callers; all is delivered in order unless a test says
-otherwise, and time is a number that the test advances. Tests and bench share
-it.
+The fakes stand for sockets, upstreams and callers. Packets are delivered in
+order unless a test says otherwise, and the test advances the clock. Tests and
+benchmarks share this module.
 """
 
 import random
@@ -61,14 +61,14 @@
 
 
 class FakeListener(Listener):
-    """A service's port whose answers the network keeps."""
+    """A service's port whose answers the network records."""
 
     def __init__(self, service, net):
         super().__init__(service)
         self._net = net
 
     def send(self, data, caller):
-        """Keeps an answer to a caller."""
+        """Records an answer to a caller."""
         self._net.answers.append((caller, data))
 
     def close(self):
@@ -76,7 +76,7 @@
 
 
 class FakePath(Path):
-    """A local port; packets go to the network's upstreams."""
+    """A local port that delivers packets to the network's upstreams."""
 
     def __init__(self, net, number):
         super().__init__()
@@ -84,7 +84,7 @@
         self.number = number
 
     def send(self, data, upstream):
-        """Passes a packet to the upstream."""
+        """Delivers a packet to the upstream."""
         self._net.at_upstream(self, data, upstream)
 
     def close(self):
@@ -107,18 +107,18 @@
         return FakePath(self._net, self.number)
 
     def send_peer(self, data, address):
-        """Passes an envelope to another fake VM."""
+        """Sends an envelope to another fake VM."""
         self._net.peer(self.number, data, address)
 
 
 @attrs.define
 class Session:
-    """What an upstream knows of one caller's session.
+    """An upstream's state of one caller's session.
 
     Attributes:
         upstream: The endpoint's address.
-        path: The path that its answers take: where it last heard from.
-        ran: Texts of the packets that it ran, in order.
+        path: The path that answers take, which is that of the last packet.
+        ran: Texts of the packets that the upstream ran, in order.
     """
 
     upstream: tuple[str, int]
@@ -127,17 +127,19 @@
 
 
 class Net:
-    """Some relays, the upstreams and the callers, in memory.
+    """Relays, upstreams and callers in memory.
 
     Attributes:
-        now: The clock.
-        relays: Each running relay by its VM's number.
-        answers: What callers were sent, as (caller, data).
-        sessions: Each caller's session by its tag.
-        strangers: Packets that reached an upstream without their session.
-        silent_paths: Paths that something between the ends has lost.
-        silent_upstreams: Addresses that answer nothing.
-        cut: Whether a message between two VMs is lost, by their numbers.
+        now: The current time.
+        relays: The running relays, by VM number.
+        answers: Packets sent to callers, as (caller, data).
+        sessions: The callers' sessions, by tag.
+        strangers: Packets that reached an upstream without their session, as
+            (tag, upstream).
+        silent_paths: Paths whose packets are lost in the network.
+        silent_upstreams: Addresses of upstreams that do not answer.
+        cut: Function of two VM numbers, source and target, that returns
+            whether a message between them is lost.
     """
 
     def __init__(self, vms: int = 3, seed: int = 1, **relay):
@@ -158,7 +160,7 @@
             self.start(number)
 
     def start(self, number: int) -> None:
-        """Starts a VM's relay; the others hear of it by `publish`."""
+        """Starts a VM's relay and publishes the new list of VMs."""
         self.vms.setdefault(number, vm(number))
         self.relays[number] = RelayCore(
             settings(number, **self._settings),
@@ -169,11 +171,15 @@
         self.publish()
 
     def kill(self, number: int) -> None:
-        """Ends a VM at once; the others still believe in it."""
+        """Stops a VM abruptly; the others still regard it as live."""
         del self.relays[number]
 
     def publish(self, only: tuple[int, ...] | None = None) -> None:
-        """Gives the running relays the manifest and the VMs."""
+        """Sends the manifest and the list of VMs to running relays.
+
+        Args:
+            only: Numbers of the VMs to send to; None for all.
+        """
         for number, core in self.relays.items():
             if only is not None and number not in only:
                 continue
@@ -192,18 +198,23 @@
         )
 
     def declare_dead(self, number: int) -> None:
-        """Takes a VM off everybody's list."""
+        """Removes a VM from the list and publishes the list."""
         self.vms.pop(number, None)
         self.publish()
 
     def declare_leaving(self, number: int) -> None:
-        """Marks a VM as leaving and has its relay drain."""
+        """Marks a VM as leaving and starts to drain its relay."""
         self.vms[number] = vm(number, state=VmState.LEAVING)
         self.publish()
         self.relays[number].drain()
 
     def advance(self, seconds: float, renew: bool = True) -> None:
-        """Lets time go by in ticks; agents renew their views meanwhile."""
+        """Advances the clock in ticks and delivers messages.
+
+        Args:
+            seconds: The time to advance.
+            renew: Whether agents renew their relays' views meanwhile.
+        """
         for step in range(round(seconds / TICK_S)):
             self.now += TICK_S
             if renew and step % 25 == 0:
@@ -220,7 +231,7 @@
         service: int = REGISTRY,
         caller: tuple[str, int] | None = None,
     ) -> None:
-        """Sends a caller's datagram to a VM, by default to one at random."""
+        """Sends a caller's datagram to a VM, by default a random one."""
         number = to or self._random.choice(sorted(self.relays))
         core = self.relays.get(number)
         if core is None:
@@ -234,18 +245,18 @@
         self.send(tag, initial(tag), to, service)
 
     def say(self, tag: str, text: str, to: int | None = None) -> None:
-        """Sends a packet of a session in progress."""
+        """Sends a packet of an established session."""
         self.send(tag, short(tag, text), to)
 
     def keep_alive(self, tags: list[str], seconds: float) -> None:
-        """Lets time go by while callers say nothing new."""
+        """Advances the clock while callers send only keep-alives."""
         for _ in range(round(seconds)):
             self.advance(1.0)
             for tag in tags:
                 self.say(tag, "")
 
     def deliver(self) -> None:
-        """Delivers envelopes until none is left."""
+        """Delivers queued envelopes until the queue is empty."""
         while self._queue:
             number, data = self._queue.pop(0)
             core = self.relays.get(number)
@@ -253,13 +264,13 @@
                 core.on_peer(data, self.now)
 
     def peer(self, source: int, data: bytes, address) -> None:
-        """Takes an envelope on its way to another VM."""
+        """Queues an envelope for another VM, unless it is lost."""
         target = int(address[0].rsplit(".", 1)[1])
         if not self.cut(source, target):
             self._queue.append((target, data))
 
     def at_upstream(self, path: FakePath, data: bytes, upstream) -> None:
-        """A packet reaches an upstream, which answers by the same path."""
+        """Handles a packet at an upstream, which answers on the same path."""
         tag = tag_of(data)
         if path in self.silent_paths or upstream in self.silent_upstreams:
             return
@@ -279,7 +290,7 @@
         self.answer(tag)
 
     def answer(self, tag: str, text: str = "ok") -> None:
-        """The upstream sends something on a caller's session."""
+        """Sends a packet from the upstream on a caller's session."""
         self._answer(tag, short(tag, text))
 
     def _answer(self, tag: str, data: bytes) -> None:
@@ -296,13 +307,13 @@
         flow.listener.send(data, flow.caller)
 
     def answers_to(self, tag: str) -> list[bytes]:
-        """Returns what a caller was sent."""
+        """Returns the packets that were sent to a caller."""
         return [
             data for caller, data in self.answers if caller == address_of(tag)
         ]
 
     def holders(self, tag: str) -> list[int]:
-        """Returns the VMs that take a caller's packets as their own."""
+        """Returns the VMs that hold a flow of this caller."""
         caller = address_of(tag)
         return [
             number
--- a/standins/segments.py
+++ b/standins/segments.py
@@ -1,7 +1,7 @@
-"""Stand-ins for clients and endpoints that exchange packets with a head.
+"""Stand-ins for clients and endpoints that use the segment header.
 
-The head is written here a second time on purpose: a fault of the product's
-codec must not be hidden by the same fault of its counterpart.
+The header codec is implemented here independently of the product's, so that
+a fault in the product's codec is not hidden by the same fault here.
 """
 
 import random
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class Head:
-    """A packet's head and data."""
+    """A packet's header fields and payload."""
 
     token: int
     sport: int
@@ -35,7 +35,7 @@
     data: bytes = b""
 
     def encode(self) -> bytes:
-        """Returns the packet; its checksum is not looked at here."""
+        """Returns the packet's bytes; the checksum field is left at 0."""
         head = HEAD.pack(
             1,
             self.token,
@@ -53,7 +53,7 @@
 
 
 def decode(packet: bytes) -> Head:
-    """Returns what a packet says."""
+    """Decodes a packet."""
     fields = HEAD.unpack_from(packet)
     _, token, sport, src, dport, dst, sequence, acknowledged, _, flags, _ = (
         fields
@@ -90,7 +90,7 @@
 
 
 class Endpoint(http.Handler):
-    """Serves flows: each data packet is one request, answered with one."""
+    """An endpoint that answers each data packet with one data packet."""
 
     def __init__(self, name: str, host: str, port: int, client_port: int):
         self.name = name
@@ -103,7 +103,7 @@
         self._answers: dict[tuple[str, int, int], Head] = {}
 
     def entry(self, service: str, zone: str, state: str = "ready") -> dict:
-        """Returns what it announces of itself."""
+        """Returns the endpoint's directory entry."""
         return {
             "service": service,
             "address": f"{self.host}:{self.port}",
@@ -120,7 +120,7 @@
         return http.Response(200, b"ok")
 
     async def run(self) -> None:
-        """Serves until cancelled; then it is dead without a word."""
+        """Serves until cancelled, then stops without notifying its peers."""
         sock = bind(self.host, self.port)
         try:
             async with anyio.create_task_group() as tasks:
@@ -158,7 +158,7 @@
         return self._answers[key]
 
     def reply(self, request: bytes) -> bytes:
-        """Returns the answer to a request: this endpoint's name."""
+        """Returns the response to a request, which is the endpoint's name."""
         return self.name.encode()
 
     @staticmethod
@@ -178,7 +178,7 @@
 
 
 class Client:
-    """A client's socket, which all of its flows share."""
+    """A client whose flows share one socket."""
 
     def __init__(self, host: str, port: int):
         self.host = host
@@ -190,11 +190,11 @@
         self._sock.close()
 
     def send(self, head: Head, vms: list[tuple[str, int]]) -> None:
-        """Sends a packet to any of the VMs."""
+        """Sends a packet to a random VM."""
         self._sock.sendto(head.encode(), random.choice(vms))
 
     async def receive(self, port: int) -> Head:
-        """Returns the next packet for one flow; others wait for theirs."""
+        """Returns the next packet for one flow and queues those of others."""
         while not self._inbox.get(port):
             head = decode(await receive(self._sock))
             self._inbox.setdefault(head.dport, []).append(head)
@@ -202,7 +202,7 @@
 
 
 class Flow:
-    """A client's end of one flow."""
+    """The client side of one flow."""
 
     def __init__(self, client: Client, port: int, service: tuple):
         self._client = client
@@ -214,7 +214,7 @@
         self.reset = False
 
     async def open(self, vms: list[tuple[str, int]]) -> bool:
-        """Opens the flow by one of the VMs; returns whether it did."""
+        """Opens the flow through one of the VMs; returns whether it opened."""
         for copies, wait_s in enumerate(SYN_COPIES_S):
             self._send(SYN, vms, copies)
             answer = await self._answer(wait_s)
@@ -229,7 +229,11 @@
         return True
 
     async def ask(self, vms: list[tuple[str, int]], data: bytes) -> bytes:
-        """Sends a request, again if needed; returns the answer or nothing."""
+        """Sends a request, with retransmissions.
+
+        Returns:
+            The response, or empty bytes after a reset or the last time-out.
+        """
         for wait_s in REPEATS_S:
             self._send(ACK, vms, self._acknowledged, data)
             answer = await self._next_data(wait_s)
@@ -242,7 +246,7 @@
         return b""
 
     async def _next_data(self, wait_s: float) -> Head | None:
-        """Returns the data that comes next; older data was sent again."""
+        """Returns the next data in sequence, ignoring retransmitted data."""
         with anyio.move_on_after(wait_s):
             while not self.reset:
                 head = await self._answer(wait_s)
@@ -253,7 +257,7 @@
         return None
 
     async def ended(self, within_s: float) -> bool:
-        """Waits for a reset."""
+        """Waits for a reset; returns whether one came."""
         await self._answer(within_s)
         return self.reset
 
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's metadata store: read, watch and faults."""
+"""A stand-in for the platform's metadata store, with watches and faults."""
 
 import base64
 import enum
@@ -16,7 +16,7 @@
 
 
 class Fault(enum.Enum):
-    """How the store misbehaves."""
+    """A fault that the store simulates."""
 
     NONE = "none"
     DOWN = "down"
@@ -33,21 +33,20 @@
 
 @attrs.frozen
 class Copy:
-    """What the store held at one moment."""
+    """A snapshot of the store."""
 
     items: dict[str, _Item]
     revision: int
 
 
 class Store(http.Handler):
-    """Keys with values, one revision counter, and a history.
+    """A key-value store with one revision counter and a history.
 
     Attributes:
-        fault: How it misbehaves.
-        delay_s: How long each answer takes, in seconds.
-        calls: Calls so far.
-        epoch: Named by each answer's `Store-Era`; None for a store whose
-            answers have no such header.
+        fault: The simulated fault.
+        delay_s: Delay of each response, in seconds.
+        calls: Number of calls so far.
+        epoch: Value of the `Store-Era` header; None sends no such header.
     """
 
     def __init__(self):
@@ -62,36 +61,40 @@
 
     @property
     def revision(self) -> int:
-        """Counts changes."""
+        """The revision, which grows with every change."""
         return self._revision
 
     def put(self, key: str, value: object) -> int:
-        """Writes a value; what is not bytes is written as JSON."""
+        """Writes a value, encoded as JSON unless it is bytes.
+
+        Returns:
+            The new revision.
+        """
         return self._write(key, _data(value))
 
     def renew(self, key: str, value: object) -> None:
-        """Writes a value again, which is no change if it is there already."""
+        """Writes a value unless the key already has it."""
         known = self._items.get(key)
         if known is None or known.value != _data(value):
             self.put(key, value)
 
     def delete(self, key: str) -> int:
-        """Removes a key; one that is not there is no change."""
+        """Removes a key if it exists; returns the revision."""
         if key not in self._items:
             return self._revision
         return self._write(key, None)
 
     def compact(self) -> None:
-        """Forgets the history."""
+        """Discards the history."""
         self._history.clear()
         self._oldest = self._revision
 
     def copy(self) -> Copy:
-        """Returns what it holds, for `restore`."""
+        """Returns a snapshot for `restore`."""
         return Copy(dict(self._items), self._revision)
 
     def restore(self, copy: Copy) -> None:
-        """Comes back from a copy: what was written since is gone."""
+        """Restores a snapshot, which loses all later writes."""
         self._items = dict(copy.items)
         self._revision = copy.revision
         self._history = [
@@ -102,11 +105,11 @@
             self.epoch += 1
 
     def items_body(self) -> bytes:
-        """Returns the first page of everything, as the store answers it."""
+        """Returns the body of a `/kv-range` response with the first page."""
         return self._range(http.Request("GET", "/kv-range", {}, b"")).body
 
     async def handle(self, request: http.Request) -> http.Response:
-        """Answers one call, through the fault."""
+        """Returns the response to one call under the current fault."""
         self.calls += 1
         answer = await self._answer(request)
         if self.epoch is None or answer.status is None:
--- a/standins/world.py
+++ b/standins/world.py
@@ -1,4 +1,4 @@
-"""A whole fleet with its surroundings, and what operators do to it."""
+"""Runs a fleet with all stand-ins, and the operations applied to it."""
 
 import contextlib
 import json
@@ -12,30 +12,34 @@
 from standins import _ledger, _processes, _records, fleet
 
 READY_WITHIN_S = 60.0
-"""Longest wait for a VM or a manifest; generous, for a slow machine's sake."""
+"""Time-out for a VM or manifest, in seconds; ample for slow machines."""
 
 SETTLE_S = 60.0
-"""Longest wait for callers to end once they were asked to."""
+"""Time-out for a callers program to exit after SIGTERM, in seconds."""
 
 ON_THE_WAY_S = 0.5
-"""Longer than a datagram takes from the fabric to a relay's owner."""
+"""Seconds to wait for datagrams in flight.
+
+Longer than a datagram takes from the fabric to the relay that owns its flow.
+"""
 
 POLL_S = 0.02
-"""Between two looks at what is awaited."""
+"""Polling interval while waiting for a condition, in seconds."""
 
 
 class WorldError(Exception):
-    """Something did not come up, or did not end; says what."""
+    """Raised when a process does not become ready or does not exit."""
 
 
 @attrs.frozen
 class Outcome:
-    """What came of one run.
+    """The results of one run.
 
     Attributes:
-        ledger: Counts of what is promised, and of what a loss may break.
-        results: What the callers recorded.
-        executions: What each upstream counted.
+        ledger: Tallies of flows and requests, with those affected by an
+            unplanned loss counted separately.
+        results: The records of each callers program.
+        executions: The counters of each upstream, by name.
     """
 
     ledger: _ledger.Ledger
@@ -45,11 +49,11 @@
 
 @attrs.frozen
 class Unread:
-    """A VM's datagrams while its relay reads none.
+    """Datagram counts of a VM whose relay reads none.
 
     Attributes:
-        handed: Handed to the VM by the fabric.
-        passed_on: Passed on by its agent.
+        handed: Datagrams that the fabric sent to the VM.
+        passed_on: Datagrams that the VM's agent forwarded.
     """
 
     handed: int
@@ -57,7 +61,7 @@
 
 
 class World:
-    """Platform, fabric, upstreams, VMs and callers as processes."""
+    """Runs platform, fabric, upstreams, VMs and callers as processes."""
 
     def __init__(
         self,
@@ -66,14 +70,14 @@
         overrides: dict[str, dict[str, str]] | None = None,
         traced: bool = False,
     ):
-        """Reserves addresses; nothing is started.
+        """Reserves addresses without starting any process.
 
         Args:
-            folder: Keeps settings and logs.
+            folder: Directory for settings and logs.
             services: The services and their sizes.
-            overrides: Settings of the VMs, by section and key.
-            traced: Whether the fabric writes each datagram's way into the
-                folder, as `fabric.trace`.
+            overrides: VM settings to override, by section and key.
+            traced: Whether the fabric traces each datagram to `fabric.trace`
+                in the folder.
         """
         self.trace = folder / "fabric.trace" if traced else None
         self.processes = _processes.Processes(folder)
@@ -90,10 +94,13 @@
         self._version = 0
 
     async def start(self, vms: int) -> None:
-        """Starts all but the callers, and waits until every VM is ready.
+        """Starts all processes except callers and waits until VMs are ready.
+
+        Args:
+            vms: Number of VMs to start.
 
         Raises:
-            WorldError: Something did not become ready.
+            WorldError: A stand-in or VM did not become ready in time.
         """
         if not await self.around.start(self.places, trace=self.trace):
             raise WorldError("a stand-in did not become ready")
@@ -106,11 +113,11 @@
             await self.until_ready(number)
 
     def place(self, number: int) -> fleet.VmPlace:
-        """Returns where the VM with this number runs."""
+        """Returns the name, zone and address of the VM with this number."""
         return fleet.vm_place(number, addresses=self.addresses)
 
     def start_vm(self, number: int) -> None:
-        """Starts a VM's two programs."""
+        """Starts the relay and the agent of a VM."""
         place = self.place(number)
         seeds = [self.place(each) for each in (1, 2, 3)]
         settings = fleet.write_settings(
@@ -120,10 +127,10 @@
         self.vms[number].start()
 
     async def until_ready(self, number: int) -> None:
-        """Waits until a VM takes flows.
+        """Waits until a VM accepts flows.
 
         Raises:
-            WorldError: It does not in time.
+            WorldError: The VM did not become ready in time.
         """
         with anyio.move_on_after(READY_WITHIN_S):
             while not await self.vms[number].is_ready():
@@ -134,7 +141,7 @@
     def start_callers(
         self, name: str, kind: str, service: fleet.ServiceSize, **options
     ) -> None:
-        """Starts a callers program on an address of its own."""
+        """Starts a callers program with its own source address."""
         local = self.addresses.caller(len(self._callers) + 1)
         self._callers.append(
             self.around.start_callers(
@@ -149,7 +156,7 @@
         deadline_s: float,
         ramp_s: float = 1.0,
     ) -> None:
-        """Starts sessions at the registry and images from barcodes."""
+        """Starts registry sessions and barcode image requests."""
         self.start_callers(
             "publishers",
             "session",
@@ -170,7 +177,13 @@
     async def list_vms(
         self, numbers: list[int], leaving: int = 0, at_once: bool = False
     ) -> None:
-        """Sets the platform's lagging list."""
+        """Sets the platform's VM list.
+
+        Args:
+            numbers: The VMs to list.
+            leaving: The VM to list as leaving; 0 for none.
+            at_once: Whether readers see the list without the usual lag.
+        """
         entries = [
             self.place(each).entry("leaving" if each == leaving else "live")
             for each in numbers
@@ -183,10 +196,18 @@
         gone: frozenset[str] = frozenset(),
         wait: bool = True,
     ) -> float:
-        """Publishes the next manifest; returns the seconds to be in force.
+        """Publishes the next manifest version.
+
+        Args:
+            draining: Names of endpoints to mark as draining.
+            gone: Names of endpoints to leave out.
+            wait: Whether to wait until every VM has applied the manifest.
+
+        Returns:
+            The time that this took, in seconds.
 
         Raises:
-            WorldError: It is not in force on every VM in time.
+            WorldError: A VM did not apply the manifest in time.
         """
         self._version += 1
         places = [each for each in self.places if each.name not in gone]
@@ -211,10 +232,18 @@
             raise WorldError(f"manifest {version} not in force on {names}")
 
     async def replace(self, old: int, new: int, within_s: float) -> float:
-        """Replaces a VM gracefully; returns the seconds that its stop took.
+        """Replaces a VM gracefully.
+
+        Args:
+            old: Number of the VM to stop.
+            new: Number of the VM to start first.
+            within_s: Time-out for the old VM to exit, in seconds.
+
+        Returns:
+            The time that the old VM took to stop, in seconds.
 
         Raises:
-            WorldError: The old VM did not end in order.
+            WorldError: The old VM did not exit with code 0.
         """
         self.start_vm(new)
         await self.until_ready(new)
@@ -230,9 +259,14 @@
         return time.monotonic() - began
 
     async def unread(self, number: int, watched_s: float) -> Unread:
-        """Counts what the fabric hands to a VM and its agent passes on.
+        """Counts datagrams sent to a VM and those that its agent forwards.
+
+        Waits for datagrams in flight before the last count of forwards, so
+        that none that was sent within the period is missed.
 
-        What is on its way at the first count is not missed at the last one.
+        Args:
+            number: The VM.
+            watched_s: Length of the period, in seconds.
         """
         passed_on = await self._passed_on(number)
         handed = await self._handed(number)
@@ -255,21 +289,21 @@
         return counts.get(f"to {self.place(number).address}", 0)
 
     def mark_loss(self) -> None:
-        """Notes that an unplanned loss begins now."""
+        """Records the current time as the start of an unplanned loss."""
         self.loss = _ledger.Loss(time.monotonic())
 
     async def kill(self, number: int, listed_after_s: float = 1.0) -> None:
-        """Kills a VM; the platform notices after a while."""
+        """Kills a VM, and removes it from the platform's list after a delay."""
         self.mark_loss()
         self.vms.pop(number).signal(signal.SIGKILL)
         await anyio.sleep(listed_after_s)
         await self.list_vms(list(self.vms))
 
     async def end_callers(self) -> Outcome:
-        """Ends the callers and joins what they and the upstreams counted.
+        """Stops the callers and joins their records with upstream counters.
 
         Raises:
-            WorldError: A callers program did not end.
+            WorldError: A callers program did not exit.
         """
         for process in self._callers:
             process.signal(signal.SIGTERM)
@@ -286,7 +320,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self, vms: int):
-        """Starts the world, and ends every process of it at the end."""
+        """Starts the fleet on entry and stops all of its processes on exit."""
         try:
             await self.start(vms)
             yield self
