--- a/standins/_addresses.py
+++ b/standins/_addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses of one stand-in fleet, so that several can run at once."""
+"""Loopback addresses of a stand-in fleet, so that several can run at once."""
 
 import errno
 import socket
@@ -7,7 +7,10 @@
 
 LOCK_PORT = 8999
 MOST_BLOCKS = 200
-"""Blocks tried; 127.1.0.0 is the second. More fleets than a machine bears."""
+"""Number of address blocks to try; 127.1.0.0 is the second.
+
+This is more than the number of fleets that a machine can run.
+"""
 
 
 @attrs.frozen
@@ -18,24 +21,24 @@
 
     @property
     def platform(self) -> str:
-        """The platform's IP number."""
+        """The platform's IP address."""
         return f"127.{self.block}.3.1"
 
     @property
     def fabric(self) -> str:
-        """The IP number that callers send to."""
+        """The IP address that callers send to."""
         return f"127.{self.block}.4.1"
 
     def vm(self, number: int) -> str:
-        """The IP number of a VM, numbered from 1."""
+        """Returns the IP address of a VM, numbered from 1."""
         return f"127.{self.block}.1.{number}"
 
     def upstream(self, number: int) -> str:
-        """The IP number of an upstream, numbered from 1."""
+        """Returns the IP address of an upstream, numbered from 1."""
         return f"127.{self.block}.2.{number}"
 
     def caller(self, number: int) -> str:
-        """The IP number of a group of callers, numbered from 1."""
+        """Returns the IP address of a group of callers, numbered from 1."""
         return f"127.{self.block}.5.{number}"
 
 
@@ -43,18 +46,18 @@
 
 
 class Reservation:
-    """A block that no other stand-in fleet on this machine uses.
+    """Reserves an address block that no other stand-in fleet here uses.
 
-    Two demos at once would otherwise fight for the same ports, and each
-    would count the other's requests. The lock is a bound socket, so it ends
-    with the process, however that ends.
+    Two concurrent demos would otherwise compete for the same ports, and each
+    would count the other's requests. The lock is a bound socket, so the kernel
+    releases it however the process ends.
     """
 
     def __init__(self):
         self._lock, self.addresses = _first_free()
 
     def release(self) -> None:
-        """Gives the block back."""
+        """Releases the block."""
         self._lock.close()
 
 
--- a/standins/_asking.py
+++ b/standins/_asking.py
@@ -1,4 +1,4 @@
-"""What the kinds of callers share: their plan, and how they ask."""
+"""The load plan, shared state and answer parsing of all kinds of callers."""
 
 import json
 import random
@@ -10,23 +10,23 @@
 
 @attrs.frozen
 class Plan:
-    """What the callers of one program do.
+    """The load that the callers of one program generate.
 
     Attributes:
-        name: Unique; request ids begin with it.
+        name: The program's unique name, used as a prefix of request ids.
         service: The service's name.
-        remote: Where the fabric takes datagrams for it.
-        local: The callers' IP number.
-        count: Sessions, for a program of sessions.
-        ramp_s: Time over which sessions open, in seconds.
-        rate: Requests a second: of one session, or of all images.
-        work_s: Time that a request holds a slot, in seconds.
-        size: Bytes of an image.
-        deadline_s: Time after which an answer is of no use, in seconds.
-        feed_s: Time between two alerts, in seconds; 0 opens no feed.
+        remote: The fabric's address for the service.
+        local: The callers' IP address.
+        count: Number of sessions, for callers of kind `session`.
+        ramp_s: Time over which sessions are opened, in seconds.
+        rate: Requests per second: of each session, or of all image callers.
+        work_s: Time for which a request holds a slot, in seconds.
+        size: Size of an image, in bytes.
+        deadline_s: Time after which an answer is useless, in seconds.
+        feed_s: Interval of alerts, in seconds; 0 opens no feed.
         lifetime_s: Time after which a caller closes its session and opens
-            another, in seconds; 0 keeps it.
-        keepalive_s: Time between two keep-alives, in seconds.
+            another, in seconds; 0 keeps the session.
+        keepalive_s: Interval of keep-alives, in seconds.
         idle_s: Idle time-out of a connection, in seconds.
     """
 
@@ -48,7 +48,17 @@
 
 @attrs.define
 class Shared:
-    """What all callers of one program share."""
+    """State shared by all callers of one program.
+
+    Attributes:
+        reactor: The reactor that runs the callers.
+        plan: The load to generate.
+        rng: The source of randomness.
+        results: The records of flows and requests.
+        returning: Refused requests that wait for a retry, by id.
+        finishing: Whether no more requests are to be made.
+        open_flows: Number of open flows.
+    """
 
     reactor: _reactor.Reactor
     plan: Plan
@@ -59,14 +69,14 @@
     open_flows: int = 0
 
     def new_flow(self) -> _records.FlowRecord:
-        """Begins the record of a flow."""
+        """Adds the record of a new flow."""
         record = _records.FlowRecord(self.plan.service, self.reactor.now)
         self.results.flows.append(record)
         self.open_flows += 1
         return record
 
     def new_request(self, flow_opened: float) -> _records.RequestRecord:
-        """Begins the record of a request."""
+        """Adds the record of a new request."""
         number = len(self.results.requests)
         record = _records.RequestRecord(
             f"{self.plan.name}-{number}",
@@ -78,19 +88,19 @@
         return record
 
     def told_not_run(self, record: _records.RequestRecord) -> None:
-        """Notes that a record's newest attempt was refused."""
+        """Records that the latest attempt was refused without being run."""
         record.refused_attempts.append(record.attempt)
         record.attempt += 1
         self.returning[record.identifier] = record
 
     def give_up_returning(self) -> None:
-        """Ends what was refused and has not come back."""
+        """Ends refused requests that have not been retried."""
         for record in self.returning.values():
             record.end(_records.Outcome.REFUSED, self.reactor.now)
         self.returning.clear()
 
     def line(self, record: _records.RequestRecord, operation: str) -> bytes:
-        """Returns the request line of a record's newest attempt."""
+        """Returns the request line of the latest attempt."""
         self.returning.pop(record.identifier, None)
         left_s = record.asked + self.plan.deadline_s - self.reactor.now
         request = {
@@ -106,17 +116,22 @@
 
 
 class Answer:
-    """Collects one stream: a JSON line, then the bytes it announces."""
+    """Collects an answer: a JSON line, followed by the body."""
 
     def __init__(self):
         self._data = bytearray()
 
     def add(self, data: bytes) -> None:
-        """Takes what came."""
+        """Adds received data."""
         self._data += data
 
     def outcome(self, service: str, expected: bytes | None) -> _records.Outcome:
-        """Judges a stream that has ended."""
+        """Returns the outcome of a stream that has ended.
+
+        Args:
+            service: Name of the requested service.
+            expected: The expected body; None accepts any.
+        """
         head, newline, body = bytes(self._data).partition(b"\n")
         if not newline:
             return _records.Outcome.CUT
@@ -134,5 +149,5 @@
 
     @property
     def begun(self) -> bool:
-        """Whether anything came."""
+        """Whether any data was received."""
         return bool(self._data)
--- a/standins/_book.py
+++ b/standins/_book.py
@@ -1,4 +1,4 @@
-"""What the platform stand-in holds: manifest, VM list, calls and faults."""
+"""State of the platform stand-in: manifest, VM list, call budget and fault."""
 
 import collections
 import enum
@@ -7,14 +7,14 @@
 import attrs
 
 CALLS_A_SECOND = 2_000
-"""The brief's budget over all readers."""
+"""Call budget per second over all readers, as the brief sets it."""
 
 LAG_S = 1.0
-"""How long a change of the VM list stays unseen, unless set."""
+"""Default delay until readers see a change of the VM list, in seconds."""
 
 
 class Fault(str, enum.Enum):
-    """How the read port misbehaves."""
+    """A fault that the read port simulates."""
 
     OK = "ok"
     DOWN = "down"
@@ -24,7 +24,13 @@
 
 @attrs.frozen
 class Values:
-    """What a reader sees."""
+    """The values that a reader sees.
+
+    Attributes:
+        manifest: The manifest's text.
+        version: The manifest's version, or 0.
+        vms: The entries of the VM list.
+    """
 
     manifest: bytes = b""
     version: int = 0
@@ -32,7 +38,7 @@
 
 
 def version_of(manifest: bytes) -> int:
-    """Returns the manifest's version, 0 where none can be read."""
+    """Returns the manifest's version, or 0 if it has no valid one."""
     try:
         version = json.loads(manifest)["version"]
     except (ValueError, KeyError, TypeError):
@@ -41,7 +47,13 @@
 
 
 class Budget:
-    """Allows so many calls within any second."""
+    """Limits the number of calls within any period of one second.
+
+    Attributes:
+        calls: Number of all calls.
+        over: Number of calls beyond the budget.
+        greatest: Greatest number of allowed calls within one second.
+    """
 
     def __init__(self, calls_a_second: int = CALLS_A_SECOND):
         self.calls = 0
@@ -51,7 +63,7 @@
         self._recent: collections.deque[float] = collections.deque()
 
     def take(self, now: float) -> bool:
-        """Counts a call; returns whether it is within the budget."""
+        """Counts a call and returns whether it is within the budget."""
         self.calls += 1
         while self._recent and self._recent[0] <= now - 1.0:
             self._recent.popleft()
@@ -64,7 +76,12 @@
 
 
 class Book:
-    """The newest values, and those that readers see."""
+    """The published values, and the values that readers see.
+
+    Attributes:
+        fault: The simulated fault.
+        delay_s: Delay of each response under `Fault.SLOW`, in seconds.
+    """
 
     def __init__(self, lag_s: float = LAG_S):
         self.fault = Fault.OK
@@ -76,30 +93,30 @@
         self._frozen = Values()
 
     def publish(self, manifest: bytes) -> None:
-        """Stores a manifest as it is, even an older or invalid one."""
+        """Stores a manifest unchecked, even an older or invalid one."""
         self._manifest = manifest
         self._version = version_of(manifest)
 
     def list_vms(self, vms: list[dict], now: float, at_once: bool) -> None:
-        """Sets the list, which shows after the lag."""
+        """Sets the VM list, which readers see after the lag or at once."""
         shows = now if at_once else now + self._lag_s
         self._lists.append((shows, tuple(vms)))
 
     def set_fault(self, fault: Fault, delay_s: float, now: float) -> None:
-        """Sets how readers are served from now on."""
+        """Sets the fault that readers meet from now on."""
         if fault is Fault.FROZEN:
             self._frozen = self.current(now)
         self.fault = fault
         self.delay_s = delay_s
 
     def current(self, now: float) -> Values:
-        """Returns the values without the fault, the list's lag included."""
+        """Returns the values regardless of the fault, but with the lag."""
         while len(self._lists) > 1 and self._lists[1][0] <= now:
             self._lists.pop(0)
         return Values(self._manifest, self._version, self._lists[0][1])
 
     def seen(self, now: float) -> Values:
-        """Returns what a reader sees."""
+        """Returns the values that a reader sees under the current fault."""
         if self.fault is Fault.FROZEN:
             return self._frozen
         return self.current(now)
--- a/standins/_flow.py
+++ b/standins/_flow.py
@@ -1,4 +1,4 @@
-"""One caller's flow: a QUIC connection from a socket of its own."""
+"""A caller's flow: a QUIC connection with its own socket."""
 
 import abc
 import re
@@ -14,30 +14,35 @@
 
 @attrs.frozen
 class Ending:
-    """How a flow ended, and when a refused one may come back."""
+    """How a flow ended.
+
+    Attributes:
+        fate: How it ended.
+        retry_after_s: Time before a refused flow may be retried, in seconds.
+    """
 
     fate: _records.Fate
     retry_after_s: float = 0.0
 
 
 class FlowOwner(abc.ABC):
-    """What a flow tells whoever opened it."""
+    """Receives the events of a flow."""
 
     @abc.abstractmethod
     def on_connected(self) -> None:
-        """The handshake is complete."""
+        """Called when the handshake is complete."""
 
     @abc.abstractmethod
     def on_data(self, stream: int, data: bytes, end: bool) -> None:
-        """Data came on a stream."""
+        """Called when data was received on a stream."""
 
     @abc.abstractmethod
     def on_end(self, ending: Ending) -> None:
-        """The flow has ended; nothing more comes."""
+        """Called when the flow has ended, as its last event."""
 
 
 class Flow(_quic.Peer):
-    """One flow towards a service."""
+    """One flow to a service."""
 
     def __init__(
         self,
@@ -64,12 +69,12 @@
 
     @property
     def quic(self) -> connection.QuicConnection:
-        """The connection."""
+        """The QUIC connection."""
         return self.link.quic
 
     @property
     def is_over(self) -> bool:
-        """Whether it has ended, or the caller is closing it."""
+        """Whether the flow has ended or the caller is closing it."""
         return self._closing or self._ended()
 
     def close(self) -> None:
@@ -80,7 +85,7 @@
         self.link.close()
 
     def ask(self, line: bytes) -> int:
-        """Sends a request on a stream of its own; returns the stream."""
+        """Sends a request on a new stream; returns the stream id."""
         stream = self.quic.get_next_available_stream_id()
         self.quic.send_stream_data(stream, line + b"\n", end_stream=True)
         self.link.touch()
@@ -92,7 +97,7 @@
         self.link.touch()
 
     def on_event(self, event: events.QuicEvent) -> None:
-        """Takes one event of the connection."""
+        """Handles one event of the connection."""
         if isinstance(event, events.HandshakeCompleted):
             self.record.connected = self._reactor.now
             self._owner.on_connected()
--- a/standins/_image.py
+++ b/standins/_image.py
@@ -1,4 +1,4 @@
-"""A caller that makes a new flow for each image it asks for."""
+"""A caller that opens a new flow for each requested image."""
 
 from standins import _asking, _flow, _records, _work
 
@@ -13,7 +13,7 @@
         self._answer = _asking.Answer()
 
     def open(self) -> None:
-        """Makes one attempt on a new flow."""
+        """Starts an attempt on a new flow, unless there is an outcome."""
         shared = self._shared
         if self._record.outcome is not _records.Outcome.PENDING:
             return
@@ -37,10 +37,10 @@
         return self._record.asked + self._shared.plan.deadline_s
 
     def on_connected(self) -> None:
-        """Nothing to do: the request is on its way."""
+        """Does nothing, because the request has been sent already."""
 
     def on_data(self, stream: int, data: bytes, end: bool) -> None:
-        """Collects the image; a whole one ends the flow."""
+        """Collects the image; the end of the stream closes the flow."""
         self._answer.add(data)
         if end:
             expected = _work.image(
@@ -53,7 +53,7 @@
             self._flow.close()
 
     def on_end(self, ending: _flow.Ending) -> None:
-        """Comes back where it was told that nothing was run."""
+        """Retries a refused attempt, and records any other outcome."""
         shared = self._shared
         shared.open_flows -= 1
         if self._record.outcome is not _records.Outcome.PENDING:
--- a/standins/_ledger.py
+++ b/standins/_ledger.py
@@ -71,7 +71,7 @@
         return flow.opened <= self.at + DETECT_S and ended
 
     def hits_request(self, request: _records.RequestRecord) -> bool:
-        """Returns whether the loss may have affected the request or its flow."""
+        """Returns whether the loss may have affected the request."""
         ended = request.ended is None or request.ended >= self.at
         return request.flow_opened <= self.at + DETECT_S and ended
 
--- a/standins/_listener.py
+++ b/standins/_listener.py
@@ -1,4 +1,4 @@
-"""Accepts QUIC connections on one UDP socket, told apart by connection id."""
+"""Accepts QUIC connections on one UDP socket and routes by connection id."""
 
 import abc
 
@@ -8,7 +8,7 @@
 from standins import _quic, _reactor
 
 MOST_CONNECTIONS = 2_000
-"""The brief's size of an endpoint."""
+"""Maximum number of connections of an endpoint, as the brief sets it."""
 
 
 class Session(_quic.Peer):
@@ -18,15 +18,15 @@
 
 
 class SessionFactory(abc.ABC):
-    """Makes what serves a new connection."""
+    """Creates sessions for new connections."""
 
     @abc.abstractmethod
     def open(self) -> Session:
-        """Returns what serves one new connection."""
+        """Returns the session that serves a new connection."""
 
 
 class _Entry(_quic.Peer):
-    """Keeps the listener's table in step with one connection."""
+    """Keeps the listener's table of connection ids current."""
 
     def __init__(self, listener: "Listener", session: Session):
         self._listener = listener
@@ -49,10 +49,18 @@
 
 
 class Listener:
-    """One endpoint's socket and all of its connections.
-
-    A caller's address plays no part: a flow that comes by another relay, or
-    from another port of the same one, is the same connection.
+    """One endpoint's socket and connections.
+
+    Connections do not depend on the caller's address: a flow that arrives
+    through another relay, or from another port of the same relay, belongs to
+    the same connection.
+
+    Attributes:
+        links: The connections, by connection id.
+        open_connections: Number of accepted connections that are open.
+        refused: Number of refused connections.
+        unknown: Number of datagrams that belong to no connection.
+        deaf: Whether datagrams are discarded unread.
     """
 
     def __init__(
@@ -76,7 +84,7 @@
         reactor.add(self._socket, self._on_datagram)
 
     def forget(self, ids: set[bytes], refused: bool) -> None:
-        """Drops an ended connection from the table."""
+        """Removes an ended connection from the table."""
         self.open_connections -= not refused
         for identifier in ids:
             self.links.pop(identifier, None)
--- a/standins/_processes.py
+++ b/standins/_processes.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes of a stand-in fleet, by id."""
+"""Starts and stops the processes of a stand-in fleet, by process id."""
 
 import pathlib
 import signal
@@ -13,16 +13,19 @@
 
 CHECK_EVERY_S = 0.02
 END_WITHIN_S = 2.0
-"""At the end of a run; flows that are over need no longer handover."""
+"""Time between SIGTERM and SIGKILL at the end of a run, in seconds.
+
+Flows have ended by then, so no longer handover is needed.
+"""
 
 
 @attrs.frozen
 class Usage:
-    """What the kernel reports of one process.
+    """Resource usage of one process as the kernel reports it.
 
     Attributes:
         cpu_s: Processor time, in seconds.
-        peak_bytes: Greatest resident size.
+        peak_bytes: Peak resident set size, in bytes.
     """
 
     cpu_s: float
@@ -30,7 +33,7 @@
 
 
 class Process:
-    """One process, its output in files."""
+    """A child process whose output goes to files."""
 
     def __init__(self, name: str, arguments: list[str], folder: pathlib.Path):
         self.name = name
@@ -52,7 +55,7 @@
 
     @property
     def exit_code(self) -> int | None:
-        """The exit code, None while it runs."""
+        """The exit code, or None while the process runs."""
         return self._popen.poll()
 
     def signal(self, number: int) -> None:
@@ -61,7 +64,7 @@
             self._popen.send_signal(number)
 
     async def ready(self, within_s: float) -> bool:
-        """Waits until a stand-in says that it is ready."""
+        """Waits until a stand-in reports that it is ready."""
         until = time.monotonic() + within_s
         while time.monotonic() < until and self.exit_code is None:
             if b'"ready"' in self.out.read_bytes():
@@ -70,14 +73,14 @@
         return False
 
     async def ended(self, within_s: float) -> bool:
-        """Waits for the end."""
+        """Waits for the process to exit; returns whether it did."""
         until = time.monotonic() + within_s
         while self.exit_code is None and time.monotonic() < until:
             await anyio.sleep(CHECK_EVERY_S)
         return self.exit_code is not None
 
     def usage(self) -> Usage:
-        """Returns what the kernel reports of a running process."""
+        """Returns the resource usage of a running process."""
         status = pathlib.Path(f"/proc/{self.pid}/status").read_text()
         peak = next(
             line for line in status.splitlines() if line.startswith("VmHWM")
@@ -92,7 +95,7 @@
 
 
 class Processes:
-    """All processes that one program started."""
+    """The child processes that one program started."""
 
     def __init__(self, folder: pathlib.Path):
         self._folder = folder
@@ -106,16 +109,16 @@
 
     @property
     def failed(self) -> list[Process]:
-        """Those that ended by themselves, and not in an orderly way."""
+        """Processes that exited by themselves with an error code."""
         return [each for each in self.all if (each.exit_code or 0) > 0]
 
     @property
     def running(self) -> list[Process]:
-        """Those that have not ended."""
+        """Processes that have not exited."""
         return [each for each in self.all if each.exit_code is None]
 
     async def stop(self) -> None:
-        """Ends all, the slow ones with SIGKILL."""
+        """Stops all processes; those still running after a time get SIGKILL."""
         with anyio.CancelScope(shield=True):
             for number in (signal.SIGTERM, signal.SIGKILL):
                 for process in self.running:
--- a/standins/_programs.py
+++ b/standins/_programs.py
@@ -1,4 +1,4 @@
-"""What every stand-in program needs: a start and an orderly end."""
+"""Start and orderly shutdown of stand-in programs."""
 
 import ctypes
 import signal
@@ -11,17 +11,17 @@
 
 
 def end_with_parent() -> None:
-    """Has the kernel kill this process when its parent has gone.
+    """Asks the kernel to kill this process when its parent exits.
 
-    A demo that is interrupted would otherwise leave processes that hold
-    ports, and the next demo could not start.
+    An interrupted demo would otherwise leave processes that hold ports, and
+    the next demo could not start.
     """
     libc = ctypes.CDLL(None, use_errno=True)
     libc.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
 
 
 async def until_signal() -> None:
-    """Returns once SIGTERM or SIGINT has come."""
+    """Waits for SIGTERM or SIGINT."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             return
--- a/standins/_reactor.py
+++ b/standins/_reactor.py
@@ -1,4 +1,4 @@
-"""Timers and many UDP sockets, drained in batches, on one anyio loop."""
+"""A reactor for timers and many UDP sockets on one anyio event loop."""
 
 import heapq
 import itertools
@@ -13,15 +13,21 @@
 OnDatagram = Callable[[bytes, Address], None]
 
 BATCH = 64
-"""Datagrams read from one socket before others get their turn."""
+"""Maximum number of datagrams read from one socket per turn.
+
+Bounds the time for which other sockets wait.
+"""
 
 SOCKETS_A_TURN = 256
 LONGEST_WAIT_S = 0.05
-"""Work that other tasks hand over is seen at the latest after this."""
+"""Maximum wait of one turn, in seconds.
+
+Bounds the delay of callbacks that other tasks add.
+"""
 
 READ_BYTES = 65_535
 BUFFER_BYTES = 4 * 1024 * 1024
-"""Asked for; the kernel grants what its limits allow."""
+"""Requested size of socket buffers; the kernel may grant less."""
 
 
 def udp_socket(address: str, port: int = 0) -> socket.socket:
@@ -35,7 +41,10 @@
 
 
 def send(sock: socket.socket, data: bytes, to: Address) -> None:
-    """Sends one datagram; one that the kernel refuses is lost, as on a net."""
+    """Sends one datagram.
+
+    A datagram that the kernel rejects is lost, as in a network.
+    """
     try:
         sock.sendto(data, to)
     except OSError:
@@ -43,10 +52,10 @@
 
 
 class Reactor:
-    """Calls back when datagrams come and when timers fire.
+    """Calls back when datagrams arrive and when timers fire.
 
-    One epoll set holds all sockets, and anyio waits for that set alone: a
-    waiting task a socket would cost two system calls more for each datagram.
+    All sockets are in one epoll set, and anyio waits for that set only. A
+    waiting task for each socket would cost two more system calls per datagram.
     """
 
     def __init__(self):
@@ -58,22 +67,22 @@
         self.now = 0.0
 
     def add(self, sock: socket.socket, on_datagram: OnDatagram) -> None:
-        """Calls back with each datagram of this socket."""
+        """Registers a callback for each datagram of this socket."""
         self._sockets[sock.fileno()] = (sock, on_datagram)
         self._epoll.register(sock.fileno(), select.EPOLLIN)
 
     def remove(self, sock: socket.socket) -> None:
-        """Forgets and closes the socket."""
+        """Unregisters and closes the socket."""
         if self._sockets.pop(sock.fileno(), None) is not None:
             self._epoll.unregister(sock.fileno())
         sock.close()
 
     def at(self, when: float, callback: Callable[[], None]) -> None:
-        """Calls back once at this time of the runtime's clock."""
+        """Registers a callback for this time of the event loop's clock."""
         heapq.heappush(self._timers, (when, next(self._numbers), callback))
 
     def after_turn(self, callback: Callable[[], None]) -> None:
-        """Calls back once at the end of this turn, or of the next one."""
+        """Registers a callback for the end of this turn, or of the next."""
         self._after.append(callback)
 
     async def run(self) -> None:
--- a/standins/_records.py
+++ b/standins/_records.py
@@ -1,4 +1,4 @@
-"""What a caller records of its flows and requests."""
+"""Records that callers keep of their flows and requests."""
 
 import enum
 
@@ -13,34 +13,34 @@
     """Closed by the caller itself."""
 
     REFUSED = "refused"
-    """Told that it is refused; nothing of it was run."""
+    """Refused by the peer; nothing of it was run."""
 
     BROKEN = "broken"
-    """Ended although the caller did not close it."""
+    """Ended without being closed by the caller."""
 
     UNOPENED = "unopened"
-    """Never answered at all."""
+    """Never answered."""
 
 
 class Outcome(str, enum.Enum):
-    """What a caller knows of one request at its end."""
+    """The outcome of a request as its caller sees it."""
 
     PENDING = "pending"
     ANSWERED = "answered"
     REFUSED = "refused"
-    """Told that it was not run, and the time to try again is over."""
+    """Refused without being run, with no time left to retry."""
 
     SHED = "shed"
-    """Told by the upstream that it was not run."""
+    """Rejected by the upstream without being run."""
 
     WRONG = "wrong"
-    """Answered by another service than the one asked."""
+    """Answered by a service other than the requested one."""
 
     CUT = "cut"
-    """Part of the answer came."""
+    """Only part of the answer was received."""
 
     LOST = "lost"
-    """No answer in time; whether it ran is unknown."""
+    """Not answered in time; whether it ran is unknown."""
 
 
 @attrs.frozen
@@ -48,9 +48,9 @@
     """An alert that came late, or after a long silence.
 
     Attributes:
-        at: When it came.
-        silence_s: Time since the alert before it, in seconds.
-        lateness_s: Its age when it came, in seconds.
+        at: Time of arrival.
+        silence_s: Time since the previous alert, in seconds.
+        lateness_s: Age of the alert on arrival, in seconds.
     """
 
     at: float
@@ -68,11 +68,11 @@
         connected: Time at which the handshake was complete, or None.
         ended: Time of the end, or None.
         fate: How it ended.
-        reason: The error code and text it ended with.
+        reason: The error code and text with which it ended.
         alerts: Alerts received on the feed.
-        silence_s: Greatest time between two alerts, in seconds.
-        lateness_s: Greatest age of an alert when it came, in seconds.
-        stalls: Alerts that came late, the first ones of them.
+        silence_s: Longest time between two alerts, in seconds.
+        lateness_s: Greatest age of an alert on arrival, in seconds.
+        stalls: The first of the late alerts.
         port: The caller's UDP port.
     """
 
@@ -94,15 +94,14 @@
     """One request, through all of its attempts.
 
     Attributes:
-        identifier: Unique over all callers.
+        identifier: The request id, unique among all callers.
         service: The service's name.
-        asked: When it was first asked.
-        flow_opened: When the flow of the last attempt was opened.
-        ended: When its outcome was known, or None.
-        outcome: What the caller knows.
-        refused_attempts: Attempts of which the caller was told that they
-            were not run.
-        attempt: The newest attempt, from 0.
+        asked: Time of the first attempt.
+        flow_opened: Time at which the flow of the last attempt was opened.
+        ended: Time at which the outcome was known, or None.
+        outcome: The outcome as the caller sees it.
+        refused_attempts: Attempts that were refused as not run.
+        attempt: Number of the latest attempt, from 0.
     """
 
     identifier: str
@@ -115,7 +114,7 @@
     attempt: int = 0
 
     def end(self, outcome: Outcome, now: float) -> None:
-        """Notes the outcome; the first one stands."""
+        """Records the outcome, unless there is one already."""
         if self.outcome is Outcome.PENDING:
             self.outcome = outcome
             self.ended = now
@@ -123,7 +122,7 @@
 
 @attrs.define
 class Results:
-    """All that one callers program recorded."""
+    """All records of one callers program."""
 
     flows: list[FlowRecord] = attrs.field(factory=list)
     requests: list[RequestRecord] = attrs.field(factory=list)
@@ -134,7 +133,7 @@
 
 
 def from_json(value: dict) -> Results:
-    """Returns the records that `Results.to_json` gave."""
+    """Returns the records from the value of `Results.to_json`."""
     results = Results()
     for flow in value["flows"]:
         fate = Fate(flow["fate"])
--- a/standins/_slots.py
+++ b/standins/_slots.py
@@ -1,4 +1,4 @@
-"""Slots and a bounded queue: what one upstream runs and what it sheds."""
+"""Admission control of one upstream: slots with a bounded queue."""
 
 import collections
 import enum
@@ -7,14 +7,14 @@
 import attrs
 
 SLOTS = 2
-"""The brief's size of an endpoint."""
+"""Number of slots of an endpoint, as the brief sets it."""
 
 QUEUE = 16
-"""Jobs that wait; what comes beyond is shed at once."""
+"""Length limit of the queue; further jobs are shed immediately."""
 
 
 class Verdict(enum.Enum):
-    """What became of a job that was offered."""
+    """The decision on an offered job."""
 
     RUN = "run"
     QUEUED = "queued"
@@ -26,9 +26,9 @@
     """One request's work.
 
     Attributes:
-        key: Identifies the job to whoever offered it.
-        work_s: How long it holds a slot, in seconds.
-        deadline: Time after which it is not worth starting.
+        key: Identifies the job to the code that offered it.
+        work_s: Time for which it holds a slot, in seconds.
+        deadline: Time after which it is not started any more.
     """
 
     key: Hashable
@@ -37,7 +37,11 @@
 
 
 class Slots:
-    """Hands slots to jobs in the order in which they came."""
+    """Assigns slots to jobs in order of arrival.
+
+    Attributes:
+        finished: Number of finished jobs.
+    """
 
     def __init__(self, slots: int = SLOTS, queue: int = QUEUE):
         self._slots = slots
@@ -48,16 +52,16 @@
 
     @property
     def running(self) -> int:
-        """How many jobs hold a slot."""
+        """Number of jobs that hold a slot."""
         return len(self._running)
 
     @property
     def queued(self) -> int:
-        """How many jobs wait."""
+        """Number of queued jobs."""
         return len(self._queue)
 
     def offer(self, job: Job) -> Verdict:
-        """Runs, queues or sheds this job."""
+        """Decides whether this job runs, is queued or is shed."""
         if len(self._running) < self._slots:
             self._running.add(job.key)
             return Verdict.RUN
@@ -67,7 +71,10 @@
         return Verdict.QUEUED
 
     def cancel(self, key: Hashable) -> bool:
-        """Takes a job out of the queue; a running one goes on."""
+        """Removes a job from the queue; returns whether it was queued.
+
+        A running job continues.
+        """
         for job in self._queue:
             if job.key == key:
                 self._queue.remove(job)
@@ -75,11 +82,11 @@
         return False
 
     def finish(self, key: Hashable, now: float) -> tuple[Job | None, list[Job]]:
-        """Frees a slot.
+        """Frees a slot and assigns it to the next queued job.
 
         Returns:
-            The job that gets it, if one waits, and those whose deadline has
-            passed while they waited, which are not run.
+            The job that gets the slot, or None, and the jobs removed from the
+            queue because their deadline has passed, which are not run.
         """
         self._running.discard(key)
         self.finished += 1
--- a/standins/_spray.py
+++ b/standins/_spray.py
@@ -1,16 +1,16 @@
-"""Which VM a datagram goes to, and what the fabric does to it on the way."""
+"""The fabric's choice of VM for each datagram, and its simulated faults."""
 
 import random
 
 import attrs
 
 VERY_SOON_S = 0.002
-"""A reordered datagram comes this much later than it was sent."""
+"""Maximum delay of a reordered datagram, in seconds."""
 
 
 @attrs.frozen
 class Target:
-    """A VM that the fabric may send to."""
+    """A VM that the fabric may send datagrams to."""
 
     zone: str
     address: str
@@ -18,14 +18,15 @@
 
 @attrs.frozen
 class Faults:
-    """What the fabric does wrong.
+    """The faults that the fabric simulates.
 
     Attributes:
-        loss: Share of datagrams lost, 0 to 1.
-        duplication: Share of datagrams that come twice.
-        reordering: Share of datagrams that come later than sent.
-        cut_zones: Zones whose VMs nobody reaches by the fabric.
-        cut_for: Callers' addresses that the cut concerns; empty is all.
+        loss: Fraction of datagrams lost, 0 to 1.
+        duplication: Fraction of datagrams delivered twice.
+        reordering: Fraction of datagrams delivered late.
+        cut_zones: Zones whose VMs cannot be reached through the fabric.
+        cut_for: IP addresses of the callers that `cut_zones` applies to;
+            empty for all callers.
     """
 
     loss: float = 0.0
@@ -35,13 +36,18 @@
     cut_for: tuple[str, ...] = ()
 
     def cuts(self, zone: str, caller: str) -> bool:
-        """Returns whether this caller and this zone are cut off."""
+        """Returns whether this caller cannot reach VMs of this zone."""
         concerned = not self.cut_for or caller in self.cut_for
         return concerned and zone in self.cut_zones
 
 
 class Spray:
-    """Picks a VM for each datagram, at random."""
+    """Picks a random VM for each datagram.
+
+    Attributes:
+        targets: The VMs to pick from.
+        faults: The simulated faults.
+    """
 
     def __init__(self, rng: random.Random):
         self.targets: tuple[Target, ...] = ()
@@ -49,14 +55,17 @@
         self._rng = rng
 
     def pick(self, caller: str) -> Target | None:
-        """Returns the VM of one datagram, or None where it goes nowhere."""
+        """Returns the VM for one datagram, or None if it is discarded."""
         if not self.targets:
             return None
         target = self.targets[int(self._rng.random() * len(self.targets))]
         return None if self.faults.cuts(target.zone, caller) else target
 
     def delays(self) -> tuple[float, ...]:
-        """Returns how late each copy of one datagram comes; none is lost."""
+        """Returns the delay of each copy of a datagram, in seconds.
+
+        An empty tuple means that the datagram is lost.
+        """
         faults = self.faults
         if not (faults.loss or faults.duplication or faults.reordering):
             return (0.0,)
--- a/standins/_summary.py
+++ b/standins/_summary.py
@@ -1,4 +1,4 @@
-"""What the demo says at its end, and the exit code that this earns."""
+"""The demo's closing summary and its exit code."""
 
 from collections.abc import Iterable, Mapping
 
@@ -7,7 +7,7 @@
 from standins import _ledger, _records, _work
 
 MOST_FAILURES = 10
-"""Failed requests that are shown one by one."""
+"""Maximum number of failed requests that are listed."""
 
 _UNANSWERED = (_records.Outcome.LOST, _records.Outcome.CUT)
 
@@ -15,7 +15,7 @@
 def feeds(
     results: Iterable[_records.Results], loss: _ledger.Loss
 ) -> dict[str, float]:
-    """Returns how late alerts came, before the unplanned loss and after."""
+    """Returns the latest alerts before and after the unplanned loss."""
     before_s, after_s = 0.0, 0.0
     for result in results:
         for flow in result.flows:
@@ -31,7 +31,7 @@
 
 
 def failures(results: Iterable[_records.Results], began: float) -> list[str]:
-    """Returns a line for each of the first requests that failed."""
+    """Returns one line for each of the first failed requests."""
     failed = [
         request
         for result in results
@@ -47,7 +47,7 @@
 
 
 def late_connections(counted: Mapping[str, Mapping]) -> list[str]:
-    """Returns a line for each upstream that got work after it had drained."""
+    """Returns one line for each upstream with late new connections."""
     return [
         f"{name} got {upstream['late_connections']} new connections more "
         f"than {_work.SILENT_AFTER_DRAIN_S:.0f} s after it began to leave"
@@ -57,7 +57,7 @@
 
 
 def verdict(summary: Mapping) -> int:
-    """Returns the exit code that a summary earns."""
+    """Returns the exit code for a summary."""
     if summary["problems"]:
         return 1
     names = [field.name for field in attrs.fields(_ledger.Tally)]
--- a/standins/_tagged.py
+++ b/standins/_tagged.py
@@ -1,4 +1,4 @@
-"""Packets of callers and upstreams, by a tag that each of them carries."""
+"""QUIC-like packets whose payload carries a tag that names the caller."""
 
 import hashlib
 
@@ -7,7 +7,7 @@
 
 
 def initial(tag: str, early: bytes = b"") -> bytes:
-    """Returns the Initial of a caller, with 0-RTT behind it if given."""
+    """Returns a caller's Initial packet, followed by `early` if given."""
     payload = _MARK + tag.encode() + b";"
     head = b"\xc0\x00\x00\x00\x01\x08" + tag.encode().ljust(8, b"-")[:8]
     head += b"\x04abcd\x00"
@@ -24,7 +24,7 @@
 
 
 def short(tag: str, text: str = "") -> bytes:
-    """Returns a packet of a session in progress."""
+    """Returns a short-header packet of an established session."""
     body = _MARK + f"{tag};{text}".encode().ljust(40, b"\0")
     return b"\x41" + cid_of(tag) + body
 
@@ -35,14 +35,14 @@
 
 
 def server_initial(tag: str) -> bytes:
-    """Returns the upstream's first answer, which names its connection id."""
+    """Returns the upstream's first answer, which has its connection id."""
     head = b"\xc0\x00\x00\x00\x01\x04abcd\x08" + cid_of(tag) + b"\x00"
     payload = (_MARK + tag.encode() + b";").ljust(100, b"\0")
     return head + (0x4000 | len(payload)).to_bytes(2, "big") + payload
 
 
 def tag_of(data: bytes) -> str | None:
-    """Returns whose packet it is."""
+    """Returns the caller's tag in a packet, or None without one."""
     start = data.find(_MARK)
     if start < 0:
         return None
@@ -50,6 +50,6 @@
 
 
 def text_of(data: bytes) -> str:
-    """Returns what a session's packet says."""
+    """Returns the text in a packet of a session."""
     start = data.index(b";", data.index(_MARK))
     return data[start + 1 :].rstrip(b"\0").decode()
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,7 +1,8 @@
-"""Stand-in callers: long sessions, or a new flow for each image.
+"""Stand-in callers with long sessions, or with a new flow for each image.
 
-They run until SIGTERM, or for `--duration-s`; then they ask nothing more,
-wait for what is open, and write their records to stdout as one JSON object.
+The program runs until SIGTERM or for `--duration-s`. It then makes no more
+requests, waits for open ones, and writes its records to stdout as one JSON
+object.
 """
 
 import argparse
@@ -14,13 +15,13 @@
 from standins import _asking, _image, _programs, _reactor, _session
 
 SETTLE_S = 1.0
-"""Time that closing flows get to say so, in seconds."""
+"""Time allowed for flows to close at the end, in seconds."""
 
 CHECK_EVERY_S = 0.05
 
 
 class Program:
-    """All callers of one kind in one process."""
+    """The callers of one process, all of the same kind."""
 
     def __init__(self, shared: _asking.Shared, kind: str):
         self._shared = shared
@@ -28,7 +29,7 @@
         self._sessions: list[_session.SessionCaller] = []
 
     def start(self) -> None:
-        """Begins to open flows."""
+        """Starts to open flows."""
         if self._kind == "image":
             self._image()
             return
@@ -42,7 +43,7 @@
             )
 
     async def finish(self) -> None:
-        """Asks nothing more, waits for what is open, and closes."""
+        """Stops making requests, waits for open ones, and closes all flows."""
         shared = self._shared
         shared.finishing = True
         shared.give_up_returning()
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -135,8 +135,8 @@
 
         Args:
             places: The upstreams.
-            lag_s: How far the platform's list lags.
-            trace: Where the fabric writes each datagram's way, if anywhere.
+            lag_s: Delay of the platform's VM list, in seconds.
+            trace: File for the fabric's datagram trace; None for no trace.
         """
         traced = ("--trace", str(trace)) if trace else ()
         started = [
--- a/standins/journeys.py
+++ b/standins/journeys.py
@@ -1,8 +1,9 @@
-"""Prints the datagrams of each flow that a traced run has lost.
+"""Prints the datagrams of each lost flow of a traced run.
 
-`python -m standins.journeys FOLDER` reads what the callers recorded there and
-what the fabric traced: to which VM it handed each datagram, and what came
-back. It tells a flow lost by the way from one that an upstream left alone.
+`python -m standins.journeys FOLDER` reads the callers' records and the
+fabric's trace from the folder. The trace has the VM that each datagram was
+sent to, and the datagrams that came back. It shows whether a flow was lost on
+the path or was not answered by its upstream.
 """
 
 import collections
@@ -14,12 +15,16 @@
 
 _LOST = (_records.Fate.BROKEN, _records.Fate.UNOPENED)
 _SLACK_S = 0.005
-"""Callers and fabric read one clock, each once in a turn of its loop. Of two
-flows from one port the times tell which one a datagram belongs to."""
+"""Tolerance when datagrams are matched to flows by time, in seconds.
+
+If two flows used the same port, the time decides to which of them a datagram
+belongs. Callers and fabric read the same clock, but each only once per turn
+of its event loop.
+"""
 
 
 def journeys(folder: pathlib.Path) -> list[str]:
-    """Returns lines that tell each lost flow of a run."""
+    """Returns lines that list the datagrams of each lost flow of a run."""
     steps = collections.defaultdict(list)
     for line in (folder / "fabric.trace").read_text().splitlines():
         step = json.loads(line)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,7 +1,7 @@
 """A stand-in for the platform's configuration service.
 
-The read port answers `/manifest` and `/vms`; a call budget covers both. The
-admin port publishes, sets the VM list, and brings faults.
+The read port serves `/manifest` and `/vms` under a common call budget. The
+admin port publishes manifests, sets the VM list, and sets faults.
 """
 
 import argparse
@@ -19,14 +19,14 @@
 
 
 class ReadPort(http.Handler):
-    """What the fleet reads and watches."""
+    """The HTTP port that the fleet reads and watches."""
 
     def __init__(self, book: _book.Book, budget: _book.Budget):
         self._book = book
         self._budget = budget
 
     async def handle(self, request: http.Request) -> http.Response:
-        """Answers one call, within the budget and through the fault."""
+        """Returns the response to one call under the budget and the fault."""
         if not self._budget.take(anyio.current_time()):
             return TOO_MANY
         if self._book.fault is _book.Fault.DOWN:
@@ -57,14 +57,14 @@
 
 
 class AdminPort(http.Handler):
-    """What tests and the demo turn."""
+    """The HTTP port by which tests and the demo control the platform."""
 
     def __init__(self, book: _book.Book, budget: _book.Budget):
         self._book = book
         self._budget = budget
 
     async def handle(self, request: http.Request) -> http.Response:
-        """Applies one change, or shows the true values."""
+        """Applies one change, or returns the actual values."""
         now = anyio.current_time()
         match request.method, request.path:
             case "POST", "/publish":
--- a/standins/samples.py
+++ b/standins/samples.py
@@ -1,4 +1,4 @@
-"""A small fleet's manifest, VMs and settings, for stand-ins and tests."""
+"""Sample manifest, VMs and settings of a small fleet."""
 
 import json
 
@@ -81,7 +81,7 @@
 
 
 def reports_of(text: bytes) -> tuple[EndpointReport, ...]:
-    """Returns a good report of every endpoint of a manifest."""
+    """Returns a healthy report for every endpoint of a manifest."""
     return tuple(
         EndpointReport(
             service=service["number"],
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,4 +1,4 @@
-"""A stand-in for one upstream endpoint: QUIC, its load report, its faults."""
+"""A stand-in for one upstream endpoint: QUIC, load report and faults."""
 
 import argparse
 import functools
@@ -21,7 +21,7 @@
 
 
 class LoadPort(http.Handler):
-    """What agents probe."""
+    """The HTTP port that agents probe for the load report."""
 
     def __init__(self, endpoint: _work.Endpoint, listener, started: float):
         self._endpoint = endpoint
@@ -30,7 +30,7 @@
         self._frozen: dict | None = None
 
     async def handle(self, request: http.Request) -> http.Response:
-        """Reports the load, truly or as the fault has it."""
+        """Returns the load report, falsified by some faults."""
         if request.path != "/load":
             return http.NOT_FOUND
         fault = self._endpoint.fault
@@ -44,7 +44,7 @@
         return http.json_response(report)
 
     def report(self) -> dict:
-        """Returns the true load."""
+        """Returns the actual load."""
         slots = self._endpoint.slots
         return {
             "accepting": self._endpoint.draining_since is None,
@@ -57,7 +57,7 @@
 
 
 class AdminPort(http.Handler):
-    """What tests and the demo turn."""
+    """The HTTP port by which tests and the demo control the upstream."""
 
     def __init__(self, endpoint: _work.Endpoint, listener, load: LoadPort):
         self._endpoint = endpoint
@@ -65,7 +65,7 @@
         self._load = load
 
     async def handle(self, request: http.Request) -> http.Response:
-        """Brings a fault, begins a drain, or shows the counts."""
+        """Sets a fault, starts a drain, or returns the counters."""
         match request.method, request.path:
             case "POST", "/fault":
                 self._set_fault(_work.Fault(request.json()["mode"]))
--- a/tests/standins_book_test.py
+++ b/tests/standins_book_test.py
@@ -7,12 +7,12 @@
 
 
 class BudgetTest(TestCase):
-    """The platform counts each call."""
+    """Tests of the platform's call budget."""
 
-    def test_more_than_the_budget_is_refused(self):
-        """Readers call more often within a second than the platform allows.
+    def test_calls_over_budget_are_refused_and_counted(self):
+        """Readers make more calls within a second than the budget allows.
 
-        Each call beyond the budget is answered 429 and still counted.
+        Calls beyond the budget are refused but still counted.
         """
         budget = _book.Budget(2)
         allowed = [budget.take(now) for now in (0.0, 0.5, 0.9, 1.0, 1.2)]
@@ -21,19 +21,19 @@
 
 
 class BookTest(TestCase):
-    """What readers see follows what was set, as late as a fault has it."""
+    """Tests of the values that readers see."""
 
-    def test_list_lags(self):
-        """A changed VM list shows after the lag and not before."""
+    def test_vm_list_is_visible_after_lag(self):
+        """Readers see a changed VM list after the lag and not before."""
         book = _book.Book(lag_s=1.0)
         book.list_vms([{"name": "a"}], 10.0, at_once=False)
         self.assertEqual((), book.seen(10.9).vms)
         self.assertEqual(({"name": "a"},), book.seen(11.0).vms)
 
-    def test_frozen_shows_old_values(self):
-        """A frozen platform goes on answering with what it had.
+    def test_frozen_platform_serves_old_values(self):
+        """A frozen platform keeps serving the values it had.
 
-        Operators publish and nobody sees it until the freeze ends.
+        A manifest published meanwhile is not visible until the freeze ends.
         """
         book = _book.Book()
         book.publish(b'{"version": 1}')
@@ -52,8 +52,8 @@
             ("no_object", b"[]", 0),
         ]
     )
-    def test_any_text_is_stored(self, _, text, version):
-        """The platform stores what it is given, valid or not."""
+    def test_invalid_manifests_are_stored(self, _, text, version):
+        """The platform stores any text as a manifest, valid or not."""
         book = _book.Book()
         book.publish(text)
         self.assertEqual(
--- a/tests/standins_journeys_test.py
+++ b/tests/standins_journeys_test.py
@@ -15,10 +15,10 @@
 
 
 class JourneysTest(TestCase):
-    """A lost flow is told datagram by datagram."""
+    """Tests of the listing of a lost flow's datagrams."""
 
-    def test_lost_flow(self):
-        """Of two flows from one port only the lost one is told."""
+    def test_only_lost_flow_is_listed(self):
+        """Of two flows from the same port only the lost one is listed."""
         lost = _records.FlowRecord("barcodes", 10.0, 10.2, 25.0, port=7)
         lost.fate = _records.Fate.BROKEN
         closed = _records.FlowRecord("barcodes", 1.0, 1.1, 2.0, port=7)
--- a/tests/standins_ledger_test.py
+++ b/tests/standins_ledger_test.py
@@ -43,7 +43,7 @@
 
 
 class JoinTest(TestCase):
-    """What callers were told is held against what upstreams ran."""
+    """Tests of the comparison of callers' outcomes with executions."""
 
     @parameterized.expand(
         [
@@ -78,7 +78,7 @@
         ]
     )
     def test_request(self, _, request, ran, expected):
-        """Each kind of ending counts where it belongs, and only there."""
+        """Each outcome is counted in its own counters and in no others."""
         results = Results(requests=[request])
         ledger = _ledger.join([results], _executions(**ran))
         self.assertEqual([expected, {}], _faults(ledger))
@@ -92,17 +92,17 @@
         ]
     )
     def test_unplanned_loss(self, _, opened, ended, excused):
-        """A VM was killed and a session broke.
+        """A VM is killed and a session breaks.
 
-        Only a flow that lived through the loss is counted apart.
+        The flow is counted separately only if the loss can have affected it.
         """
         flow = FlowRecord("registry", opened, opened, ended, Fate.BROKEN)
         ledger = _ledger.join([Results(flows=[flow])], _executions(), _KILLED)
         self.assertEqual(excused, ledger.after_loss.broken_flows)
         self.assertEqual(1 - excused, ledger.promised.broken_flows)
 
-    def test_records_survive_json(self):
-        """Records read back from a callers program equal what it had."""
+    def test_records_round_trip_through_json(self):
+        """Records decoded from JSON equal the encoded ones."""
         results = Results(
             flows=[FlowRecord("registry", 1.0, fate=Fate.REFUSED)],
             requests=[_request(refused=[0])],
--- a/tests/standins_path_test.py
+++ b/tests/standins_path_test.py
@@ -1,4 +1,4 @@
-"""Tests of callers, fabric, upstream and platform as processes."""
+"""Tests of callers, fabric, upstream and platform as separate processes."""
 
 import json
 import pathlib
@@ -11,13 +11,13 @@
 from standins import _ledger, _processes, _records, fleet, http
 
 _LATEST_S = 60.0
-"""Ends a hanging test; no verdict depends on it."""
+"""Time-out in seconds that ends a hanging test; no assertion depends on it."""
 
 _LATEST = str(_LATEST_S)
 
 
 class _Path:
-    """A platform, a fabric, and an upstream where a VM would stand."""
+    """A platform, a fabric, and an upstream in place of a VM."""
 
     def __init__(self, processes: _processes.Processes, addresses):
         self._processes = processes
@@ -47,7 +47,7 @@
         for process in started:
             ready = await process.ready(_LATEST_S)
             assert ready, process.err.read_text()
-        # The fabric sends straight to the upstream.
+        # The fabric sends directly to the upstream.
         vms = [{"zone": "a", "address": self._upstream}]
         body = {"vms": vms, "at_once": True}
         await http.post(self._platform, 8101, "/vms", body)
@@ -79,7 +79,7 @@
 
 
 class PathTest(TestCase):
-    """Requests pass from callers through the fabric to an upstream."""
+    """Tests of requests from callers through the fabric to an upstream."""
 
     def _run(self, scenario, connections=100) -> None:
         async def main():
@@ -99,7 +99,7 @@
         anyio.run(main)
 
     def test_every_request_is_answered_and_run_once(self):
-        """Sessions and images through a whole path come out whole."""
+        """All session and image requests are answered and run once."""
 
         async def scenario(path):
             sessions = path.callers("s", "registry", "session", 2)
@@ -113,11 +113,11 @@
 
         self._run(scenario)
 
-    def test_full_endpoint_refuses_and_nothing_of_it_runs(self):
-        """More sessions come than the endpoint holds connections.
+    def test_full_endpoint_refuses_without_running_requests(self):
+        """More sessions are opened than the endpoint accepts connections.
 
-        Callers beyond that are refused at once and told when to come back;
-        nothing that they asked has run.
+        Callers beyond the limit are refused at once and told when to retry.
+        None of their requests is run.
         """
 
         async def scenario(path):
@@ -137,9 +137,9 @@
         self._run(scenario, connections=3)
 
     def test_wrong_service_is_counted(self):
-        """A caller's packet reached another service's endpoint.
+        """A caller's packet reaches the endpoint of another service.
 
-        The endpoint counts it and runs nothing.
+        The endpoint counts the request and does not run it.
         """
 
         async def scenario(path):
--- a/tests/standins_slots_test.py
+++ b/tests/standins_slots_test.py
@@ -10,10 +10,10 @@
 
 
 class SlotsTest(TestCase):
-    """An endpoint runs two jobs, queues some and sheds the rest."""
+    """Tests of running, queueing and shedding jobs."""
 
-    def test_runs_queues_sheds(self):
-        """Jobs beyond slots and queue are shed, in the order they came."""
+    def test_jobs_run_then_queue_then_are_shed(self):
+        """Jobs take slots, then queue places in order; the rest is shed."""
         slots = Slots(slots=2, queue=1)
         verdicts = [slots.offer(_job(key)) for key in "abcd"]
         self.assertEqual(
@@ -22,9 +22,9 @@
         self.assertEqual((2, 1), (slots.running, slots.queued))
 
     def test_expired_job_is_not_run(self):
-        """A job waited beyond its deadline while others held the slots.
+        """A queued job's deadline passes while another job holds the slot.
 
-        Its caller is told that it was not run; the next one gets the slot.
+        The job is returned as expired, and the next one gets the slot.
         """
         slots = Slots(slots=1, queue=2)
         for job in (_job("a"), _job("late", 5.0), _job("b")):
@@ -34,7 +34,7 @@
         self.assertEqual(["late"], [job.key for job in late])
 
     def test_cancelled_job_leaves_the_queue(self):
-        """A cancelled job never runs; a running one cannot be cancelled."""
+        """A cancelled job never runs; a running job cannot be cancelled."""
         slots = Slots(slots=1, queue=2)
         for job in (_job("a"), _job("b")):
             slots.offer(job)
--- a/tests/standins_spray_test.py
+++ b/tests/standins_spray_test.py
@@ -10,19 +10,19 @@
 
 
 class SprayTest(TestCase):
-    """The fabric hands any datagram to any VM."""
+    """Tests of the choice of VMs and of simulated faults."""
 
-    def test_all_vms_get_datagrams(self):
-        """Each VM of the list gets its share of one caller's datagrams."""
+    def test_datagrams_are_spread_evenly(self):
+        """Each VM gets an equal share of one caller's datagrams."""
         spray = Spray(random.Random(1))
         spray.targets = _VMS
         picked = [spray.pick("127.0.5.1").zone for _ in range(1000)]
         self.assertTrue(400 < picked.count("a") < 600)
 
-    def test_cut_zone_is_out_of_reach(self):
+    def test_cut_zone_is_unreachable(self):
         """A zone is cut off from some callers.
 
-        Their datagrams for its VMs vanish; other callers notice nothing.
+        Their datagrams to its VMs are lost; other callers are not affected.
         """
         spray = Spray(random.Random(1))
         spray.targets = _VMS
@@ -33,7 +33,7 @@
         self.assertEqual(set(_VMS), spared)
 
     def test_loss_and_duplication(self):
-        """Datagrams vanish and come twice as often as set."""
+        """Datagrams are lost and duplicated at the configured rates."""
         spray = Spray(random.Random(1))
         spray.faults = Faults(loss=0.5, duplication=0.5)
         copies = [len(spray.delays()) for _ in range(1000)]
--- a/tests/standins_summary_test.py
+++ b/tests/standins_summary_test.py
@@ -9,7 +9,7 @@
 
 
 class VerdictTest(TestCase):
-    """The demo fails for what is promised, and for nothing else."""
+    """Tests of the demo's exit code."""
 
     @parameterized.expand(
         [
@@ -28,7 +28,7 @@
         ]
     )
     def test_exit_code(self, _, promised, after, problems, expected):
-        """The exit code is 1 for a fault in what is promised, else 0."""
+        """The exit code is 1 for a broken guarantee or a problem, else 0."""
         summary = attrs.asdict(_ledger.Tally(**promised))
         summary["after_kill"] = attrs.asdict(_ledger.Tally(**after))
         summary["problems"] = problems
@@ -36,10 +36,10 @@
 
 
 class FeedsTest(TestCase):
-    """Late alerts are told apart by the unplanned loss."""
+    """Tests of the reported lateness of alerts."""
 
-    def test_before_and_after(self):
-        """The greatest lateness of each side of the loss is reported."""
+    def test_lateness_before_and_after_loss(self):
+        """The greatest lateness before and after the loss is reported."""
         flow = FlowRecord("registry", 1.0)
         flow.stalls = [Stall(9.0, 2.0, 0.6), Stall(11.0, 4.0, 3.0)]
         told = _summary.feeds([Results(flows=[flow])], _ledger.Loss(10.0))
@@ -47,12 +47,12 @@
 
 
 class LateConnectionsTest(TestCase):
-    """New work on a leaving upstream is told."""
+    """Tests of the report of new work on draining upstreams."""
 
-    def test_only_the_faulty_one(self):
-        """An upstream drained and still got new connections.
+    def test_only_upstreams_with_late_connections_are_listed(self):
+        """An upstream drains and still gets new connections.
 
-        Its operators cannot take it away without cutting those off.
+        Operators cannot remove it without cutting off those connections.
         """
         counted = {
             "registry-1": {"late_connections": 0},
