--- a/standins/_addresses.py
+++ b/standins/_addresses.py
@@ -6,7 +6,7 @@
 import attrs
 
 LOCK_PORT = 8999
-MOST_BLOCKS = 200
+MAX_BLOCKS = 200
 """Number of address blocks to try; 127.1.0.0 is the second.
 
 This is more than the number of fleets that a machine can run.
@@ -54,15 +54,15 @@
     """
 
     def __init__(self):
-        self._lock, self.addresses = _first_free()
+        self._lock, self.addresses = _lock_first_free()
 
     def release(self) -> None:
         """Releases the block."""
         self._lock.close()
 
 
-def _first_free() -> tuple[socket.socket, Addresses]:
-    for block in range(MOST_BLOCKS):
+def _lock_first_free() -> tuple[socket.socket, Addresses]:
+    for block in range(MAX_BLOCKS):
         addresses = Addresses(block)
         lock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -73,4 +73,4 @@
                 raise
             continue
         return lock, addresses
-    raise RuntimeError(f"all {MOST_BLOCKS} blocks of addresses are in use")
+    raise RuntimeError(f"all {MAX_BLOCKS} blocks of addresses are in use")
--- a/standins/_asking.py
+++ b/standins/_caller_context.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class Plan:
+class LoadPlan:
     """The load that the callers of one program generate.
 
     Attributes:
@@ -47,7 +47,7 @@
 
 
 @attrs.define
-class Shared:
+class CallerContext:
     """State shared by all callers of one program.
 
     Attributes:
@@ -55,16 +55,18 @@
         plan: The load to generate.
         rng: The source of randomness.
         results: The records of flows and requests.
-        returning: Refused requests that wait for a retry, by id.
+        awaiting_retry: Refused requests that wait for a retry, by id.
         finishing: Whether no more requests are to be made.
         open_flows: Number of open flows.
     """
 
     reactor: _reactor.Reactor
-    plan: Plan
+    plan: LoadPlan
     rng: random.Random
     results: _records.Results = attrs.field(factory=_records.Results)
-    returning: dict[str, _records.RequestRecord] = attrs.field(factory=dict)
+    awaiting_retry: dict[str, _records.RequestRecord] = attrs.field(
+        factory=dict
+    )
     finishing: bool = False
     open_flows: int = 0
 
@@ -87,21 +89,21 @@
         self.results.requests.append(record)
         return record
 
-    def told_not_run(self, record: _records.RequestRecord) -> None:
+    def record_refusal(self, record: _records.RequestRecord) -> None:
         """Records that the latest attempt was refused without being run."""
         record.refused_attempts.append(record.attempt)
         record.attempt += 1
-        self.returning[record.identifier] = record
+        self.awaiting_retry[record.identifier] = record
 
-    def give_up_returning(self) -> None:
+    def end_unretried(self) -> None:
         """Ends refused requests that have not been retried."""
-        for record in self.returning.values():
+        for record in self.awaiting_retry.values():
             record.end(_records.Outcome.REFUSED, self.reactor.now)
-        self.returning.clear()
+        self.awaiting_retry.clear()
 
     def line(self, record: _records.RequestRecord, operation: str) -> bytes:
         """Returns the request line of the latest attempt."""
-        self.returning.pop(record.identifier, None)
+        self.awaiting_retry.pop(record.identifier, None)
         left_s = record.asked + self.plan.deadline_s - self.reactor.now
         request = {
             "id": record.identifier,
@@ -148,6 +150,6 @@
         return _records.Outcome.ANSWERED
 
     @property
-    def begun(self) -> bool:
+    def has_data(self) -> bool:
         """Whether any data was received."""
         return bool(self._data)
--- a/standins/_flow.py
+++ b/standins/_flow.py
@@ -41,7 +41,7 @@
         """Called when the flow has ended, as its last event."""
 
 
-class Flow(_quic.Peer):
+class Flow(_quic.EventHandler):
     """One flow to a service."""
 
     def __init__(
@@ -65,7 +65,7 @@
         self.link = _quic.Link(reactor, self._socket, quic, self)
         reactor.add(self._socket, self.link.receive)
         quic.connect(remote, reactor.now)
-        self.link.touch()
+        self.link.schedule_send()
 
     @property
     def quic(self) -> connection.QuicConnection:
@@ -88,13 +88,13 @@
         """Sends a request on a new stream; returns the stream id."""
         stream = self.quic.get_next_available_stream_id()
         self.quic.send_stream_data(stream, line + b"\n", end_stream=True)
-        self.link.touch()
+        self.link.schedule_send()
         return stream
 
     def ping(self) -> None:
         """Sends a keep-alive."""
         self.quic.send_ping(0)
-        self.link.touch()
+        self.link.schedule_send()
 
     def on_event(self, event: events.QuicEvent) -> None:
         """Handles one event of the connection."""
@@ -113,18 +113,18 @@
 
     def _end(self, event: events.ConnectionTerminated) -> None:
         self._reactor.remove(self._socket)
-        ending = self._ending(event)
+        ending = self._classify(event)
         self.record.ended = self._reactor.now
         self.record.fate = ending.fate
         self.record.reason = f"{event.error_code}: {event.reason_phrase}"
         self._owner.on_end(ending)
 
-    def _ending(self, event: events.ConnectionTerminated) -> Ending:
+    def _classify(self, event: events.ConnectionTerminated) -> Ending:
         if self._closing:
             return Ending(_records.Fate.CLOSED)
         if event.error_code == _quic.CONNECTION_REFUSED:
-            told = _RETRY_AFTER.search(event.reason_phrase)
-            after_ms = int(told.group(1)) if told else RETRY_DEFAULT_MS
+            found = _RETRY_AFTER.search(event.reason_phrase)
+            after_ms = int(found.group(1)) if found else RETRY_DEFAULT_MS
             return Ending(_records.Fate.REFUSED, after_ms / 1000)
         if self.record.connected is None:
             return Ending(_records.Fate.UNOPENED)
--- a/standins/_image.py
+++ b/standins/_image.py
@@ -1,16 +1,16 @@
 """A caller that opens a new flow for each requested image."""
 
-from standins import _asking, _flow, _records, _work
+from standins import _caller_context, _flow, _records, _work
 
 
 class ImageCaller(_flow.FlowOwner):
     """One request for one image, through all of its attempts."""
 
-    def __init__(self, shared: _asking.Shared):
+    def __init__(self, shared: _caller_context.CallerContext):
         self._shared = shared
         self._record = shared.new_request(shared.reactor.now)
         self._flow: _flow.Flow | None = None
-        self._answer = _asking.Answer()
+        self._answer = _caller_context.Answer()
 
     def open(self) -> None:
         """Starts an attempt on a new flow, unless there is an outcome."""
@@ -18,7 +18,7 @@
         if self._record.outcome is not _records.Outcome.PENDING:
             return
         plan = shared.plan
-        self._answer = _asking.Answer()
+        self._answer = _caller_context.Answer()
         self._record.flow_opened = shared.reactor.now
         flow = _flow.Flow(
             shared.reactor,
@@ -30,7 +30,7 @@
         )
         self._flow = flow
         flow.ask(shared.line(self._record, "image"))
-        shared.reactor.at(self._deadline, lambda: self._give_up(flow))
+        shared.reactor.at(self._deadline, lambda: self._on_deadline(flow))
 
     @property
     def _deadline(self) -> float:
@@ -60,25 +60,25 @@
             return
         now = shared.reactor.now
         if ending.fate is _records.Fate.REFUSED:
-            self._come_back(now + ending.retry_after_s)
-        elif self._answer.begun:
+            self._retry(now + ending.retry_after_s)
+        elif self._answer.has_data:
             self._record.end(_records.Outcome.CUT, now)
         else:
             self._record.end(_records.Outcome.LOST, now)
 
-    def _come_back(self, when: float) -> None:
-        self._shared.told_not_run(self._record)
+    def _retry(self, when: float) -> None:
+        self._shared.record_refusal(self._record)
         if when < self._deadline:
             self._shared.reactor.at(when, self.open)
         else:
-            self._shared.returning.pop(self._record.identifier)
+            self._shared.awaiting_retry.pop(self._record.identifier)
             now = self._shared.reactor.now
             self._record.end(_records.Outcome.REFUSED, now)
 
-    def _give_up(self, flow: _flow.Flow) -> None:
+    def _on_deadline(self, flow: _flow.Flow) -> None:
         if flow is not self._flow:
             return
-        begun = self._answer.begun
+        begun = self._answer.has_data
         outcome = _records.Outcome.CUT if begun else _records.Outcome.LOST
         self._record.end(outcome, self._shared.reactor.now)
         flow.close()
--- a/standins/_ledger.py
+++ b/standins/_ledger.py
@@ -14,7 +14,7 @@
 list is outdated.
 """
 
-_BROKEN = (_records.Fate.BROKEN, _records.Fate.UNOPENED)
+_BROKEN_FATES = (_records.Fate.BROKEN, _records.Fate.UNOPENED)
 
 
 @attrs.define
@@ -65,12 +65,12 @@
 
     at: float
 
-    def hits_flow(self, flow: _records.FlowRecord) -> bool:
+    def may_affect_flow(self, flow: _records.FlowRecord) -> bool:
         """Returns whether the loss may have affected the flow."""
         ended = flow.ended is None or flow.ended >= self.at
         return flow.opened <= self.at + DETECT_S and ended
 
-    def hits_request(self, request: _records.RequestRecord) -> bool:
+    def may_affect_request(self, request: _records.RequestRecord) -> bool:
         """Returns whether the loss may have affected the request."""
         ended = request.ended is None or request.ended >= self.at
         return request.flow_opened <= self.at + DETECT_S and ended
@@ -127,11 +127,11 @@
     promised, after = Tally(), Tally()
     for result in results:
         for flow in result.flows:
-            hit = loss is not None and loss.hits_flow(flow)
-            _count_flow(after if hit else promised, flow)
+            affected = loss is not None and loss.may_affect_flow(flow)
+            _count_flow(after if affected else promised, flow)
         for request in result.requests:
-            hit = loss is not None and loss.hits_request(request)
-            _count_request(after if hit else promised, request, executions)
+            affected = loss is not None and loss.may_affect_request(request)
+            _count_request(after if affected else promised, request, executions)
     # Not attributable to a loss: upstreams do not know when a flow was opened.
     promised.wrong_service += executions.wrong_service
     return Ledger(promised, after)
@@ -139,7 +139,7 @@
 
 def _count_flow(tally: Tally, flow: _records.FlowRecord) -> None:
     tally.flows += 1
-    tally.broken_flows += flow.fate in _BROKEN
+    tally.broken_flows += flow.fate in _BROKEN_FATES
 
 
 def _count_request(
--- a/standins/_listener.py
+++ b/standins/_listener.py
@@ -7,11 +7,11 @@
 
 from standins import _quic, _reactor
 
-MOST_CONNECTIONS = 2_000
+MAX_CONNECTIONS = 2_000
 """Maximum number of connections of an endpoint, as the brief sets it."""
 
 
-class Session(_quic.Peer):
+class Session(_quic.EventHandler):
     """One accepted connection."""
 
     link: _quic.Link
@@ -25,7 +25,7 @@
         """Returns the session that serves a new connection."""
 
 
-class _Entry(_quic.Peer):
+class _Entry(_quic.EventHandler):
     """Keeps the listener's table of connection ids current."""
 
     def __init__(self, listener: "Listener", session: Session):
@@ -42,7 +42,7 @@
             self.ids.discard(event.connection_id)
             self._listener.links.pop(event.connection_id, None)
         elif isinstance(event, events.ConnectionTerminated):
-            self._listener.forget(self.ids, self.refused)
+            self._listener.remove(self.ids, self.refused)
             self._session.on_event(event)
         else:
             self._session.on_event(event)
@@ -60,7 +60,7 @@
         open_connections: Number of accepted connections that are open.
         refused: Number of refused connections.
         unknown: Number of datagrams that belong to no connection.
-        deaf: Whether datagrams are discarded unread.
+        discarding: Whether datagrams are discarded unread.
     """
 
     def __init__(
@@ -69,28 +69,28 @@
         address: _reactor.Address,
         quic_configuration: configuration.QuicConfiguration,
         sessions: SessionFactory,
-        most_connections: int = MOST_CONNECTIONS,
+        max_connections: int = MAX_CONNECTIONS,
     ):
         self.links: dict[bytes, _quic.Link] = {}
         self.open_connections = 0
         self.refused = 0
         self.unknown = 0
-        self.deaf = False
+        self.discarding = False
         self._reactor = reactor
         self._configuration = quic_configuration
         self._sessions = sessions
-        self._most = most_connections
+        self._max_connections = max_connections
         self._socket = _reactor.udp_socket(*address)
         reactor.add(self._socket, self._on_datagram)
 
-    def forget(self, ids: set[bytes], refused: bool) -> None:
+    def remove(self, ids: set[bytes], refused: bool) -> None:
         """Removes an ended connection from the table."""
         self.open_connections -= not refused
         for identifier in ids:
             self.links.pop(identifier, None)
 
     def _on_datagram(self, data: bytes, address: _reactor.Address) -> None:
-        if self.deaf:
+        if self.discarding:
             return
         try:
             header = packet.pull_quic_header(
@@ -124,7 +124,7 @@
         for identifier in (header.destination_cid, quic.host_cid):
             entry.ids.add(identifier)
             self.links[identifier] = session.link
-        if self.open_connections < self._most:
+        if self.open_connections < self._max_connections:
             self.open_connections += 1
         else:
             entry.refused = True
--- a/standins/_book.py
+++ b/standins/_platform_state.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-CALLS_A_SECOND = 2_000
+CALLS_PER_S = 2_000
 """Call budget per second over all readers, as the brief sets it."""
 
 LAG_S = 1.0
@@ -23,8 +23,8 @@
 
 
 @attrs.frozen
-class Values:
-    """The values that a reader sees.
+class PublishedValues:
+    """A manifest and VM list as readers see them.
 
     Attributes:
         manifest: The manifest's text.
@@ -37,7 +37,7 @@
     vms: tuple[dict, ...] = ()
 
 
-def version_of(manifest: bytes) -> int:
+def parse_version(manifest: bytes) -> int:
     """Returns the manifest's version, or 0 if it has no valid one."""
     try:
         version = json.loads(manifest)["version"]
@@ -52,14 +52,14 @@
     Attributes:
         calls: Number of all calls.
         over: Number of calls beyond the budget.
-        greatest: Greatest number of allowed calls within one second.
+        peak: Greatest number of allowed calls within one second.
     """
 
-    def __init__(self, calls_a_second: int = CALLS_A_SECOND):
+    def __init__(self, calls_per_s: int = CALLS_PER_S):
         self.calls = 0
         self.over = 0
-        self.greatest = 0
-        self._most = calls_a_second
+        self.peak = 0
+        self._max_calls = calls_per_s
         self._recent: collections.deque[float] = collections.deque()
 
     def take(self, now: float) -> bool:
@@ -67,15 +67,15 @@
         self.calls += 1
         while self._recent and self._recent[0] <= now - 1.0:
             self._recent.popleft()
-        if len(self._recent) >= self._most:
+        if len(self._recent) >= self._max_calls:
             self.over += 1
             return False
         self._recent.append(now)
-        self.greatest = max(self.greatest, len(self._recent))
+        self.peak = max(self.peak, len(self._recent))
         return True
 
 
-class Book:
+class PlatformState:
     """The published values, and the values that readers see.
 
     Attributes:
@@ -90,17 +90,17 @@
         self._manifest = b""
         self._version = 0
         self._lists: list[tuple[float, tuple[dict, ...]]] = [(0.0, ())]
-        self._frozen = Values()
+        self._frozen = PublishedValues()
 
     def publish(self, manifest: bytes) -> None:
         """Stores a manifest unchecked, even an older or invalid one."""
         self._manifest = manifest
-        self._version = version_of(manifest)
+        self._version = parse_version(manifest)
 
     def list_vms(self, vms: list[dict], now: float, at_once: bool) -> None:
         """Sets the VM list, which readers see after the lag or at once."""
-        shows = now if at_once else now + self._lag_s
-        self._lists.append((shows, tuple(vms)))
+        visible_from = now if at_once else now + self._lag_s
+        self._lists.append((visible_from, tuple(vms)))
 
     def set_fault(self, fault: Fault, delay_s: float, now: float) -> None:
         """Sets the fault that readers meet from now on."""
@@ -109,13 +109,13 @@
         self.fault = fault
         self.delay_s = delay_s
 
-    def current(self, now: float) -> Values:
+    def current(self, now: float) -> PublishedValues:
         """Returns the values regardless of the fault, but with the lag."""
         while len(self._lists) > 1 and self._lists[1][0] <= now:
             self._lists.pop(0)
-        return Values(self._manifest, self._version, self._lists[0][1])
+        return PublishedValues(self._manifest, self._version, self._lists[0][1])
 
-    def seen(self, now: float) -> Values:
+    def visible(self, now: float) -> PublishedValues:
         """Returns the values that a reader sees under the current fault."""
         if self.fault is Fault.FROZEN:
             return self._frozen
--- a/standins/_processes.py
+++ b/standins/_processes.py
@@ -11,8 +11,8 @@
 
 from standins import _programs
 
-CHECK_EVERY_S = 0.02
-END_WITHIN_S = 2.0
+POLL_INTERVAL_S = 0.02
+STOP_TIMEOUT_S = 2.0
 """Time between SIGTERM and SIGKILL at the end of a run, in seconds.
 
 Flows have ended by then, so no longer handover is needed.
@@ -45,7 +45,7 @@
                 stdin=subprocess.DEVNULL,
                 stdout=out,
                 stderr=err,
-                preexec_fn=_programs.end_with_parent,
+                preexec_fn=_programs.exit_with_parent,
             )
 
     @property
@@ -69,14 +69,14 @@
         while time.monotonic() < until and self.exit_code is None:
             if b'"ready"' in self.out.read_bytes():
                 return True
-            await anyio.sleep(CHECK_EVERY_S)
+            await anyio.sleep(POLL_INTERVAL_S)
         return False
 
     async def ended(self, within_s: float) -> bool:
         """Waits for the process to exit; returns whether it did."""
         until = time.monotonic() + within_s
         while self.exit_code is None and time.monotonic() < until:
-            await anyio.sleep(CHECK_EVERY_S)
+            await anyio.sleep(POLL_INTERVAL_S)
         return self.exit_code is not None
 
     def usage(self) -> Usage:
@@ -123,6 +123,6 @@
             for number in (signal.SIGTERM, signal.SIGKILL):
                 for process in self.running:
                     process.signal(number)
-                until = time.monotonic() + END_WITHIN_S
+                until = time.monotonic() + STOP_TIMEOUT_S
                 while self.running and time.monotonic() < until:
-                    await anyio.sleep(CHECK_EVERY_S)
+                    await anyio.sleep(POLL_INTERVAL_S)
--- a/standins/_programs.py
+++ b/standins/_programs.py
@@ -10,7 +10,7 @@
 _PR_SET_PDEATHSIG = 1
 
 
-def end_with_parent() -> None:
+def exit_with_parent() -> None:
     """Asks the kernel to kill this process when its parent exits.
 
     An interrupted demo would otherwise leave processes that hold ports, and
@@ -20,7 +20,7 @@
     libc.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
 
 
-async def until_signal() -> None:
+async def wait_for_signal() -> None:
     """Waits for SIGTERM or SIGINT."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
@@ -30,7 +30,7 @@
 async def _run(main: Callable[[], Awaitable[None]]) -> None:
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(main)
-        await until_signal()
+        await wait_for_signal()
         tasks.cancel_scope.cancel()
 
 
--- a/standins/_quic.py
+++ b/standins/_quic.py
@@ -22,7 +22,7 @@
 """
 
 
-class Peer(abc.ABC):
+class EventHandler(abc.ABC):
     """Receives the events of a connection."""
 
     @abc.abstractmethod
@@ -38,37 +38,37 @@
         reactor: _reactor.Reactor,
         sock: socket.socket,
         quic: connection.QuicConnection,
-        peer: Peer,
+        handler: EventHandler,
     ):
         self.quic = quic
         self.ended = False
         self.closing = False
         self._reactor = reactor
         self._sock = sock
-        self._peer = peer
-        self._armed: float | None = None
-        self._dirty = False
+        self._handler = handler
+        self._timer_at: float | None = None
+        self._send_scheduled = False
 
     def receive(self, data: bytes, address: _reactor.Address) -> None:
         """Handles a received datagram."""
         self.quic.receive_datagram(data, address, self._reactor.now)
-        self.touch()
+        self.schedule_send()
 
-    def touch(self) -> None:
+    def schedule_send(self) -> None:
         """Schedules sending for the end of this reactor turn.
 
         Datagrams that arrive in the same turn can thus share one
         acknowledgement.
         """
-        if not self._dirty:
-            self._dirty = True
-            self._reactor.after_turn(self._pump)
+        if not self._send_scheduled:
+            self._send_scheduled = True
+            self._reactor.after_turn(self._process)
 
     def close(self, code: int = 0, reason: str = "") -> None:
         """Closes the connection."""
         self.closing = True
         self.quic.close(error_code=code, reason_phrase=reason)
-        self.touch()
+        self.schedule_send()
 
     def refuse(self, reason: str) -> None:
         """Refuses the connection with a transport error.
@@ -82,23 +82,23 @@
             frame_type=packet.QuicFrameType.PADDING,
             reason_phrase=reason,
         )
-        self.touch()
+        self.schedule_send()
 
-    def _pump(self) -> None:
-        self._dirty = False
+    def _process(self) -> None:
+        self._send_scheduled = False
         event = self.quic.next_event()
         while event is not None and not self.ended:
             self.ended = isinstance(event, events.ConnectionTerminated)
-            self._peer.on_event(event)
+            self._handler.on_event(event)
             event = self.quic.next_event()
         if self._closed_by_peer():
             self.ended = True
-            self._peer.on_event(self.quic._close_event)
+            self._handler.on_event(self.quic._close_event)
         if self.ended:
             return
         for data, to in self.quic.datagrams_to_send(self._reactor.now):
             _reactor.send(self._sock, data, to)
-        self._arm()
+        self._set_timer()
 
     def _closed_by_peer(self) -> bool:
         # aioquic reports a close only after its draining period, which is
@@ -107,22 +107,22 @@
         known = self.quic._close_event is not None
         return known and not self.closing and not self.ended
 
-    def _arm(self) -> None:
+    def _set_timer(self) -> None:
         timer = self.quic.get_timer()
         if timer is None or self.ended:
             return
-        if self._armed is None or timer < self._armed:
-            self._armed = timer
+        if self._timer_at is None or timer < self._timer_at:
+            self._timer_at = timer
             self._reactor.at(timer, self._on_timer)
 
     def _on_timer(self) -> None:
-        self._armed = None
+        self._timer_at = None
         timer = self.quic.get_timer()
         if timer is not None and timer <= self._reactor.now:
             self.quic.handle_timer(self._reactor.now)
-            self.touch()
+            self.schedule_send()
         else:
-            self._arm()
+            self._set_timer()
 
 
 def client_configuration(idle_s: float = IDLE_S):
--- a/standins/_reactor.py
+++ b/standins/_reactor.py
@@ -12,14 +12,14 @@
 Address = tuple[str, int]
 OnDatagram = Callable[[bytes, Address], None]
 
-BATCH = 64
+MAX_BATCH = 64
 """Maximum number of datagrams read from one socket per turn.
 
 Bounds the time for which other sockets wait.
 """
 
-SOCKETS_A_TURN = 256
-LONGEST_WAIT_S = 0.05
+SOCKETS_PER_TURN = 256
+MAX_WAIT_S = 0.05
 """Maximum wait of one turn, in seconds.
 
 Bounds the delay of callbacks that other tasks add.
@@ -62,8 +62,8 @@
         self._epoll = select.epoll()
         self._sockets: dict[int, tuple[socket.socket, OnDatagram]] = {}
         self._timers: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = itertools.count()
-        self._after: list[Callable[[], None]] = []
+        self._sequence = itertools.count()
+        self._after_turn: list[Callable[[], None]] = []
         self.now = 0.0
 
     def add(self, sock: socket.socket, on_datagram: OnDatagram) -> None:
@@ -79,40 +79,40 @@
 
     def at(self, when: float, callback: Callable[[], None]) -> None:
         """Registers a callback for this time of the event loop's clock."""
-        heapq.heappush(self._timers, (when, next(self._numbers), callback))
+        heapq.heappush(self._timers, (when, next(self._sequence), callback))
 
     def after_turn(self, callback: Callable[[], None]) -> None:
         """Registers a callback for the end of this turn, or of the next."""
-        self._after.append(callback)
+        self._after_turn.append(callback)
 
     async def run(self) -> None:
         """Runs until cancelled."""
         self.now = anyio.current_time()
         while True:
-            with anyio.move_on_after(self._longest_wait()):
+            with anyio.move_on_after(self._max_wait()):
                 await anyio.wait_readable(self._epoll.fileno())
             self.now = anyio.current_time()
-            self._read_all()
-            self._fire()
+            self._read_sockets()
+            self._run_timers()
             self._finish_turn()
             await anyio.lowlevel.checkpoint()
 
-    def _longest_wait(self) -> float:
-        if self._after:
+    def _max_wait(self) -> float:
+        if self._after_turn:
             return 0.0
         if not self._timers:
-            return LONGEST_WAIT_S
-        ahead = self._timers[0][0] - anyio.current_time()
-        return min(max(ahead, 0.0), LONGEST_WAIT_S)
+            return MAX_WAIT_S
+        remaining_s = self._timers[0][0] - anyio.current_time()
+        return min(max(remaining_s, 0.0), MAX_WAIT_S)
 
-    def _read_all(self) -> None:
-        for number, _ in self._epoll.poll(0, SOCKETS_A_TURN):
+    def _read_sockets(self) -> None:
+        for number, _ in self._epoll.poll(0, SOCKETS_PER_TURN):
             entry = self._sockets.get(number)
             if entry is not None:
                 self._read(*entry)
 
     def _read(self, sock: socket.socket, on_datagram: OnDatagram) -> None:
-        for _ in range(BATCH):
+        for _ in range(MAX_BATCH):
             try:
                 data, address = sock.recvfrom(READ_BYTES)
             except OSError:
@@ -121,11 +121,11 @@
             if sock.fileno() < 0:
                 return
 
-    def _fire(self) -> None:
+    def _run_timers(self) -> None:
         while self._timers and self._timers[0][0] <= self.now:
             heapq.heappop(self._timers)[2]()
 
     def _finish_turn(self) -> None:
-        pending, self._after = self._after, []
+        pending, self._after_turn = self._after_turn, []
         for callback in pending:
             callback()
--- a/standins/_session.py
+++ b/standins/_session.py
@@ -2,14 +2,14 @@
 
 import json
 
-from standins import _asking, _flow, _records
+from standins import _caller_context, _flow, _records
 
-REOPEN_S = 1.0
-RETIRE_CHECK_S = 0.05
+REOPEN_DELAY_S = 1.0
+RETIRE_POLL_S = 0.05
 LATE_S = 0.5
 """Age in seconds beyond which an alert is recorded as late."""
 
-MOST_STALLS = 50
+MAX_STALLS = 50
 
 
 class SessionCaller(_flow.FlowOwner):
@@ -20,15 +20,15 @@
     the same id.
     """
 
-    def __init__(self, shared: _asking.Shared):
+    def __init__(self, shared: _caller_context.CallerContext):
         self._shared = shared
         self._flow: _flow.Flow | None = None
         self._feed: int | None = None
-        self._feed_rest = b""
+        self._feed_buffer = b""
         self._last_alert: float | None = None
-        self._asked: dict[int, _records.RequestRecord] = {}
-        self._answers: dict[int, _asking.Answer] = {}
-        self._again: list[_records.RequestRecord] = []
+        self._pending: dict[int, _records.RequestRecord] = {}
+        self._answers: dict[int, _caller_context.Answer] = {}
+        self._to_retry: list[_records.RequestRecord] = []
 
     def open(self) -> None:
         """Opens a session, unless the program is finishing."""
@@ -36,7 +36,7 @@
         if shared.finishing:
             return
         self._feed = None
-        self._feed_rest = b""
+        self._feed_buffer = b""
         self._last_alert = None
         plan = shared.plan
         self._flow = _flow.Flow(
@@ -49,9 +49,9 @@
         )
 
     @property
-    def waiting(self) -> int:
+    def pending(self) -> int:
         """Number of submissions that have no outcome yet."""
-        return len(self._asked)
+        return len(self._pending)
 
     def close(self) -> None:
         """Ends the session."""
@@ -63,23 +63,23 @@
         plan = self._shared.plan
         if plan.feed_s:
             self._open_feed()
-        again, self._again = self._again, []
+        again, self._to_retry = self._to_retry, []
         for record in again:
             self._submit(record)
         flow = self._flow
-        self._later(plan.keepalive_s, lambda: self._keep_alive(flow))
+        self._schedule(plan.keepalive_s, lambda: self._keep_alive(flow))
         if plan.rate:
             first_s = self._shared.rng.random() / plan.rate
-            self._later(first_s, lambda: self._submit_next(flow))
+            self._schedule(first_s, lambda: self._submit_next(flow))
         if plan.lifetime_s:
-            self._later(plan.lifetime_s, lambda: self._retire(flow))
+            self._schedule(plan.lifetime_s, lambda: self._retire(flow))
 
     def on_data(self, stream: int, data: bytes, end: bool) -> None:
         """Handles data of the feed or of an answer."""
         if stream == self._feed:
-            self._take_alerts(data)
+            self._handle_alerts(data)
             return
-        record = self._asked.get(stream)
+        record = self._pending.get(stream)
         if record is None:
             return
         answer = self._answers[stream]
@@ -95,23 +95,23 @@
         """
         self._shared.open_flows -= 1
         refused = ending.fate is _records.Fate.REFUSED
-        for stream, record in list(self._asked.items()):
+        for stream, record in list(self._pending.items()):
             if refused:
-                self._shared.told_not_run(record)
-                self._again.append(record)
-            elif self._answers[stream].begun:
+                self._shared.record_refusal(record)
+                self._to_retry.append(record)
+            elif self._answers[stream].has_data:
                 record.end(_records.Outcome.CUT, self._shared.reactor.now)
             else:
                 record.end(_records.Outcome.LOST, self._shared.reactor.now)
-        self._asked.clear()
+        self._pending.clear()
         self._answers.clear()
-        self._later(ending.retry_after_s or REOPEN_S, self.open)
+        self._schedule(ending.retry_after_s or REOPEN_DELAY_S, self.open)
 
     def _retire(self, flow: _flow.Flow) -> None:
-        if self._gone(flow):
+        if self._is_over(flow):
             return
-        if self._asked:
-            self._later(RETIRE_CHECK_S, lambda: self._retire(flow))
+        if self._pending:
+            self._schedule(RETIRE_POLL_S, lambda: self._retire(flow))
         else:
             flow.close()
 
@@ -125,16 +125,16 @@
         }
         self._feed = self._flow.ask(json.dumps(request).encode())
 
-    def _take_alerts(self, data: bytes) -> None:
-        lines = (self._feed_rest + data).split(b"\n")
-        self._feed_rest = lines.pop()
+    def _handle_alerts(self, data: bytes) -> None:
+        lines = (self._feed_buffer + data).split(b"\n")
+        self._feed_buffer = lines.pop()
         record = self._flow.record
         now = self._shared.reactor.now
         for line in lines:
             lateness_s = now - json.loads(line)["at"]
-            self._note_alert(record, now, lateness_s)
+            self._record_alert(record, now, lateness_s)
 
-    def _note_alert(self, record, now: float, lateness_s: float) -> None:
+    def _record_alert(self, record, now: float, lateness_s: float) -> None:
         last = now if self._last_alert is None else self._last_alert
         silence_s = now - last
         self._last_alert = now
@@ -142,49 +142,49 @@
         record.lateness_s = max(record.lateness_s, lateness_s)
         record.silence_s = max(record.silence_s, silence_s)
         late = silence_s > 2 * self._shared.plan.feed_s or lateness_s > LATE_S
-        if late and len(record.stalls) < MOST_STALLS:
+        if late and len(record.stalls) < MAX_STALLS:
             record.stalls.append(_records.Stall(now, silence_s, lateness_s))
 
     def _keep_alive(self, flow: _flow.Flow) -> None:
-        if self._gone(flow):
+        if self._is_over(flow):
             return
         flow.ping()
         interval_s = self._shared.plan.keepalive_s
-        self._later(interval_s, lambda: self._keep_alive(flow))
+        self._schedule(interval_s, lambda: self._keep_alive(flow))
 
     def _submit_next(self, flow: _flow.Flow) -> None:
-        if self._gone(flow) or self._shared.finishing:
+        if self._is_over(flow) or self._shared.finishing:
             return
         self._submit(self._shared.new_request(flow.record.opened))
         interval_s = self._shared.rng.expovariate(self._shared.plan.rate)
-        self._later(interval_s, lambda: self._submit_next(flow))
+        self._schedule(interval_s, lambda: self._submit_next(flow))
 
     def _submit(self, record: _records.RequestRecord) -> None:
         record.flow_opened = self._flow.record.opened
         stream = self._flow.ask(self._shared.line(record, "submit"))
-        self._asked[stream] = record
-        self._answers[stream] = _asking.Answer()
+        self._pending[stream] = record
+        self._answers[stream] = _caller_context.Answer()
         flow = self._flow
-        self._later(
+        self._schedule(
             self._shared.plan.deadline_s,
-            lambda: self._give_up(flow, stream, record),
+            lambda: self._on_deadline(flow, stream, record),
         )
 
-    def _give_up(self, flow, stream: int, record) -> None:
-        if flow is self._flow and self._asked.get(stream) is record:
-            begun = self._answers[stream].begun
+    def _on_deadline(self, flow, stream: int, record) -> None:
+        if flow is self._flow and self._pending.get(stream) is record:
+            begun = self._answers[stream].has_data
             lost, cut = _records.Outcome.LOST, _records.Outcome.CUT
             self._end_request(stream, cut if begun else lost)
 
     def _end_request(self, stream: int, outcome: _records.Outcome) -> None:
-        record = self._asked.pop(stream)
+        record = self._pending.pop(stream)
         del self._answers[stream]
         if outcome is _records.Outcome.SHED:
             record.refused_attempts.append(record.attempt)
         record.end(outcome, self._shared.reactor.now)
 
-    def _gone(self, flow: _flow.Flow) -> bool:
+    def _is_over(self, flow: _flow.Flow) -> bool:
         return flow.is_over
 
-    def _later(self, delay_s: float, callback) -> None:
+    def _schedule(self, delay_s: float, callback) -> None:
         self._shared.reactor.at(self._shared.reactor.now + delay_s, callback)
--- a/standins/_slots.py
+++ b/standins/_slots.py
@@ -45,7 +45,7 @@
 
     def __init__(self, slots: int = SLOTS, queue: int = QUEUE):
         self._slots = slots
-        self._most_queued = queue
+        self._max_queued = queue
         self._running: set[Hashable] = set()
         self._queue: collections.deque[Job] = collections.deque()
         self.finished = 0
@@ -65,7 +65,7 @@
         if len(self._running) < self._slots:
             self._running.add(job.key)
             return Verdict.RUN
-        if len(self._queue) >= self._most_queued:
+        if len(self._queue) >= self._max_queued:
             return Verdict.SHED
         self._queue.append(job)
         return Verdict.QUEUED
--- a/standins/_spray.py
+++ b/standins/_spray.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-VERY_SOON_S = 0.002
+MAX_REORDER_DELAY_S = 0.002
 """Maximum delay of a reordered datagram, in seconds."""
 
 
@@ -37,8 +37,8 @@
 
     def cuts(self, zone: str, caller: str) -> bool:
         """Returns whether this caller cannot reach VMs of this zone."""
-        concerned = not self.cut_for or caller in self.cut_for
-        return concerned and zone in self.cut_zones
+        applies = not self.cut_for or caller in self.cut_for
+        return applies and zone in self.cut_zones
 
 
 class Spray:
@@ -73,7 +73,7 @@
             return ()
         copies = 2 if self._rng.random() < faults.duplication else 1
         return tuple(
-            VERY_SOON_S * self._rng.random()
+            MAX_REORDER_DELAY_S * self._rng.random()
             if self._rng.random() < faults.reordering
             else 0.0
             for _ in range(copies)
--- a/standins/_summary.py
+++ b/standins/_summary.py
@@ -6,13 +6,13 @@
 
 from standins import _ledger, _records, _work
 
-MOST_FAILURES = 10
+MAX_FAILURES = 10
 """Maximum number of failed requests that are listed."""
 
-_UNANSWERED = (_records.Outcome.LOST, _records.Outcome.CUT)
+_UNANSWERED_OUTCOMES = (_records.Outcome.LOST, _records.Outcome.CUT)
 
 
-def feeds(
+def feed_lateness(
     results: Iterable[_records.Results], loss: _ledger.Loss
 ) -> dict[str, float]:
     """Returns the latest alerts before and after the unplanned loss."""
@@ -36,22 +36,22 @@
         request
         for result in results
         for request in result.requests
-        if request.outcome in _UNANSWERED
+        if request.outcome in _UNANSWERED_OUTCOMES
     ]
     return [
         f"{request.outcome.value}: {request.identifier}, asked at "
         f"{request.asked - began:.1f} s on a flow opened at "
         f"{request.flow_opened - began:.1f} s"
-        for request in failed[:MOST_FAILURES]
+        for request in failed[:MAX_FAILURES]
     ]
 
 
-def late_connections(counted: Mapping[str, Mapping]) -> list[str]:
+def late_connections(executions: Mapping[str, Mapping]) -> list[str]:
     """Returns one line for each upstream with late new connections."""
     return [
         f"{name} got {upstream['late_connections']} new connections more "
-        f"than {_work.SILENT_AFTER_DRAIN_S:.0f} s after it began to leave"
-        for name, upstream in counted.items()
+        f"than {_work.DRAIN_NOTICE_S:.0f} s after it began to leave"
+        for name, upstream in executions.items()
         if upstream["late_connections"]
     ]
 
--- a/standins/_work.py
+++ b/standins/_work.py
@@ -10,12 +10,12 @@
 
 from standins import _listener, _reactor, _slots
 
-COLD_FACTOR = 3.0
+COLD_START_FACTOR = 3.0
 """Factor on the duration of work while an endpoint is newly started."""
 
 SLOW_FACTOR = 10.0
-MOST_LINE_BYTES = 4_096
-SILENT_AFTER_DRAIN_S = 3.0
+MAX_REQUEST_BYTES = 4_096
+DRAIN_NOTICE_S = 3.0
 """Time after the start of a drain for which new connections may still come.
 
 In seconds. From then on a leaving upstream must get no new work.
@@ -38,7 +38,7 @@
 
 
 @attrs.define
-class Tally:
+class Counters:
     """Counters of one endpoint since its start.
 
     Attributes:
@@ -76,7 +76,7 @@
         self.reactor = reactor
         self.service = service
         self.slots = slots
-        self.tally = Tally()
+        self.tally = Counters()
         self.fault = Fault.OK
         self.draining_since: float | None = None
         self._cold_until = started + cold_s
@@ -86,7 +86,7 @@
         """Returns the session that serves a new connection."""
         since = self.draining_since
         if since is not None:
-            late = self.reactor.now - since > SILENT_AFTER_DRAIN_S
+            late = self.reactor.now - since > DRAIN_NOTICE_S
             self.tally.late_connections += late
         session = WorkSession(self)
         self._sessions[id(session)] = session
@@ -105,7 +105,7 @@
         if self.fault is Fault.SLOW:
             return asked_s * SLOW_FACTOR
         if self.reactor.now < self._cold_until:
-            return asked_s * COLD_FACTOR
+            return asked_s * COLD_START_FACTOR
         return asked_s
 
     def start(self, job: _slots.Job) -> None:
@@ -137,8 +137,8 @@
 
     def __init__(self, endpoint: Endpoint):
         self._endpoint = endpoint
-        self._reading: dict[int, bytearray] = {}
-        self._waiting: dict[int, dict] = {}
+        self._buffers: dict[int, bytearray] = {}
+        self._open_requests: dict[int, dict] = {}
         self._closed = False
 
     def on_event(self, event: events.QuicEvent) -> None:
@@ -148,17 +148,17 @@
         elif isinstance(event, events.StreamReset | events.StopSendingReceived):
             self._cancel(event.stream_id)
         elif isinstance(event, events.ConnectionTerminated):
-            self._end()
+            self._on_terminated()
 
     def count(self, stream: int) -> None:
         """Counts the request on this stream as run."""
-        request = self._waiting[stream]
+        request = self._open_requests[stream]
         attempt = f"{request['id']}#{request.get('attempt', 0)}"
         self._endpoint.tally.executions[attempt] += 1
 
     def answer(self, stream: int, status: str) -> None:
         """Sends the final answer of this stream's request."""
-        request = self._waiting.pop(stream, None)
+        request = self._open_requests.pop(stream, None)
         if request is None or self._closed:
             return
         answer = {
@@ -178,27 +178,27 @@
     def _send(self, stream: int, answer: dict, body: bytes = b"") -> None:
         data = json.dumps(answer).encode() + b"\n" + body
         self.link.quic.send_stream_data(stream, data, end_stream=True)
-        self.link.touch()
+        self.link.schedule_send()
 
     def _read(self, event: events.StreamDataReceived) -> None:
-        buffer = self._reading.setdefault(event.stream_id, bytearray())
+        buffer = self._buffers.setdefault(event.stream_id, bytearray())
         buffer += event.data
-        if len(buffer) > MOST_LINE_BYTES:
+        if len(buffer) > MAX_REQUEST_BYTES:
             self.link.close(1, "request too long")
             return
         if event.end_stream:
-            del self._reading[event.stream_id]
-            self._take(event.stream_id, json.loads(buffer))
+            del self._buffers[event.stream_id]
+            self._handle_request(event.stream_id, json.loads(buffer))
 
-    def _take(self, stream: int, request: dict) -> None:
+    def _handle_request(self, stream: int, request: dict) -> None:
         endpoint = self._endpoint
         if request["service"] != endpoint.service:
             endpoint.tally.wrong_service += 1
             self._send(stream, {"id": request["id"], "status": "wrong"})
             return
-        self._waiting[stream] = request
+        self._open_requests[stream] = request
         if request["op"] == "feed":
-            self._alert(stream, 1, float(request["interval_s"]))
+            self._send_alert(stream, 1, float(request["interval_s"]))
             return
         now = endpoint.reactor.now
         job = _slots.Job(
@@ -212,25 +212,25 @@
         elif verdict is _slots.Verdict.SHED:
             self.answer(stream, "shed")
 
-    def _alert(self, stream: int, number: int, interval_s: float) -> None:
-        if self._closed or stream not in self._waiting:
+    def _send_alert(self, stream: int, number: int, interval_s: float) -> None:
+        if self._closed or stream not in self._open_requests:
             return
         now = self._endpoint.reactor.now
         line = json.dumps({"n": number, "at": now}).encode() + b"\n"
         self.link.quic.send_stream_data(stream, line)
-        self.link.touch()
+        self.link.schedule_send()
         self._endpoint.reactor.at(
             now + interval_s,
-            lambda: self._alert(stream, number + 1, interval_s),
+            lambda: self._send_alert(stream, number + 1, interval_s),
         )
 
     def _cancel(self, stream: int) -> None:
         if self._endpoint.slots.cancel((id(self), stream)):
-            self._waiting.pop(stream, None)
+            self._open_requests.pop(stream, None)
 
-    def _end(self) -> None:
+    def _on_terminated(self) -> None:
         self._closed = True
-        for stream, request in list(self._waiting.items()):
+        for stream, request in list(self._open_requests.items()):
             if request["op"] != "feed":
                 self._endpoint.tally.cut += 1
                 self._endpoint.slots.cancel((id(self), stream))
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -12,18 +12,18 @@
 
 import anyio
 
-from standins import _asking, _image, _programs, _reactor, _session
+from standins import _caller_context, _image, _programs, _reactor, _session
 
-SETTLE_S = 1.0
+CLOSE_TIMEOUT_S = 1.0
 """Time allowed for flows to close at the end, in seconds."""
 
-CHECK_EVERY_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
 class Program:
     """The callers of one process, all of the same kind."""
 
-    def __init__(self, shared: _asking.Shared, kind: str):
+    def __init__(self, shared: _caller_context.CallerContext, kind: str):
         self._shared = shared
         self._kind = kind
         self._sessions: list[_session.SessionCaller] = []
@@ -31,7 +31,7 @@
     def start(self) -> None:
         """Starts to open flows."""
         if self._kind == "image":
-            self._image()
+            self._open_next_image()
             return
         plan = self._shared.plan
         for number in range(plan.count):
@@ -46,35 +46,35 @@
         """Stops making requests, waits for open ones, and closes all flows."""
         shared = self._shared
         shared.finishing = True
-        shared.give_up_returning()
+        shared.end_unretried()
         until = anyio.current_time() + shared.plan.deadline_s
-        while self._waiting() and anyio.current_time() < until:
-            await anyio.sleep(CHECK_EVERY_S)
-        shared.give_up_returning()
+        while self._has_pending() and anyio.current_time() < until:
+            await anyio.sleep(POLL_INTERVAL_S)
+        shared.end_unretried()
         for session in self._sessions:
             session.close()
-        with anyio.move_on_after(SETTLE_S):
+        with anyio.move_on_after(CLOSE_TIMEOUT_S):
             while shared.open_flows:
-                await anyio.sleep(CHECK_EVERY_S)
+                await anyio.sleep(POLL_INTERVAL_S)
 
-    def _waiting(self) -> bool:
+    def _has_pending(self) -> bool:
         if self._kind == "image":
             return self._shared.open_flows > 0
-        return any(session.waiting for session in self._sessions)
+        return any(session.pending for session in self._sessions)
 
-    def _image(self) -> None:
+    def _open_next_image(self) -> None:
         shared = self._shared
         if shared.finishing:
             return
         _image.ImageCaller(shared).open()
         delay_s = shared.rng.expovariate(shared.plan.rate)
-        shared.reactor.at(shared.reactor.now + delay_s, self._image)
+        shared.reactor.at(shared.reactor.now + delay_s, self._open_next_image)
 
 
-async def _work(options: argparse.Namespace) -> None:
+async def _run(options: argparse.Namespace) -> None:
     reactor = _reactor.Reactor()
     reactor.now = anyio.current_time()
-    shared = _asking.Shared(
+    shared = _caller_context.CallerContext(
         reactor, _plan(options), random.Random(options.seed)
     )
     program = Program(shared, options.kind)
@@ -82,15 +82,15 @@
         program.start()
         tasks.start_soon(reactor.run)
         with anyio.move_on_after(options.duration_s):
-            await _programs.until_signal()
+            await _programs.wait_for_signal()
         await program.finish()
         tasks.cancel_scope.cancel()
     json.dump(shared.results.to_json(), sys.stdout)
     sys.stdout.write("\n")
 
 
-def _plan(options: argparse.Namespace) -> _asking.Plan:
-    return _asking.Plan(
+def _plan(options: argparse.Namespace) -> _caller_context.LoadPlan:
+    return _caller_context.LoadPlan(
         name=options.name,
         service=options.service,
         remote=(options.remote, options.port),
@@ -129,7 +129,7 @@
     parser.add_argument("--idle-s", type=float, default=15.0)
     parser.add_argument("--duration-s", type=float, default=None)
     parser.add_argument("--seed", type=int, default=1)
-    anyio.run(_work, parser.parse_args(), backend="asyncio")
+    anyio.run(_run, parser.parse_args(), backend="asyncio")
 
 
 if __name__ == "__main__":
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -21,16 +21,16 @@
 
 from standins import _programs, _reactor, _spray, http
 
-LIST_EVERY_S = 0.2
+VM_LIST_INTERVAL_S = 0.2
 IDLE_S = 30.0
-SWEEP_EVERY_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 LONG_HEADER = 0x80
 """Bit in the first byte of a QUIC packet that marks a long header.
 
 Handshake packets have long headers.
 """
 
-MOST_CALLERS = 16_000
+MAX_CALLERS = 16_000
 """Limit on open caller sockets, below the usual limit of open files.
 
 At the limit the caller that has been idle longest is evicted.
@@ -46,14 +46,14 @@
         service: The socket that the caller sends to.
         port: The service's UDP port.
         socket: The socket from which the caller's datagrams go to VMs.
-        last: Time of the caller's last datagram.
+        last_seen: Time of the caller's last datagram.
     """
 
     address: _reactor.Address
     service: socket.socket
     port: int
     socket: socket.socket
-    last: float
+    last_seen: float
 
 
 class Fabric:
@@ -97,8 +97,8 @@
     def _from_caller(self, service, port: int, data: bytes, source) -> None:
         caller = self._callers.get((port, source))
         if caller is None:
-            caller = self._open(service, port, source)
-        caller.last = self._reactor.now
+            caller = self._open_caller(service, port, source)
+        caller.last_seen = self._reactor.now
         self._callers.move_to_end((port, source))
         target = self.spray.pick(source[0])
         if target is None:
@@ -106,7 +106,7 @@
             return
         self.counts["to_vms"] += 1
         self.counts[f"to {target.address}"] += 1
-        self._note(caller, "to", target.address, data)
+        self._trace_datagram(caller, "to", target.address, data)
         self._deliver(caller.socket, data, (target.address, port))
 
     def _to_caller(self, caller: _Caller, data: bytes, source) -> None:
@@ -115,17 +115,19 @@
             self.counts["cut"] += 1
             return
         self.counts["to_callers"] += 1
-        self._note(caller, "from", source[0], data)
+        self._trace_datagram(caller, "from", source[0], data)
         self._deliver(caller.service, data, caller.address)
 
-    def _note(self, caller: _Caller, way: str, vm: str, data: bytes) -> None:
+    def _trace_datagram(
+        self, caller: _Caller, direction: str, vm: str, data: bytes
+    ) -> None:
         """Writes one datagram to the trace, if tracing is on."""
         if self._trace is None:
             return
         line = {
             "at": anyio.current_time(),
             "caller": caller.address[1],
-            "way": way,
+            "way": direction,
             "vm": vm,
             "bytes": len(data),
             "long": bool(data and data[0] & LONG_HEADER),
@@ -146,18 +148,18 @@
             self.counts["lost"] += 1
         for delay in delays:
             if delay:
-                self._later(delay, sock, data, to)
+                self._deliver_later(delay, sock, data, to)
             else:
                 _reactor.send(sock, data, to)
 
-    def _later(self, delay: float, sock, data: bytes, to) -> None:
+    def _deliver_later(self, delay: float, sock, data: bytes, to) -> None:
         self._reactor.at(
             self._reactor.now + delay,
             lambda: _reactor.send(sock, data, to),
         )
 
-    def _open(self, service, port: int, source) -> _Caller:
-        if len(self._callers) >= MOST_CALLERS:
+    def _open_caller(self, service, port: int, source) -> _Caller:
+        if len(self._callers) >= MAX_CALLERS:
             _, oldest = self._callers.popitem(last=False)
             self._reactor.remove(oldest.socket)
         sock = _reactor.udp_socket(source[0])
@@ -170,10 +172,10 @@
     def _sweep(self) -> None:
         now = self._reactor.now
         for key, caller in list(self._callers.items()):
-            if now - caller.last > IDLE_S:
+            if now - caller.last_seen > IDLE_S:
                 del self._callers[key]
                 self._reactor.remove(caller.socket)
-        self._reactor.at(now + SWEEP_EVERY_S, self._sweep)
+        self._reactor.at(now + SWEEP_INTERVAL_S, self._sweep)
 
 
 class AdminPort(http.Handler):
@@ -204,7 +206,7 @@
     return _spray.Faults(cut_zones=zones, cut_for=callers, **body)
 
 
-async def _follow_list(options, spray: _spray.Spray) -> None:
+async def _poll_vm_list(options, spray: _spray.Spray) -> None:
     while True:
         answer = await http.fetch(
             options.platform_address, options.platform_admin_port, "/vms"
@@ -214,7 +216,7 @@
             spray.targets = tuple(
                 _spray.Target(vm["zone"], vm["address"]) for vm in vms
             )
-        await anyio.sleep(LIST_EVERY_S)
+        await anyio.sleep(VM_LIST_INTERVAL_S)
 
 
 async def serve(options: argparse.Namespace) -> None:
@@ -238,7 +240,7 @@
             http.serve, admin, options.address, options.admin_port
         )
         tasks.start_soon(reactor.run)
-        tasks.start_soon(_follow_list, options, spray)
+        tasks.start_soon(_poll_vm_list, options, spray)
         print(json.dumps({"ready": "fabric"}), flush=True)
 
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -25,7 +25,7 @@
 FABRIC_ADMIN_PORT = 8102
 ADMIN_PORT = 6101
 OPERATORS_PORT = 7005
-READY_WITHIN_S = 10.0
+READY_TIMEOUT_S = 10.0
 
 __all__ = [
     "Addresses",
@@ -35,7 +35,7 @@
     "Reservation",
     "SERVICES",
     "ServiceSize",
-    "Surroundings",
+    "StandIns",
     "Upstream",
     "Vm",
     "VmPlace",
@@ -113,7 +113,7 @@
         )
 
 
-class Surroundings:
+class StandIns:
     """The stand-ins around the VMs: platform, upstreams, fabric and callers."""
 
     def __init__(
@@ -155,7 +155,7 @@
             ),
             *[self.start_upstream(place) for place in places],
         ]
-        ready = [await each.ready(READY_WITHIN_S) for each in started]
+        ready = [await each.ready(READY_TIMEOUT_S) for each in started]
         return all(ready)
 
     def start_upstream(self, place: Upstream, *more: str):
--- a/standins/http.py
+++ b/standins/http.py
@@ -10,7 +10,7 @@
 import attrs
 import h11
 
-MOST_BODY_BYTES = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 """Limit on the size of a body, in bytes.
 
 A manifest has at most 1 MB, so a body of more than 4 MB is not one of ours.
@@ -79,7 +79,7 @@
     )
     async with listener:
         task_status.started()
-        await listener.serve(_Server(handler).converse)
+        await listener.serve(_Server(handler).serve_connection)
 
 
 class _Server:
@@ -88,7 +88,7 @@
     def __init__(self, handler: Handler):
         self._handler = handler
 
-    async def converse(self, stream: anyio.abc.SocketStream) -> None:
+    async def serve_connection(self, stream: anyio.abc.SocketStream) -> None:
         connection = h11.Connection(h11.SERVER)
         async with stream:
             try:
@@ -131,7 +131,7 @@
         if not isinstance(event, h11.Data):
             return bytes(body)
         body += event.data
-        if len(body) > MOST_BODY_BYTES:
+        if len(body) > MAX_BODY_BYTES:
             raise ValueError("body too large")
 
 
@@ -175,7 +175,7 @@
     """
     with anyio.move_on_after(timeout_s):
         try:
-            return await _ask(address, port, target, method, body)
+            return await _request(address, port, target, method, body)
         except (OSError, anyio.BrokenResourceError, h11.ProtocolError):
             return CLOSE_UNANSWERED
     return CLOSE_UNANSWERED
@@ -187,7 +187,7 @@
     return await fetch(address, port, target, method="POST", body=body)
 
 
-async def _ask(address, port, target, method, body) -> Response:
+async def _request(address, port, target, method, body) -> Response:
     connection = h11.Connection(h11.CLIENT)
     headers = [("Host", address), ("Content-Length", str(len(body)))]
     head = h11.Request(method=method, target=target, headers=headers)
--- a/standins/journeys.py
+++ b/standins/journeys.py
@@ -13,8 +13,8 @@
 
 from standins import _records
 
-_LOST = (_records.Fate.BROKEN, _records.Fate.UNOPENED)
-_SLACK_S = 0.005
+_LOST_FATES = (_records.Fate.BROKEN, _records.Fate.UNOPENED)
+_TIME_TOLERANCE_S = 0.005
 """Tolerance when datagrams are matched to flows by time, in seconds.
 
 If two flows used the same port, the time decides to which of them a datagram
@@ -30,26 +30,28 @@
         step = json.loads(line)
         steps[step["caller"]].append(step)
     lines = []
-    for flow in _lost(folder):
-        lines.append(_head(flow))
+    for flow in _lost_flows(folder):
+        lines.append(_flow_line(flow))
         lines.extend(
-            _told(step, flow)
+            _datagram_line(step, flow)
             for step in steps[flow.port]
-            if flow.opened - _SLACK_S <= step["at"] <= flow.ended + _SLACK_S
+            if flow.opened - _TIME_TOLERANCE_S
+            <= step["at"]
+            <= flow.ended + _TIME_TOLERANCE_S
         )
     return lines
 
 
-def _lost(folder: pathlib.Path) -> list[_records.FlowRecord]:
+def _lost_flows(folder: pathlib.Path) -> list[_records.FlowRecord]:
     flows = []
     for file in sorted(folder.glob("*.out")):
         text = file.read_text()
         if text.startswith('{"flows"'):
             flows += _records.from_json(json.loads(text)).flows
-    return [flow for flow in flows if flow.fate in _LOST]
+    return [flow for flow in flows if flow.fate in _LOST_FATES]
 
 
-def _head(flow: _records.FlowRecord) -> str:
+def _flow_line(flow: _records.FlowRecord) -> str:
     connected = "never"
     if flow.connected is not None:
         connected = f"after {flow.connected - flow.opened:.3f} s"
@@ -59,7 +61,7 @@
     )
 
 
-def _told(step: dict, flow: _records.FlowRecord) -> str:
+def _datagram_line(step: dict, flow: _records.FlowRecord) -> str:
     header = "long" if step["long"] else "short"
     at = step["at"] - flow.opened
     return (
--- a/standins/memory.py
+++ b/standins/memory.py
@@ -16,7 +16,7 @@
 from pollenmast.relay._table import Wire
 from pollenmast.upstreams._paths import Path
 from standins._tagged import (
-    cid_of,
+    connection_id_of,
     early_data,
     initial,
     server_initial,
@@ -46,7 +46,7 @@
     "Net",
     "Session",
     "address_of",
-    "cid_of",
+    "connection_id_of",
     "early_data",
     "initial",
     "manifest",
--- a/standins/segments.py
+++ b/standins/segments.py
@@ -15,8 +15,8 @@
 
 HEAD = struct.Struct(">IIH4sH4sIIHBB")
 SYN, ACK, FIN, RST = 16, 8, 64, 4
-REPEATS_S = (0.2, 0.4, 0.8, 1.6)
-SYN_COPIES_S = (0.2, 0.4, 0.8)
+RETRANSMIT_TIMEOUTS_S = (0.2, 0.4, 0.8, 1.6)
+SYN_TIMEOUTS_S = (0.2, 0.4, 0.8)
 _BUFFER = 4096
 
 
@@ -215,7 +215,7 @@
 
     async def open(self, vms: list[tuple[str, int]]) -> bool:
         """Opens the flow through one of the VMs; returns whether it opened."""
-        for copies, wait_s in enumerate(SYN_COPIES_S):
+        for copies, wait_s in enumerate(SYN_TIMEOUTS_S):
             self._send(SYN, vms, copies)
             answer = await self._answer(wait_s)
             if answer is not None:
@@ -234,7 +234,7 @@
         Returns:
             The response, or empty bytes after a reset or the last time-out.
         """
-        for wait_s in REPEATS_S:
+        for wait_s in RETRANSMIT_TIMEOUTS_S:
             self._send(ACK, vms, self._acknowledged, data)
             answer = await self._next_data(wait_s)
             if self.reset:
--- a/standins/store.py
+++ b/standins/store.py
@@ -70,12 +70,12 @@
         Returns:
             The new revision.
         """
-        return self._write(key, _data(value))
+        return self._write(key, _encode(value))
 
     def renew(self, key: str, value: object) -> None:
         """Writes a value unless the key already has it."""
         known = self._items.get(key)
-        if known is None or known.value != _data(value):
+        if known is None or known.value != _encode(value):
             self.put(key, value)
 
     def delete(self, key: str) -> int:
@@ -149,7 +149,7 @@
         )
         page = keys[:PAGE_ITEMS]
         body = {
-            "items": [_shown(self._items[key]) for key in page],
+            "items": [_item_json(self._items[key]) for key in page],
             "morePages": len(keys) > len(page),
             "asOf": self._revision,
         }
@@ -166,7 +166,7 @@
             if not self._oldest <= after <= self._revision:
                 return _GONE
             events = [
-                _shown(item)
+                _item_json(item)
                 for item in self._history
                 if item.revision > after and item.key.startswith(prefix)
             ]
@@ -176,11 +176,11 @@
             await anyio.sleep(POLL_S)
 
 
-def _data(value: object) -> bytes:
+def _encode(value: object) -> bytes:
     return value if isinstance(value, bytes) else json.dumps(value).encode()
 
 
-def _shown(item: _Item) -> dict[str, object]:
+def _item_json(item: _Item) -> dict[str, object]:
     if item.value is None:
         return {"key": item.key, "revision": item.revision, "deleted": True}
     return {
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -81,7 +81,7 @@
         if fault is _work.Fault.DEAD:
             os._exit(1)
         self._endpoint.fault = fault
-        self._listener.deaf = fault is _work.Fault.SILENT
+        self._listener.discarding = fault is _work.Fault.SILENT
 
     def _executions(self) -> dict:
         tally = self._endpoint.tally
@@ -134,7 +134,7 @@
     parser.add_argument("--slots", type=int, default=_slots.SLOTS)
     parser.add_argument("--queue", type=int, default=_slots.QUEUE)
     parser.add_argument(
-        "--connections", type=int, default=_listener.MOST_CONNECTIONS
+        "--connections", type=int, default=_listener.MAX_CONNECTIONS
     )
     parser.add_argument("--cold", type=float, default=COLD_S)
     parser.add_argument("--idle", type=float, default=_quic.IDLE_S)
--- a/standins/world.py
+++ b/standins/world.py
@@ -11,10 +11,10 @@
 
 from standins import _ledger, _processes, _records, fleet
 
-READY_WITHIN_S = 60.0
+READY_TIMEOUT_S = 60.0
 """Time-out for a VM or manifest, in seconds; ample for slow machines."""
 
-SETTLE_S = 60.0
+CALLERS_EXIT_TIMEOUT_S = 60.0
 """Time-out for a callers program to exit after SIGTERM, in seconds."""
 
 ON_THE_WAY_S = 0.5
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class Unread:
+class UnreadCounts:
     """Datagram counts of a VM whose relay reads none.
 
     Attributes:
@@ -83,7 +83,7 @@
         self.processes = _processes.Processes(folder)
         self._reservation = fleet.Reservation()
         self.addresses = self._reservation.addresses
-        self.around = fleet.Surroundings(self.processes, self.addresses)
+        self.around = fleet.StandIns(self.processes, self.addresses)
         self.places = fleet.upstreams(services, addresses=self.addresses)
         self.vms: dict[int, fleet.Vm] = {}
         self.loss: _ledger.Loss | None = None
@@ -132,7 +132,7 @@
         Raises:
             WorldError: The VM did not become ready in time.
         """
-        with anyio.move_on_after(READY_WITHIN_S):
+        with anyio.move_on_after(READY_TIMEOUT_S):
             while not await self.vms[number].is_ready():
                 await anyio.sleep(POLL_S)
             return
@@ -220,7 +220,7 @@
 
     async def _until_in_force(self, version: int) -> None:
         waiting = [vm for vm in self.vms.values() if vm.live]
-        with anyio.move_on_after(READY_WITHIN_S):
+        with anyio.move_on_after(READY_TIMEOUT_S):
             while waiting:
                 status = await waiting[0].status()
                 if status.get("manifest", {}).get("version") == version:
@@ -258,7 +258,7 @@
         await self.list_vms([*others, new])
         return time.monotonic() - began
 
-    async def unread(self, number: int, watched_s: float) -> Unread:
+    async def unread(self, number: int, watched_s: float) -> UnreadCounts:
         """Counts datagrams sent to a VM and those that its agent forwards.
 
         Waits for datagrams in flight before the last count of forwards, so
@@ -268,14 +268,16 @@
             number: The VM.
             watched_s: Length of the period, in seconds.
         """
-        passed_on = await self._passed_on(number)
-        handed = await self._handed(number)
+        passed_on = await self._count_passed_on(number)
+        handed = await self._count_handed(number)
         await anyio.sleep(watched_s)
-        handed = await self._handed(number) - handed
+        handed = await self._count_handed(number) - handed
         await anyio.sleep(ON_THE_WAY_S)
-        return Unread(handed, await self._passed_on(number) - passed_on)
+        return UnreadCounts(
+            handed, await self._count_passed_on(number) - passed_on
+        )
 
-    async def _passed_on(self, number: int) -> int:
+    async def _count_passed_on(self, number: int) -> int:
         status = await self.vms[number].status()
         return sum(
             each["value"]
@@ -284,7 +286,7 @@
             and (each["name"], each["reason"]) == ("forwards", "standby")
         )
 
-    async def _handed(self, number: int) -> int:
+    async def _count_handed(self, number: int) -> int:
         counts = await self.around.fabric_counts()
         return counts.get(f"to {self.place(number).address}", 0)
 
@@ -309,7 +311,7 @@
             process.signal(signal.SIGTERM)
         results = []
         for process in self._callers:
-            if not await process.ended(SETTLE_S):
+            if not await process.ended(CALLERS_EXIT_TIMEOUT_S):
                 raise WorldError(f"{process.name} did not end")
             value = json.loads(process.out.read_text())
             results.append(_records.from_json(value))
--- a/tests/standins_book_test.py
+++ b/tests/standins_book_test.py
@@ -1,9 +1,9 @@
-"""Tests of standins._book."""
+"""Tests of standins._platform_state."""
 
 from parameterized import parameterized
 from testtools import TestCase
 
-from standins import _book
+from standins import _platform_state
 
 
 class BudgetTest(TestCase):
@@ -14,34 +14,34 @@
 
         Calls beyond the budget are refused but still counted.
         """
-        budget = _book.Budget(2)
+        budget = _platform_state.Budget(2)
         allowed = [budget.take(now) for now in (0.0, 0.5, 0.9, 1.0, 1.2)]
         self.assertEqual([True, True, False, True, False], allowed)
         self.assertEqual((5, 2), (budget.calls, budget.over))
 
 
-class BookTest(TestCase):
+class PlatformStateTest(TestCase):
     """Tests of the values that readers see."""
 
     def test_vm_list_is_visible_after_lag(self):
         """Readers see a changed VM list after the lag and not before."""
-        book = _book.Book(lag_s=1.0)
-        book.list_vms([{"name": "a"}], 10.0, at_once=False)
-        self.assertEqual((), book.seen(10.9).vms)
-        self.assertEqual(({"name": "a"},), book.seen(11.0).vms)
+        state = _platform_state.PlatformState(lag_s=1.0)
+        state.list_vms([{"name": "a"}], 10.0, at_once=False)
+        self.assertEqual((), state.visible(10.9).vms)
+        self.assertEqual(({"name": "a"},), state.visible(11.0).vms)
 
     def test_frozen_platform_serves_old_values(self):
         """A frozen platform keeps serving the values it had.
 
         A manifest published meanwhile is not visible until the freeze ends.
         """
-        book = _book.Book()
-        book.publish(b'{"version": 1}')
-        book.set_fault(_book.Fault.FROZEN, 0.0, 5.0)
-        book.publish(b'{"version": 2}')
-        self.assertEqual(1, book.seen(6.0).version)
-        book.set_fault(_book.Fault.OK, 0.0, 7.0)
-        self.assertEqual(2, book.seen(8.0).version)
+        state = _platform_state.PlatformState()
+        state.publish(b'{"version": 1}')
+        state.set_fault(_platform_state.Fault.FROZEN, 0.0, 5.0)
+        state.publish(b'{"version": 2}')
+        self.assertEqual(1, state.visible(6.0).version)
+        state.set_fault(_platform_state.Fault.OK, 0.0, 7.0)
+        self.assertEqual(2, state.visible(8.0).version)
 
     @parameterized.expand(
         [
@@ -54,8 +54,9 @@
     )
     def test_invalid_manifests_are_stored(self, _, text, version):
         """The platform stores any text as a manifest, valid or not."""
-        book = _book.Book()
-        book.publish(text)
+        state = _platform_state.PlatformState()
+        state.publish(text)
         self.assertEqual(
-            (text, version), (book.seen(0.0).manifest, book.seen(0.0).version)
+            (text, version),
+            (state.visible(0.0).manifest, state.visible(0.0).version),
         )
--- a/tests/standins_summary_test.py
+++ b/tests/standins_summary_test.py
@@ -42,8 +42,10 @@
         """The greatest lateness before and after the loss is reported."""
         flow = FlowRecord("registry", 1.0)
         flow.stalls = [Stall(9.0, 2.0, 0.6), Stall(11.0, 4.0, 3.0)]
-        told = _summary.feeds([Results(flows=[flow])], _ledger.Loss(10.0))
-        self.assertEqual([0.6, 3.0], list(told.values()))
+        lateness = _summary.feed_lateness(
+            [Results(flows=[flow])], _ledger.Loss(10.0)
+        )
+        self.assertEqual([0.6, 3.0], list(lateness.values()))
 
 
 class LateConnectionsTest(TestCase):
