--- a/standins/_processes.py
+++ b/standins/_processes.py
@@ -118,7 +118,7 @@
         return [each for each in self.all if each.exit_code is None]
 
     async def stop(self) -> None:
-        """Stops all processes; those still running after a time get SIGKILL."""
+        """Stops all processes, with SIGKILL after `STOP_TIMEOUT_S`."""
         with anyio.CancelScope(shield=True):
             for number in (signal.SIGTERM, signal.SIGKILL):
                 for process in self.running:
