--- a/standins/_listener.py
+++ b/standins/_listener.py
@@ -1,4 +1,4 @@
-"""Accepts QUIC connections on one UDP socket, told apart by connection id."""
+"""Accepts QUIC connections on one UDP socket and routes by connection id."""
 
 import abc
 
@@ -7,26 +7,26 @@
 
 from standins import _quic, _reactor
 
-MOST_CONNECTIONS = 2_000
-"""The brief's size of an endpoint."""
+MAX_CONNECTIONS = 2_000
+"""Maximum number of connections of an endpoint, as the brief sets it."""
 
 
-class Session(_quic.Peer):
+class Session(_quic.EventHandler):
     """One accepted connection."""
 
     link: _quic.Link
 
 
 class SessionFactory(abc.ABC):
-    """Makes what serves a new connection."""
+    """Creates sessions for new connections."""
 
     @abc.abstractmethod
     def open(self) -> Session:
-        """Returns what serves one new connection."""
+        """Returns the session that serves a new connection."""
 
 
-class _Entry(_quic.Peer):
-    """Keeps the listener's table in step with one connection."""
+class _Entry(_quic.EventHandler):
+    """Keeps the listener's table of connection ids current."""
 
     def __init__(self, listener: "Listener", session: Session):
         self._listener = listener
@@ -42,17 +42,25 @@
             self.ids.discard(event.connection_id)
             self._listener.links.pop(event.connection_id, None)
         elif isinstance(event, events.ConnectionTerminated):
-            self._listener.forget(self.ids, self.refused)
+            self._listener.remove(self.ids, self.refused)
             self._session.on_event(event)
         else:
             self._session.on_event(event)
 
 
 class Listener:
-    """One endpoint's socket and all of its connections.
-
-    A caller's address plays no part: a flow that comes by another relay, or
-    from another port of the same one, is the same connection.
+    """One endpoint's socket and connections.
+
+    Connections do not depend on the caller's address: a flow that arrives
+    through another relay, or from another port of the same relay, belongs to
+    the same connection.
+
+    Attributes:
+        links: The connections, by connection id.
+        open_connections: Number of accepted connections that are open.
+        refused: Number of refused connections.
+        unknown: Number of datagrams that belong to no connection.
+        discarding: Whether datagrams are discarded unread.
     """
 
     def __init__(
@@ -61,28 +69,28 @@
         address: _reactor.Address,
         quic_configuration: configuration.QuicConfiguration,
         sessions: SessionFactory,
-        most_connections: int = MOST_CONNECTIONS,
+        max_connections: int = MAX_CONNECTIONS,
     ):
         self.links: dict[bytes, _quic.Link] = {}
         self.open_connections = 0
         self.refused = 0
         self.unknown = 0
-        self.deaf = False
+        self.discarding = False
         self._reactor = reactor
         self._configuration = quic_configuration
         self._sessions = sessions
-        self._most = most_connections
+        self._max_connections = max_connections
         self._socket = _reactor.udp_socket(*address)
         reactor.add(self._socket, self._on_datagram)
 
-    def forget(self, ids: set[bytes], refused: bool) -> None:
-        """Drops an ended connection from the table."""
+    def remove(self, ids: set[bytes], refused: bool) -> None:
+        """Removes an ended connection from the table."""
         self.open_connections -= not refused
         for identifier in ids:
             self.links.pop(identifier, None)
 
     def _on_datagram(self, data: bytes, address: _reactor.Address) -> None:
-        if self.deaf:
+        if self.discarding:
             return
         try:
             header = packet.pull_quic_header(
@@ -116,7 +124,7 @@
         for identifier in (header.destination_cid, quic.host_cid):
             entry.ids.add(identifier)
             self.links[identifier] = session.link
-        if self.open_connections < self._most:
+        if self.open_connections < self._max_connections:
             self.open_connections += 1
         else:
             entry.refused = True
--- a/standins/_programs.py
+++ b/standins/_programs.py
@@ -1,4 +1,4 @@
-"""What every stand-in program needs: a start and an orderly end."""
+"""Start and orderly shutdown of stand-in programs."""
 
 import ctypes
 import signal
@@ -10,18 +10,18 @@
 _PR_SET_PDEATHSIG = 1
 
 
-def end_with_parent() -> None:
-    """Has the kernel kill this process when its parent has gone.
+def exit_with_parent() -> None:
+    """Asks the kernel to kill this process when its parent exits.
 
-    A demo that is interrupted would otherwise leave processes that hold
-    ports, and the next demo could not start.
+    An interrupted demo would otherwise leave processes that hold ports, and
+    the next demo could not start.
     """
     libc = ctypes.CDLL(None, use_errno=True)
     libc.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
 
 
-async def until_signal() -> None:
-    """Returns once SIGTERM or SIGINT has come."""
+async def wait_for_signal() -> None:
+    """Waits for SIGTERM or SIGINT."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             return
@@ -30,7 +30,7 @@
 async def _run(main: Callable[[], Awaitable[None]]) -> None:
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(main)
-        await until_signal()
+        await wait_for_signal()
         tasks.cancel_scope.cancel()
 
 
--- a/standins/_summary.py
+++ b/standins/_summary.py
@@ -1,4 +1,4 @@
-"""What the demo says at its end, and the exit code that this earns."""
+"""The demo's closing summary and its exit code."""
 
 from collections.abc import Iterable, Mapping
 
@@ -6,16 +6,16 @@
 
 from standins import _ledger, _records, _work
 
-MOST_FAILURES = 10
-"""Failed requests that are shown one by one."""
+MAX_FAILURES = 10
+"""Maximum number of failed requests that are listed."""
 
-_UNANSWERED = (_records.Outcome.LOST, _records.Outcome.CUT)
+_UNANSWERED_OUTCOMES = (_records.Outcome.LOST, _records.Outcome.CUT)
 
 
-def feeds(
+def feed_lateness(
     results: Iterable[_records.Results], loss: _ledger.Loss
 ) -> dict[str, float]:
-    """Returns how late alerts came, before the unplanned loss and after."""
+    """Returns the latest alerts before and after the unplanned loss."""
     before_s, after_s = 0.0, 0.0
     for result in results:
         for flow in result.flows:
@@ -31,33 +31,33 @@
 
 
 def failures(results: Iterable[_records.Results], began: float) -> list[str]:
-    """Returns a line for each of the first requests that failed."""
+    """Returns one line for each of the first failed requests."""
     failed = [
         request
         for result in results
         for request in result.requests
-        if request.outcome in _UNANSWERED
+        if request.outcome in _UNANSWERED_OUTCOMES
     ]
     return [
         f"{request.outcome.value}: {request.identifier}, asked at "
         f"{request.asked - began:.1f} s on a flow opened at "
         f"{request.flow_opened - began:.1f} s"
-        for request in failed[:MOST_FAILURES]
+        for request in failed[:MAX_FAILURES]
     ]
 
 
-def late_connections(counted: Mapping[str, Mapping]) -> list[str]:
-    """Returns a line for each upstream that got work after it had drained."""
+def late_connections(executions: Mapping[str, Mapping]) -> list[str]:
+    """Returns one line for each upstream with late new connections."""
     return [
         f"{name} got {upstream['late_connections']} new connections more "
-        f"than {_work.SILENT_AFTER_DRAIN_S:.0f} s after it began to leave"
-        for name, upstream in counted.items()
+        f"than {_work.DRAIN_NOTICE_S:.0f} s after it began to leave"
+        for name, upstream in executions.items()
         if upstream["late_connections"]
     ]
 
 
 def verdict(summary: Mapping) -> int:
-    """Returns the exit code that a summary earns."""
+    """Returns the exit code for a summary."""
     if summary["problems"]:
         return 1
     names = [field.name for field in attrs.fields(_ledger.Tally)]
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -1,9 +1,9 @@
-"""A stand-in for the fabric: hands each datagram to a VM picked at random.
+"""A stand-in for the fabric that sends each datagram to a random VM.
 
-It keeps one socket for each caller and service, bound to the caller's own
-IP number, so that relays see a stable flow and know callers apart. On request
-it writes the way of every datagram to a file, so that what a lost flow met can
-be told datagram by datagram.
+It keeps one socket per caller and service, bound to the caller's own IP
+address, so that relays see a stable source address for each flow and can tell
+callers apart. It can trace every datagram to a file, so that the path of a
+lost flow can be followed datagram by datagram.
 """
 
 import argparse
@@ -21,29 +21,43 @@
 
 from standins import _programs, _reactor, _spray, http
 
-LIST_EVERY_S = 0.2
+VM_LIST_INTERVAL_S = 0.2
 IDLE_S = 30.0
-SWEEP_EVERY_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 LONG_HEADER = 0x80
-"""Set in the first byte of a packet of the handshake."""
+"""Bit in the first byte of a QUIC packet that marks a long header.
 
-MOST_CALLERS = 16_000
-"""Below the usual bound of open files; the longest idle one goes first."""
+Handshake packets have long headers.
+"""
+
+MAX_CALLERS = 16_000
+"""Limit on open caller sockets, below the usual limit of open files.
+
+At the limit the caller that has been idle longest is evicted.
+"""
 
 
 @attrs.define(eq=False)
 class _Caller:
-    """One caller of one service."""
+    """The sockets of one caller and service.
+
+    Attributes:
+        address: The caller's address.
+        service: The socket that the caller sends to.
+        port: The service's UDP port.
+        socket: The socket from which the caller's datagrams go to VMs.
+        last_seen: Time of the caller's last datagram.
+    """
 
     address: _reactor.Address
     service: socket.socket
     port: int
     socket: socket.socket
-    last: float
+    last_seen: float
 
 
 class Fabric:
-    """The data path between callers and VMs."""
+    """Forwards datagrams between callers and VMs."""
 
     def __init__(
         self,
@@ -68,13 +82,13 @@
 
     @property
     def callers(self) -> int:
-        """How many callers are kept."""
+        """Number of callers that have an open socket."""
         return len(self._callers)
 
     def forget_callers(self) -> None:
-        """Forgets every caller, as a router does that restarts.
+        """Drops the state of every caller, as a restarting router does.
 
-        Each caller's next datagram comes to the VMs from another port.
+        Each caller's next datagram reaches the VMs from a new source port.
         """
         for caller in self._callers.values():
             self._reactor.remove(caller.socket)
@@ -83,8 +97,8 @@
     def _from_caller(self, service, port: int, data: bytes, source) -> None:
         caller = self._callers.get((port, source))
         if caller is None:
-            caller = self._open(service, port, source)
-        caller.last = self._reactor.now
+            caller = self._open_caller(service, port, source)
+        caller.last_seen = self._reactor.now
         self._callers.move_to_end((port, source))
         target = self.spray.pick(source[0])
         if target is None:
@@ -92,7 +106,7 @@
             return
         self.counts["to_vms"] += 1
         self.counts[f"to {target.address}"] += 1
-        self._note(caller, "to", target.address, data)
+        self._trace_datagram(caller, "to", target.address, data)
         self._deliver(caller.socket, data, (target.address, port))
 
     def _to_caller(self, caller: _Caller, data: bytes, source) -> None:
@@ -101,17 +115,19 @@
             self.counts["cut"] += 1
             return
         self.counts["to_callers"] += 1
-        self._note(caller, "from", source[0], data)
+        self._trace_datagram(caller, "from", source[0], data)
         self._deliver(caller.service, data, caller.address)
 
-    def _note(self, caller: _Caller, way: str, vm: str, data: bytes) -> None:
-        """Writes one datagram's way, if that was asked for."""
+    def _trace_datagram(
+        self, caller: _Caller, direction: str, vm: str, data: bytes
+    ) -> None:
+        """Writes one datagram to the trace, if tracing is on."""
         if self._trace is None:
             return
         line = {
             "at": anyio.current_time(),
             "caller": caller.address[1],
-            "way": way,
+            "way": direction,
             "vm": vm,
             "bytes": len(data),
             "long": bool(data and data[0] & LONG_HEADER),
@@ -132,18 +148,18 @@
             self.counts["lost"] += 1
         for delay in delays:
             if delay:
-                self._later(delay, sock, data, to)
+                self._deliver_later(delay, sock, data, to)
             else:
                 _reactor.send(sock, data, to)
 
-    def _later(self, delay: float, sock, data: bytes, to) -> None:
+    def _deliver_later(self, delay: float, sock, data: bytes, to) -> None:
         self._reactor.at(
             self._reactor.now + delay,
             lambda: _reactor.send(sock, data, to),
         )
 
-    def _open(self, service, port: int, source) -> _Caller:
-        if len(self._callers) >= MOST_CALLERS:
+    def _open_caller(self, service, port: int, source) -> _Caller:
+        if len(self._callers) >= MAX_CALLERS:
             _, oldest = self._callers.popitem(last=False)
             self._reactor.remove(oldest.socket)
         sock = _reactor.udp_socket(source[0])
@@ -156,20 +172,20 @@
     def _sweep(self) -> None:
         now = self._reactor.now
         for key, caller in list(self._callers.items()):
-            if now - caller.last > IDLE_S:
+            if now - caller.last_seen > IDLE_S:
                 del self._callers[key]
                 self._reactor.remove(caller.socket)
-        self._reactor.at(now + SWEEP_EVERY_S, self._sweep)
+        self._reactor.at(now + SWEEP_INTERVAL_S, self._sweep)
 
 
 class AdminPort(http.Handler):
-    """What tests and the demo turn."""
+    """The HTTP port by which tests and the demo control the fabric."""
 
     def __init__(self, fabric: Fabric):
         self._fabric = fabric
 
     async def handle(self, request: http.Request) -> http.Response:
-        """Sets the faults, forgets callers, or shows the counts."""
+        """Sets the faults, drops caller state, or returns the counters."""
         match request.method, request.path:
             case "POST", "/fault":
                 self._fabric.spray.faults = _faults(request.json())
@@ -190,7 +206,7 @@
     return _spray.Faults(cut_zones=zones, cut_for=callers, **body)
 
 
-async def _follow_list(options, spray: _spray.Spray) -> None:
+async def _poll_vm_list(options, spray: _spray.Spray) -> None:
     while True:
         answer = await http.fetch(
             options.platform_address, options.platform_admin_port, "/vms"
@@ -200,7 +216,7 @@
             spray.targets = tuple(
                 _spray.Target(vm["zone"], vm["address"]) for vm in vms
             )
-        await anyio.sleep(LIST_EVERY_S)
+        await anyio.sleep(VM_LIST_INTERVAL_S)
 
 
 async def serve(options: argparse.Namespace) -> None:
@@ -224,7 +240,7 @@
             http.serve, admin, options.address, options.admin_port
         )
         tasks.start_soon(reactor.run)
-        tasks.start_soon(_follow_list, options, spray)
+        tasks.start_soon(_poll_vm_list, options, spray)
         print(json.dumps({"ready": "fabric"}), flush=True)
 
 
--- a/standins/http.py
+++ b/standins/http.py
@@ -1,4 +1,4 @@
-"""A minimal HTTP/1.1 server and client: JSON, keep-alive, h11 over TCP."""
+"""A minimal HTTP/1.1 server and client for JSON: h11 over TCP, keep-alive."""
 
 import abc
 import json
@@ -10,8 +10,11 @@
 import attrs
 import h11
 
-MOST_BODY_BYTES = 4 * 1024 * 1024
-"""A manifest is a megabyte at most; more than four is not ours."""
+MAX_BODY_BYTES = 4 * 1024 * 1024
+"""Limit on the size of a body, in bytes.
+
+A manifest has at most 1 MB, so a body of more than 4 MB is not one of ours.
+"""
 
 READ_BYTES = 65_536
 CLIENT_TIMEOUT_S = 5.0
@@ -19,7 +22,7 @@
 
 @attrs.frozen
 class Request:
-    """One request that was read whole."""
+    """A complete HTTP request."""
 
     method: str
     path: str
@@ -27,13 +30,19 @@
     body: bytes
 
     def json(self) -> dict:
-        """Returns the body's JSON object; an empty body is an empty one."""
+        """Returns the body's JSON object, or an empty dict without a body."""
         return json.loads(self.body) if self.body else {}
 
 
 @attrs.frozen
 class Response:
-    """An answer; with status None the connection is closed without one."""
+    """An HTTP response.
+
+    Attributes:
+        status: The status code; None closes the connection unanswered.
+        body: The body.
+        headers: Additional headers.
+    """
 
     status: int | None
     body: bytes = b""
@@ -50,11 +59,11 @@
 
 
 class Handler(abc.ABC):
-    """Answers the requests of one port."""
+    """Handles the requests of one port."""
 
     @abc.abstractmethod
     async def handle(self, request: Request) -> Response:
-        """Answers one request."""
+        """Returns the response to one request."""
 
 
 async def serve(
@@ -70,7 +79,7 @@
     )
     async with listener:
         task_status.started()
-        await listener.serve(_Server(handler).converse)
+        await listener.serve(_Server(handler).serve_connection)
 
 
 class _Server:
@@ -79,7 +88,7 @@
     def __init__(self, handler: Handler):
         self._handler = handler
 
-    async def converse(self, stream: anyio.abc.SocketStream) -> None:
+    async def serve_connection(self, stream: anyio.abc.SocketStream) -> None:
         connection = h11.Connection(h11.SERVER)
         async with stream:
             try:
@@ -122,7 +131,7 @@
         if not isinstance(event, h11.Data):
             return bytes(body)
         body += event.data
-        if len(body) > MOST_BODY_BYTES:
+        if len(body) > MAX_BODY_BYTES:
             raise ValueError("body too large")
 
 
@@ -159,26 +168,26 @@
     body: bytes = b"",
     timeout_s: float = CLIENT_TIMEOUT_S,
 ) -> Response:
-    """Makes one request on a connection of its own.
+    """Makes one request on a new connection.
 
     Returns:
-        The answer, or `CLOSE_UNANSWERED` when none came in time.
+        The response, or `CLOSE_UNANSWERED` if none came in time.
     """
     with anyio.move_on_after(timeout_s):
         try:
-            return await _ask(address, port, target, method, body)
+            return await _request(address, port, target, method, body)
         except (OSError, anyio.BrokenResourceError, h11.ProtocolError):
             return CLOSE_UNANSWERED
     return CLOSE_UNANSWERED
 
 
 async def post(address: str, port: int, target: str, value: object) -> Response:
-    """Posts this value as JSON."""
+    """Makes a POST request with a value encoded as JSON."""
     body = json.dumps(value).encode()
     return await fetch(address, port, target, method="POST", body=body)
 
 
-async def _ask(address, port, target, method, body) -> Response:
+async def _request(address, port, target, method, body) -> Response:
     connection = h11.Connection(h11.CLIENT)
     headers = [("Host", address), ("Content-Length", str(len(body)))]
     head = h11.Request(method=method, target=target, headers=headers)
--- a/standins/journeys.py
+++ b/standins/journeys.py
@@ -1,8 +1,9 @@
-"""Prints the datagrams of each flow that a traced run has lost.
+"""Prints the datagrams of each lost flow of a traced run.
 
-`python -m standins.journeys FOLDER` reads what the callers recorded there and
-what the fabric traced: to which VM it handed each datagram, and what came
-back. It tells a flow lost by the way from one that an upstream left alone.
+`python -m standins.journeys FOLDER` reads the callers' records and the
+fabric's trace from the folder. The trace has the VM that each datagram was
+sent to, and the datagrams that came back. It shows whether a flow was lost on
+the path or was not answered by its upstream.
 """
 
 import collections
@@ -12,39 +13,45 @@
 
 from standins import _records
 
-_LOST = (_records.Fate.BROKEN, _records.Fate.UNOPENED)
-_SLACK_S = 0.005
-"""Callers and fabric read one clock, each once in a turn of its loop. Of two
-flows from one port the times tell which one a datagram belongs to."""
+_LOST_FATES = (_records.Fate.BROKEN, _records.Fate.UNOPENED)
+_TIME_TOLERANCE_S = 0.005
+"""Tolerance when datagrams are matched to flows by time, in seconds.
+
+If two flows used the same port, the time decides to which of them a datagram
+belongs. Callers and fabric read the same clock, but each only once per turn
+of its event loop.
+"""
 
 
 def journeys(folder: pathlib.Path) -> list[str]:
-    """Returns lines that tell each lost flow of a run."""
+    """Returns lines that list the datagrams of each lost flow of a run."""
     steps = collections.defaultdict(list)
     for line in (folder / "fabric.trace").read_text().splitlines():
         step = json.loads(line)
         steps[step["caller"]].append(step)
     lines = []
-    for flow in _lost(folder):
-        lines.append(_head(flow))
+    for flow in _lost_flows(folder):
+        lines.append(_flow_line(flow))
         lines.extend(
-            _told(step, flow)
+            _datagram_line(step, flow)
             for step in steps[flow.port]
-            if flow.opened - _SLACK_S <= step["at"] <= flow.ended + _SLACK_S
+            if flow.opened - _TIME_TOLERANCE_S
+            <= step["at"]
+            <= flow.ended + _TIME_TOLERANCE_S
         )
     return lines
 
 
-def _lost(folder: pathlib.Path) -> list[_records.FlowRecord]:
+def _lost_flows(folder: pathlib.Path) -> list[_records.FlowRecord]:
     flows = []
     for file in sorted(folder.glob("*.out")):
         text = file.read_text()
         if text.startswith('{"flows"'):
             flows += _records.from_json(json.loads(text)).flows
-    return [flow for flow in flows if flow.fate in _LOST]
+    return [flow for flow in flows if flow.fate in _LOST_FATES]
 
 
-def _head(flow: _records.FlowRecord) -> str:
+def _flow_line(flow: _records.FlowRecord) -> str:
     connected = "never"
     if flow.connected is not None:
         connected = f"after {flow.connected - flow.opened:.3f} s"
@@ -54,7 +61,7 @@
     )
 
 
-def _told(step: dict, flow: _records.FlowRecord) -> str:
+def _datagram_line(step: dict, flow: _records.FlowRecord) -> str:
     header = "long" if step["long"] else "short"
     at = step["at"] - flow.opened
     return (
