--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,6 +1,7 @@
-"""A randomized soak: real programs as processes, faults from outside them.
+"""Randomized soak tests that run the real programs and inject faults.
 
-It checks what callers and endpoints see while VMs are stopped, frozen, killed
-and restarted, their connections to the store are slowed, cut or silenced, the
-store misbehaves, and endpoints come, leave, die and give their addresses on.
+The programs run as processes of their own. A soak checks what callers and
+endpoints observe while VMs are stopped, frozen, killed and restarted, while
+connections to the store are slowed, reset or silenced, while the store itself
+fails, and while endpoints start, leave, crash and reuse each other's addresses.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m soak`: plays seeds and tells what was broken."""
+"""Command line of the soak: runs seeds and prints invariant violations."""
 
 import random
 import time
@@ -6,7 +6,7 @@
 import typer
 
 from soak._schedule import schedule
-from soak._world import Plan, play
+from soak._world import Plan, run_plan
 
 app = typer.Typer(add_completion=False, pretty_exceptions_enable=False)
 
@@ -24,23 +24,23 @@
 ) -> None:
     """Plays runs with faults; ends with 1 if a promise was broken."""
     module = ("soak.without", without) if without else ("pollenmast.platform",)
-    until = time.monotonic() + 60.0 * minutes
-    seed, played, bad = first, 0, 0
-    while time.monotonic() < until if minutes else played < seeds:
+    deadline = time.monotonic() + 60.0 * minutes
+    seed, completed, failed_runs = first, 0, 0
+    while time.monotonic() < deadline if minutes else completed < seeds:
         if minutes:
             seed = random.SystemRandom().randrange(1 << 31)
-        result = play(Plan(seed, seconds, vms, module=module))
-        told = f"{result.answered} of {result.asked} answered"
-        print(f"seed {seed}: {result.faults} faults, {told}", flush=True)
-        for each in result.broken:
+        result = run_plan(Plan(seed, seconds, vms, module=module))
+        summary = f"{result.answered} of {result.requests} answered"
+        print(f"seed {seed}: {result.faults} faults, {summary}", flush=True)
+        for each in result.violations:
             print(f"  broken: {each}", flush=True)
-        if result.broken:
-            bad += 1
+        if result.violations:
+            failed_runs += 1
             for fault in schedule(seed, seconds):
                 print(f"    {fault.at:6.2f} s {fault.kind.value} {fault}")
-        seed, played = seed + 1, played + 1
-    print(f"{played} runs, {bad} with a broken promise")
-    raise typer.Exit(1 if bad else 0)
+        seed, completed = seed + 1, completed + 1
+    print(f"{completed} runs, {failed_runs} with a broken promise")
+    raise typer.Exit(1 if failed_runs else 0)
 
 
 if __name__ == "__main__":
--- a/soak/_clients.py
+++ b/soak/_clients.py
@@ -1,4 +1,4 @@
-"""Routers and clients: flows of many requests, and what came of each."""
+"""Simulated routers and clients, and a record of each request's outcome."""
 
 import itertools
 import random
@@ -8,33 +8,36 @@
 import anyio
 import attrs
 
-from soak._vm import PACKETS, Vm
+from soak._vm import DATAGRAM_PORT, Vm
 from standins import segments
 
 SERVICES = ("registry", "barcodes")
 VIP = "198.18.0.1"
 PORTS = {"registry": 443, "barcodes": 8443, "moving": 9443}
-"""Ports of the routes; that of `moving` goes to one service, then another."""
+"""The port of each route.
 
-PROBE_S = 0.5
-MISSES = 2
+The route `moving` is reassigned from one service to the other during a run.
+"""
+
+PROBE_INTERVAL_S = 0.5
+MAX_MISSED_PROBES = 2
 PAUSE_S = 0.15
-REQUESTS = 20
-"""Requests on one flow, before its client opens another."""
+REQUESTS_PER_FLOW = 20
+"""The number of requests on a flow before the client opens another one."""
 
-_SUM = struct.Struct(">I")
+_CHECKSUM = struct.Struct(">I")
 
 
 @attrs.define
-class Asked:
-    """One request.
+class RequestRecord:
+    """A request and its response.
 
     Attributes:
-        name: Unique; the endpoints note it when they run it.
-        route: The route asked.
-        at: When it was asked.
-        opened_at: When its flow's first packet was sent.
-        answer: What came back, empty if nothing did.
+        name: A unique name, which the endpoint that executes it records.
+        route: The route that the request was sent to.
+        at: The time at which the request was sent.
+        opened_at: The time at which the first packet of its flow was sent.
+        answer: The response, or an empty string if none arrived.
     """
 
     name: str
@@ -45,22 +48,22 @@
 
 
 @attrs.define
-class OwnReset:
-    """A reset by the system of a flow that was open."""
+class BalancerReset:
+    """A reset of an open flow that the load balancer itself sent."""
 
     at: float
     endpoint: str
 
 
 class Routers:
-    """Sends each packet to a VM by a hash over those in rotation."""
+    """Forwards each packet to one of the VMs in rotation, chosen by a hash."""
 
     def __init__(self, vms: list[Vm], rng: random.Random):
         self.loss = 0.0
         self._vms = vms
         self._rng = rng
         self._rotation = [vm.host for vm in vms]
-        self._misses: dict[str, int] = {}
+        self._missed_probes: dict[str, int] = {}
         self._sock = segments.bind(vms[0].host.rpartition(".")[0] + ".250", 0)
 
     def close(self) -> None:
@@ -68,12 +71,12 @@
         self._sock.close()
 
     async def run(self) -> None:
-        """Asks for readiness until cancelled."""
+        """Probes the readiness of all VMs until cancelled."""
         while True:
-            await anyio.sleep(PROBE_S)
+            await anyio.sleep(PROBE_INTERVAL_S)
             async with anyio.create_task_group() as tasks:
                 for vm in self._vms:
-                    tasks.start_soon(self._ask, vm)
+                    tasks.start_soon(self._probe, vm)
             up = [v.host for v in self._vms if self._in_rotation(v)]
             half = len(self._vms) / 2
             self._rotation = (
@@ -81,39 +84,42 @@
             )
 
     def send(self, head: segments.Head) -> str:
-        """Forwards a packet; returns the VM that it went to."""
+        """Forwards a packet and returns the address of the VM chosen for it."""
         end = f"{head.src} {head.sport}".encode()
         chosen = zlib.crc32(end) % len(self._rotation)
         host = self._rotation[chosen]
         if self._rng.random() >= self.loss:
             try:
-                self._sock.sendto(head.encode(), (host, PACKETS))
+                self._sock.sendto(head.encode(), (host, DATAGRAM_PORT))
             except OSError:
-                # Nobody listens there; to the client the packet is lost.
+                # Nothing listens on that address: the packet is lost.
                 return host
         return host
 
-    async def _ask(self, vm: Vm) -> None:
+    async def _probe(self, vm: Vm) -> None:
         ready = await vm.ready()
-        missed = self._misses.get(vm.host, 0)
-        self._misses[vm.host] = 0 if ready else missed + 1
+        missed = self._missed_probes.get(vm.host, 0)
+        self._missed_probes[vm.host] = 0 if ready else missed + 1
 
     def _in_rotation(self, vm: Vm) -> bool:
-        return self._misses.get(vm.host, 0) < MISSES
+        return self._missed_probes.get(vm.host, 0) < MAX_MISSED_PROBES
 
 
 class Client(segments.Client):
-    """A client's socket; it tells the system's resets from the endpoints'."""
+    """A client's socket.
+
+    It distinguishes resets sent by the load balancer from those of endpoints.
+    """
 
     def __init__(self, host: str, port: int, routers: Routers):
         super().__init__(host, port)
-        self.own_resets: set[int] = set()
+        self.balancer_resets: set[int] = set()
         self._routers = routers
         self._numbers = itertools.count(1024)
         self._arrived: dict[int, anyio.Event] = {}
 
     def next_port(self) -> int:
-        """Returns a port that no flow has had."""
+        """Returns a port that no flow has used yet."""
         return next(self._numbers)
 
     def send(self, head: segments.Head, vms) -> None:
@@ -121,18 +127,21 @@
         self._routers.send(head)
 
     async def run(self) -> None:
-        """Takes packets and hands them to their flows until cancelled."""
+        """Receives packets and queues them by flow until cancelled."""
         while True:
             packet = await segments.receive(self._sock)
             head = segments.decode(packet)
-            if head.flags & segments.RST and not _SUM.unpack_from(packet)[0]:
-                self.own_resets.add(head.dport)
+            if (
+                head.flags & segments.RST
+                and not _CHECKSUM.unpack_from(packet)[0]
+            ):
+                self.balancer_resets.add(head.dport)
             self._inbox.setdefault(head.dport, []).append(head)
             if head.dport in self._arrived:
                 self._arrived.pop(head.dport).set()
 
     async def receive(self, port: int) -> segments.Head:
-        """Returns the next packet for one flow; others wait for theirs."""
+        """Returns the next packet of one flow, leaving those of other flows."""
         while not self._inbox.get(port):
             event = self._arrived.setdefault(port, anyio.Event())
             await event.wait()
@@ -140,41 +149,41 @@
 
 
 class Callers:
-    """Clients that ask until they are told to stop."""
+    """Clients that send requests until `stopping` is set."""
 
     def __init__(self, client: Client, rng: random.Random):
-        self.asked: list[Asked] = []
-        self.resets: list[OwnReset] = []
+        self.requests: list[RequestRecord] = []
+        self.resets: list[BalancerReset] = []
         self.stopping = False
         self._client = client
         self._rng = rng
         self._names = itertools.count()
 
     async def run(self, route: str) -> None:
-        """Opens flow after flow, and asks on each."""
+        """Opens one flow after another and sends requests on each."""
         while not self.stopping:
             port = self._client.next_port()
             flow = segments.Flow(self._client, port, (VIP, PORTS[route]))
             opened_at = anyio.current_time()
             if await flow.open([]):
-                await self._ask_on(flow, port, route, opened_at)
+                await self._send_requests(flow, port, route, opened_at)
             await anyio.sleep(PAUSE_S * self._rng.random())
 
-    async def _ask_on(self, flow, port, route, opened_at) -> None:
+    async def _send_requests(self, flow, port, route, opened_at) -> None:
         endpoint = ""
-        for _ in range(REQUESTS):
+        for _ in range(REQUESTS_PER_FLOW):
             if self.stopping:
                 return
             name = f"{route}/{next(self._names)}"
             now = anyio.current_time()
-            asked = Asked(name, route, now, opened_at)
-            self.asked.append(asked)
+            request = RequestRecord(name, route, now, opened_at)
+            self.requests.append(request)
             answer = await flow.ask([], name.encode())
-            asked.answer = answer.decode()
+            request.answer = answer.decode()
             if not answer:
-                if port in self._client.own_resets and endpoint:
+                if port in self._client.balancer_resets and endpoint:
                     at = anyio.current_time()
-                    self.resets.append(OwnReset(at, endpoint))
+                    self.resets.append(BalancerReset(at, endpoint))
                 return
-            endpoint = asked.answer.partition(" ")[0]
+            endpoint = request.answer.partition(" ")[0]
             await anyio.sleep(PAUSE_S * (0.5 + self._rng.random()))
--- a/soak/_endpoints.py
+++ b/soak/_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that come, leave, die, hang, and give their addresses on."""
+"""Simulated endpoints that start, drain, crash, hang and reuse addresses."""
 
 import anyio
 import anyio.abc
@@ -10,30 +10,46 @@
 
 WARMUP_S = 2.0
 WARMUP_PER_S = 1.0
-"""Seconds for which endpoints are cold, and new flows a second they bear."""
+"""The warm-up period of an endpoint in seconds, and its rate limit meanwhile.
+
+The limit is in new flows per second.
+"""
 
 
 @attrs.define
-class Ran:
-    """A request that an endpoint ran."""
+class ExecutedRequest:
+    """A request that an endpoint executed."""
 
     name: str
     at: float
 
 
 class Endpoint(segments.Endpoint):
-    """One start of an endpoint, and what reached it."""
+    """One instance of an endpoint, and the traffic that reached it.
+
+    Attributes:
+        service: The service that it belongs to.
+        zone: Its availability zone.
+        requests: The requests that it executed.
+        opened_at: The arrival times of packets with the SYN flag.
+        draining_at: When it began to drain, or None.
+        ended_at: When it ended, or None while it runs.
+        disturbed_at: The time of the last fault that may reset its flows.
+        warmups: Start and end of each warm-up period.
+        hangs: Whether it ignores all packets.
+        scope: Cancelled to end it.
+    """
 
     def __init__(self, name, host, port, client_port, service, zone):
         super().__init__(name, host, port, client_port)
         self.service = service
         self.zone = zone
-        self.requests: list[Ran] = []
+        self.requests: list[ExecutedRequest] = []
         self.opened_at: list[float] = []
         self.draining_at: float | None = None
         self.ended_at: float | None = None
         self.disturbed_at = float("-inf")
-        self.cold: list[tuple[float, float]] = []
+        self.warmups: list[tuple[float, float]] = []
         self.hangs = False
         self.scope = anyio.CancelScope()
 
@@ -46,14 +62,14 @@
         super()._take(sock, datagram)
 
     def reply(self, request: bytes) -> bytes:
-        """Returns the endpoint's name and the request's."""
+        """Returns a response made of the endpoint's and the request's names."""
         name = request.decode()
-        self.requests.append(Ran(name, anyio.current_time()))
+        self.requests.append(ExecutedRequest(name, anyio.current_time()))
         return f"{self.name} {name}".encode()
 
 
 class Endpoints:
-    """All endpoints there ever were, and what they tell the store."""
+    """All endpoints of a run, ended ones included, and their store entries."""
 
     def __init__(self, store: Store, net: str, client_port: int):
         self.all: list[Endpoint] = []
@@ -65,23 +81,32 @@
 
     @property
     def up(self) -> list[Endpoint]:
-        """Those whose process runs."""
+        """The endpoints that have not ended."""
         return [each for each in self.all if each.ended_at is None]
 
     def serving(self, service: str) -> list[Endpoint]:
-        """Those of a service that take new flows."""
+        """Returns the endpoints of a service that accept new flows."""
         return [
             each
             for each in self.up
             if each.service == service and each.draining_at is None
         ]
 
-    def join(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Sets where the endpoints run."""
+    def set_task_group(self, tasks: anyio.abc.TaskGroup) -> None:
+        """Sets the task group that endpoints run in."""
         self._tasks = tasks
 
     def start(self, service: str, zone: str, host: str = "") -> Endpoint:
-        """Starts one, at a new address or at one that is free again."""
+        """Starts an endpoint and writes its entry to the store.
+
+        Args:
+            service: The service that it belongs to.
+            zone: Its availability zone.
+            host: An address that is free again; a new one if empty.
+
+        Returns:
+            The endpoint.
+        """
         if not host:
             self._hosts += 1
             host = f"{self._net}.4.{self._hosts}"
@@ -89,59 +114,65 @@
         endpoint = Endpoint(name, host, 8301, self._client_port, service, zone)
         self.all.append(endpoint)
         self._tasks.start_soon(self._run, endpoint)
-        self._announce(endpoint, "ready")
+        self._put_entry(endpoint, "ready")
         return endpoint
 
     def drain(self, endpoint: Endpoint) -> None:
-        """Tells the store that one is leaving."""
-        self._announce(endpoint, "draining")
+        """Marks an endpoint as draining in the store."""
+        self._put_entry(endpoint, "draining")
         endpoint.draining_at = anyio.current_time()
 
-    def end(self, endpoint: Endpoint, *, tell: bool) -> None:
-        """Ends one, in order or without a word."""
+    def end(self, endpoint: Endpoint, *, delete_entry: bool) -> None:
+        """Ends an endpoint.
+
+        Args:
+            endpoint: The endpoint.
+            delete_entry: Whether its store entry is deleted, as on an orderly
+                shutdown; a crashed endpoint leaves its entry behind.
+        """
         endpoint.ended_at = anyio.current_time()
         endpoint.scope.cancel()
-        if tell:
-            self.lapse(endpoint)
+        if delete_entry:
+            self.delete_entry(endpoint)
 
-    def lapse(self, endpoint: Endpoint) -> None:
-        """Its entry vanishes."""
+    def delete_entry(self, endpoint: Endpoint) -> None:
+        """Deletes an endpoint's entry from the store."""
         self._store.delete(f"servers/{endpoint.name}")
 
-    def cool(self, endpoint: Endpoint) -> None:
-        """One is cold from now on, and says so."""
+    def start_warmup(self, endpoint: Endpoint) -> None:
+        """Starts a warm-up period; published unless the endpoint drains."""
         now = anyio.current_time()
-        endpoint.cold.append((now, now + WARMUP_S))
+        endpoint.warmups.append((now, now + WARMUP_S))
         if endpoint.draining_at is None:
-            self._announce(endpoint, "ready")
+            self._put_entry(endpoint, "ready")
 
-    def back(self, endpoint: Endpoint) -> None:
-        """Its entry is there again."""
-        self._announce(endpoint, "ready")
+    def restore_entry(self, endpoint: Endpoint) -> None:
+        """Writes the entry of an endpoint again after it was deleted."""
+        self._put_entry(endpoint, "ready")
 
-    def write_again(self) -> None:
-        """All tell a store that has lost what they wrote."""
+    def rewrite_entries(self) -> None:
+        """Writes all running endpoints to a store that lost their entries."""
         for endpoint in self.up:
             leaving = endpoint.draining_at is not None
             state = "draining" if leaving else "ready"
             self._store.renew(*self._entry(endpoint, state))
 
-    def lapse_ended(self) -> None:
-        """Entries vanish of which nobody renews the lease."""
+    def delete_ended_entries(self) -> None:
+        """Deletes the entries of ended endpoints, whose leases have expired."""
         for endpoint in self.all:
             if endpoint.ended_at is not None:
-                self.lapse(endpoint)
+                self.delete_entry(endpoint)
 
-    def _announce(self, endpoint: Endpoint, state: str) -> None:
+    def _put_entry(self, endpoint: Endpoint, state: str) -> None:
         self._store.put(*self._entry(endpoint, state))
 
     def _entry(
         self, endpoint: Endpoint, state: str
     ) -> tuple[str, dict[str, object]]:
-        """Returns the key and the value that one writes."""
+        """Returns the key and the value of an endpoint's store entry."""
         entry = endpoint.entry(endpoint.service, endpoint.zone, state)
-        if endpoint.cold:
-            left_s = endpoint.cold[-1][1] - anyio.current_time()
+        if endpoint.warmups:
+            left_s = endpoint.warmups[-1][1] - anyio.current_time()
             entry["warmupLeftMs"] = max(0, round(1000 * left_s))
         return f"servers/{endpoint.name}", entry
 
@@ -151,15 +182,15 @@
 
 
 def configuration(
-    version: int, moving: str, more: int = 0, *, warms_up: bool = False
+    version: int, moving: str, extra_routes: int = 0, *, warms_up: bool = False
 ) -> dict[str, object]:
-    """Returns what the operator publishes.
+    """Returns a configuration as the operator publishes it.
 
     Args:
-        version: Grows with each change.
-        moving: The service that the route `moving` goes to.
-        more: Routes that nobody asks for.
-        warms_up: Whether endpoints state what they bear while they are cold.
+        version: The version number, which grows with each change.
+        moving: The service that the route `moving` leads to.
+        extra_routes: The number of additional routes, which no client uses.
+        warms_up: Whether services declare a warm-up period and its flow rate.
     """
     warmup = {"warmupS": WARMUP_S, "warmupPerS": WARMUP_PER_S}
     targets = {**{name: name for name in SERVICES}, "moving": moving}
@@ -183,7 +214,7 @@
                 "routeType": "download",
                 "service": SERVICES[0],
             }
-            for number in range(more)
+            for number in range(extra_routes)
         ],
         "services": [
             {
--- a/soak/_plan.py
+++ b/soak/_plan.py
@@ -1,18 +1,18 @@
-"""What a run of the soak is asked for, and what it has shown."""
+"""Parameters and result of a soak run."""
 
 import attrs
 
 
 @attrs.frozen
 class Plan:
-    """A run.
+    """The parameters of a run.
 
     Attributes:
-        seed: Decides the faults.
-        seconds: For how long callers ask.
-        vms: How many VMs.
-        clients: How many clients for each route.
-        module: The program's module and arguments, without the interpreter.
+        seed: The seed from which the faults are drawn.
+        seconds: How long callers send requests.
+        vms: The number of VMs.
+        clients: The number of clients for each route.
+        module: The module to run as a VM's program, followed by its arguments.
     """
 
     seed: int
@@ -24,9 +24,16 @@
 
 @attrs.define
 class Result:
-    """What a run has shown: counts, and every broken promise."""
+    """The result of a run.
 
-    asked: int
+    Attributes:
+        requests: The number of requests sent.
+        answered: The number of requests that got a response.
+        faults: The number of faults injected.
+        violations: A description of each invariant violation.
+    """
+
+    requests: int
     answered: int
     faults: int
-    broken: list[str]
+    violations: list[str]
--- a/soak/_programs.py
+++ b/soak/_programs.py
@@ -1,16 +1,20 @@
-"""What goes wrong with relays and agents in a run, drawn from its seed."""
+"""Schedules faults of relays, agents, platform and fabric from a seed."""
 
 import enum
 import random
 
 import attrs
 
-FIRST_S = 3.0
-"""Undisturbed seconds at the start of a run."""
+QUIET_START_S = 3.0
+"""The time at the start of a run without faults, in seconds."""
 
 
 class Kind(enum.Enum):
-    """What happens."""
+    """A kind of fault.
+
+    A seed draws from the members by their order, so that a new order changes
+    the faults of kept seeds.
+    """
 
     KILL_RELAY = "a relay is killed and starts again"
     FREEZE_RELAY = "a relay stands still"
@@ -25,7 +29,7 @@
     LOSS = "the fabric loses packets"
 
 
-PROGRAMS = {
+PROGRAMS_BY_KIND = {
     Kind.KILL_RELAY: ("relay",),
     Kind.FREEZE_RELAY: ("relay",),
     Kind.KILL_AGENT: ("agent",),
@@ -35,31 +39,34 @@
     Kind.STOP_RELAY: ("relay",),
     Kind.STOP_VM: ("relay", "agent"),
 }
-"""The programs that a fault meets."""
+"""The programs that each kind of fault hits."""
 
 KILLS = frozenset({Kind.KILL_RELAY, Kind.KILL_AGENT, Kind.KILL_VM})
 FREEZES = frozenset({Kind.FREEZE_RELAY, Kind.FREEZE_AGENT, Kind.FREEZE_VM})
 STOPS = frozenset({Kind.STOP_RELAY, Kind.STOP_VM})
 
 
-LASTING = (
+LASTING_KINDS = (
     Kind.KILL_RELAY,
     Kind.FREEZE_RELAY,
     Kind.KILL_AGENT,
     Kind.FREEZE_AGENT,
 )
-"""What stays so at the end of a run, on one VM, until all is judged."""
+"""Faults that may stay in place at the end of a run.
+
+One of them hits one VM and lasts until the results have been checked.
+"""
 
 
 @attrs.frozen
 class Fault:
-    """One thing that goes wrong.
+    """A scheduled fault.
 
     Attributes:
-        at: Seconds from the start of the callers.
-        for_s: How long it lasts.
-        kind: What it is.
-        draw: A number from 0 to 1 that chooses the VM or the endpoint.
+        at: When it starts, in seconds after the start of the callers.
+        for_s: Its duration in seconds.
+        kind: Its kind.
+        draw: A random number from 0 to 1 that selects the VM or the endpoint.
     """
 
     at: float
@@ -69,25 +76,27 @@
 
 
 def schedule(seed: int, seconds: float) -> list[Fault]:
-    """Returns a run's faults in their order; they come in series and overlap.
+    """Returns the faults of a run by start time.
+
+    Faults come in series and may overlap.
 
     Args:
-        seed: Decides everything.
-        seconds: From the first possible fault to the end of the last one.
+        seed: Determines all faults.
+        seconds: The time from the first possible fault to the end of the last.
     """
     rng = random.Random(seed)
     kinds = rng.sample(list(Kind), rng.randint(1, len(Kind)))
     faults = []
-    at = FIRST_S
+    at = QUIET_START_S
     for _ in range(rng.randint(1, max(2, int(seconds / 2)))):
         at += rng.choice([0.0, 0.3, 1.0, 4.0]) * rng.random()
         for_s = rng.choice([0.05, 0.7, 2.0, 4.0, 8.0])
-        if at + for_s > FIRST_S + seconds:
+        if at + for_s > QUIET_START_S + seconds:
             break
         faults.append(Fault(at, for_s, rng.choice(kinds), rng.random()))
     return faults
 
 
-def lasting(seed: int) -> Kind:
-    """Returns the fault that lasts to the end of a run."""
-    return random.Random(f"lasting {seed}").choice(LASTING)
+def lasting_fault(seed: int) -> Kind:
+    """Returns the kind of fault that is left in place at the end of a run."""
+    return random.Random(f"lasting {seed}").choice(LASTING_KINDS)
--- a/soak/_proxy.py
+++ b/soak/_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback, through which one VM reaches the store."""
+"""A fault-injecting TCP proxy on loopback between one VM and the store."""
 
 import enum
 
@@ -9,53 +9,57 @@
 
 
 class Mode(enum.Enum):
-    """What becomes of the bytes."""
+    """How the proxy treats connections and their data."""
 
     PASS = "pass"
     SLOW = "slow"
     RESET = "reset"
-    """Connections are closed, new ones too."""
+    """Open connections and new ones are closed."""
 
     SILENT = "silent"
-    """Both ways swallowed; connections stay open."""
+    """Data is dropped in both directions; connections stay open."""
 
     ONE_WAY = "one way"
-    """Questions arrive, answers do not."""
+    """Requests are forwarded, responses are dropped."""
 
 
-_FOR_GOOD = (Mode.SILENT, Mode.ONE_WAY)
+_PERMANENT_MODES = (Mode.SILENT, Mode.ONE_WAY)
 
-SLOW_S = 0.3
-"""Added to each chunk; a hundred times the loopback's own delay."""
+SLOW_DELAY_S = 0.3
+"""Delay in seconds added to each chunk; a hundred times the loopback's own."""
 
 
 class _Connection:
-    """Both sides of one connection."""
+    """A connection from the VM and the one to the store that belongs to it."""
 
     def __init__(self, near, far, mode: Mode):
         self.mode = mode
-        self._near = near
-        self._far = far
+        self._client = near
+        self._server = far
 
     async def aclose(self) -> None:
         """Closes both sides at once."""
         with anyio.CancelScope(shield=True):
-            await anyio.aclose_forcefully(self._near)
-            await anyio.aclose_forcefully(self._far)
+            await anyio.aclose_forcefully(self._client)
+            await anyio.aclose_forcefully(self._server)
 
     async def run(self) -> None:
-        """Forwards until a side has ended."""
+        """Forwards data until either side has closed."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._copy, self._near, self._far, False, tasks)
-            tasks.start_soon(self._copy, self._far, self._near, True, tasks)
-
-    async def _copy(self, source, sink, answers: bool, tasks) -> None:
+            tasks.start_soon(
+                self._copy, self._client, self._server, False, tasks
+            )
+            tasks.start_soon(
+                self._copy, self._server, self._client, True, tasks
+            )
+
+    async def _copy(self, source, sink, is_response: bool, tasks) -> None:
         try:
             while True:
                 data = await source.receive(_CHUNK)
                 if self.mode is Mode.SLOW:
-                    await anyio.sleep(SLOW_S)
-                if not self._swallows(answers):
+                    await anyio.sleep(SLOW_DELAY_S)
+                if not self._drops(is_response):
                     await sink.send(data)
         except (
             anyio.EndOfStream,
@@ -64,28 +68,29 @@
         ):
             tasks.cancel_scope.cancel()
 
-    def _swallows(self, answers: bool) -> bool:
-        one_way = self.mode is Mode.ONE_WAY and answers
+    def _drops(self, is_response: bool) -> bool:
+        one_way = self.mode is Mode.ONE_WAY and is_response
         return one_way or self.mode is Mode.SILENT
 
 
 class Proxy:
-    """Forwards connections, by a mode that may change at any moment."""
+    """Forwards connections, in a mode that may change at any time."""
 
     def __init__(self, host: str, port: int, target: tuple[str, int]):
         self.mode = Mode.PASS
         self._address = (host, port)
         self._target = target
-        self._open: set[_Connection] = set()
+        self._connections: set[_Connection] = set()
 
-    async def set(self, mode: Mode) -> None:
-        """Changes the mode, for open connections as well.
+    async def set_mode(self, mode: Mode) -> None:
+        """Changes the mode, for open connections too.
 
-        Those that have fallen silent stay so: only new ones work again.
+        Connections on which data has been dropped keep their mode, as the data
+        is lost for good: only new connections work again.
         """
         self.mode = mode
-        for connection in list(self._open):
-            if connection.mode not in _FOR_GOOD:
+        for connection in list(self._connections):
+            if connection.mode not in _PERMANENT_MODES:
                 connection.mode = mode
             if mode is Mode.RESET:
                 await connection.aclose()
@@ -95,7 +100,7 @@
         *,
         task_status: anyio.abc.TaskStatus = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Forwards until cancelled."""
+        """Accepts and forwards connections until cancelled."""
         host, port = self._address
         listener = await anyio.create_tcp_listener(
             local_host=host, local_port=port, backlog=256
@@ -114,9 +119,9 @@
             await anyio.aclose_forcefully(near)
             return
         connection = _Connection(near, far, self.mode)
-        self._open.add(connection)
+        self._connections.add(connection)
         try:
             await connection.run()
         finally:
-            self._open.discard(connection)
+            self._connections.discard(connection)
             await connection.aclose()
--- a/soak/_schedule.py
+++ b/soak/_schedule.py
@@ -1,19 +1,26 @@
-"""What goes wrong in a run, drawn from its seed."""
+"""Schedules the faults of a run from its seed."""
 
 import enum
 import random
 
 import attrs
 
-FIRST_S = 3.0
-"""Undisturbed seconds at the start of a run."""
+QUIET_START_S = 3.0
+"""The time at the start of a run without faults, in seconds."""
 
-LAST_S = 8.0
-"""Undisturbed seconds at its end, in which everything must be served again."""
+QUIET_END_S = 8.0
+"""The time at the end of a run without faults, in seconds.
+
+Within it, requests must be served again.
+"""
 
 
 class Kind(enum.Enum):
-    """What happens."""
+    """A kind of fault.
+
+    A seed draws from the members by their order, so that a new order changes
+    the faults of kept seeds.
+    """
 
     KILL = "a VM is killed and starts again"
     FREEZE = "a VM stands still"
@@ -34,14 +41,17 @@
     RESTORE = "the store comes back from an older copy"
 
 
-FIRST_LATER_SEED = 1001
+FIRST_STORM_SEED = 1001
 FIRST_RESTORE_SEED = 2001
-_FIRST_SEEDS = {
-    Kind.DRAIN_ZONE: FIRST_LATER_SEED,
-    Kind.STORM: FIRST_LATER_SEED,
+_FIRST_SEED_BY_KIND = {
+    Kind.DRAIN_ZONE: FIRST_STORM_SEED,
+    Kind.STORM: FIRST_STORM_SEED,
     Kind.RESTORE: FIRST_RESTORE_SEED,
 }
-"""Lesser seeds do not draw these kinds, so that kept ones play as they did."""
+"""The lowest seed that draws each of these kinds.
+
+The kinds were added later; with lower seeds, kept runs stay as they were.
+"""
 
 UNPLANNED = frozenset(
     {
@@ -55,19 +65,22 @@
         Kind.RESTORE,
     }
 )
-"""During these, and some seconds after, rules with a bound do not hold."""
+"""Unplanned disturbances.
+
+Time bounds are not checked while they last and for some seconds after.
+"""
 
 
 @attrs.frozen
 class Fault:
-    """One thing that goes wrong.
+    """A scheduled fault.
 
     Attributes:
-        at: Seconds from the start of the callers.
-        for_s: How long it lasts.
-        kind: What it is.
-        draw: A number from 0 to 1 that chooses whom or how.
-        share: The part of the VMs that it meets.
+        at: When it starts, in seconds after the start of the callers.
+        for_s: Its duration in seconds.
+        kind: Its kind.
+        draw: A random number from 0 to 1 that selects the target or variant.
+        share: The share of the VMs that it hits.
     """
 
     at: float
@@ -78,20 +91,23 @@
 
 
 def schedule(seed: int, seconds: float) -> list[Fault]:
-    """Returns a run's faults in their order; they come in series and overlap.
+    """Returns the faults of a run by start time.
+
+    Faults come in series and may overlap.
 
     Args:
-        seed: Decides everything.
-        seconds: The run's length.
+        seed: Determines all faults.
+        seconds: The length of the run.
     """
     rng = random.Random(seed)
-    last = seconds - LAST_S
+    last = seconds - QUIET_END_S
     count = rng.randint(3, max(4, int(seconds / 2)))
-    # Quiet runs show what must hold by itself; crowded ones what survives.
-    known = kinds_of(seed)
+    # Runs with few kinds of faults test each by itself, runs with many kinds
+    # test their combinations.
+    known = kinds_for_seed(seed)
     kinds = rng.sample(known, rng.randint(2, len(known)))
     faults = []
-    at = FIRST_S
+    at = QUIET_START_S
     for _ in range(count):
         at += rng.choice([0.0, 0.3, 1.0, 2.5]) * rng.random()
         for_s = rng.choice([0.3, 1.0, 2.5, 4.0])
@@ -109,6 +125,6 @@
     return faults
 
 
-def kinds_of(seed: int) -> list[Kind]:
-    """Returns the kinds that a seed draws from."""
-    return [kind for kind in Kind if seed >= _FIRST_SEEDS.get(kind, 0)]
+def kinds_for_seed(seed: int) -> list[Kind]:
+    """Returns the kinds of faults that a seed can draw."""
+    return [kind for kind in Kind if seed >= _FIRST_SEED_BY_KIND.get(kind, 0)]
--- a/soak/_vm.py
+++ b/soak/_vm.py
@@ -1,4 +1,4 @@
-"""A VM's program as a process of its own, and the signals it gets."""
+"""Runs a VM's program as a process and sends it signals."""
 
 import os
 import pathlib
@@ -10,20 +10,31 @@
 
 from pollenmast import http1
 
-PACKETS, READY, CONTROL, GOSSIP = 8172, 8167, 8166, 7720
+DATAGRAM_PORT, READY_PORT, CONTROL_PORT, GOSSIP_PORT = 8172, 8167, 8166, 7720
 GRACE_S = 6.0
 WARMUP_OVERRUN, WARMUP_SLACK = 1.5, 5.0
-"""How far cold endpoints may be overrun, where the configuration says that
-they warm up."""
+"""Bounds of the rate of new flows to an endpoint that warms up.
 
-TOO_LATE = -1
-"""Noted in place of an exit code where a VM did not end in time."""
+Where the configuration declares a warm-up period, the rate may reach
+`WARMUP_OVERRUN` times the declared one, plus `WARMUP_SLACK` flows.
+"""
+
+STOP_TIMED_OUT = -1
+"""Recorded in place of an exit code if a VM did not exit in time."""
 
 _ROOT = pathlib.Path(__file__).parent.parent
 
 
 class Vm:
-    """One VM; it ends only processes that it has started."""
+    """The process of a VM; only processes that it started are ended.
+
+    Attributes:
+        host: The VM's address.
+        zone: Its availability zone.
+        module: The module to run, followed by its arguments.
+        disturbed_at: When the process was last started, signalled or killed.
+        exit_codes: The exit code of each orderly stop.
+    """
 
     def __init__(self, host, zone, seeds, store, folder, module, apply_s):
         self.host = host
@@ -31,17 +42,17 @@
         self.module = module
         self.disturbed_at = float("-inf")
         self.exit_codes: list[int] = []
-        self._file = folder / f"{host}.conf"
+        self._config_file = folder / f"{host}.conf"
         self._log = folder / f"{host}.log"
         self._process: subprocess.Popen | None = None
         self._killed: subprocess.Popen | None = None
-        listed = ",".join(f"{seed}:{CONTROL}" for seed in seeds)
-        self._file.write_text(
+        listed = ",".join(f"{seed}:{CONTROL_PORT}" for seed in seeds)
+        self._config_file.write_text(
             f"nodeId=vm-{host}\nzone={zone}\n"
-            f"listenAddrs.datagramAddr={host}:{PACKETS}\n"
-            f"listenAddrs.ready={host}:{READY}\n"
-            f"listenAddrs.control={host}:{CONTROL}\n"
-            f"internalPorts={GOSSIP},7735\nseedNodes={listed}\n"
+            f"listenAddrs.datagramAddr={host}:{DATAGRAM_PORT}\n"
+            f"listenAddrs.ready={host}:{READY_PORT}\n"
+            f"listenAddrs.control={host}:{CONTROL_PORT}\n"
+            f"internalPorts={GOSSIP_PORT},7735\nseedNodes={listed}\n"
             f"bounds.configApplyMs={int(apply_s * 1000)}\n"
             f"bounds.drainMs={int(apply_s * 1000)}\n"
             f"bounds.evacuateMs={int(apply_s * 1000)}\n"
@@ -53,21 +64,21 @@
 
     @property
     def running(self) -> bool:
-        """Whether its process is there."""
+        """Whether the process runs."""
         return self._process is not None and self._process.poll() is None
 
-    def disturb(self) -> None:
-        """Notes that from now on its own rules with a bound do not hold."""
+    def mark_disturbed(self) -> None:
+        """Records that time bounds may not hold for this VM from now on."""
         self.disturbed_at = anyio.current_time()
 
     def start(self) -> None:
-        """Starts the process, unless another fault has started it already."""
-        self.disturb()
+        """Starts the process unless another fault has already started it."""
+        self.mark_disturbed()
         if self.running:
             return
         environment = {
             **os.environ,
-            "POLLENMAST_CONFIG": str(self._file),
+            "POLLENMAST_CONFIG": str(self._config_file),
             "PYTHONPATH": f"{_ROOT / 'src'}{os.pathsep}{_ROOT}",
         }
         with self._log.open("ab") as log:
@@ -80,22 +91,23 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends a signal to the process, if it is there."""
-        self.disturb()
+        """Sends a signal to the process if it runs."""
+        self.mark_disturbed()
         if self.running:
             self._process.send_signal(number)
 
     async def ready(self) -> bool:
-        """Asks for its readiness, as the routers do."""
-        connection = http1.Connection(self.host, READY)
+        """Returns whether the VM is ready, by the check that routers use."""
+        connection = http1.Connection(self.host, READY_PORT)
         answer = await connection.get("/readiness", 0.5)
         await connection.aclose()
         return answer.is_ok() and answer.ok_value.status == 200
 
     async def stop(self) -> None:
-        """Stops it in order, and notes how it ended.
+        """Stops the process with SIGTERM and records its exit code.
 
-        Not if another fault kills it meanwhile, or starts the next process.
+        Records nothing if another fault kills the process or replaces it while
+        it stops.
         """
         process = self._process
         self.signal(signal.SIGTERM)
@@ -104,12 +116,12 @@
                 await anyio.sleep(0.05)
         code = process.poll()
         if process is self._process and process is not self._killed:
-            self.exit_codes.append(TOO_LATE if code is None else code)
+            self.exit_codes.append(STOP_TIMED_OUT if code is None else code)
             self.kill()
 
     def kill(self) -> None:
-        """Ends the process at once; a frozen one as well."""
-        self.disturb()
+        """Kills the process at once, also if it is frozen."""
+        self.mark_disturbed()
         if self._process is not None:
             self._killed = self._process
             self._process.kill()
--- a/soak/_world.py
+++ b/soak/_world.py
@@ -1,4 +1,4 @@
-"""One run: starts everything, lets the faults happen, and judges."""
+"""Runs one seed: starts all parts, injects faults and checks invariants."""
 
 import os
 import pathlib
@@ -9,68 +9,82 @@
 import anyio
 import anyio.abc
 
-from soak import _promises as promises
+from soak import _invariants as invariants
 from soak._clients import SERVICES, Callers, Client, Routers
 from soak._endpoints import Endpoint, Endpoints, configuration
+from soak._invariants import APPLY_S, Drain, Observations, RouteChange
 from soak._plan import Plan, Result
-from soak._promises import APPLY_S, Drain, Flip, Seen
 from soak._proxy import Mode, Proxy
 from soak._schedule import (
-    FIRST_LATER_SEED,
+    FIRST_STORM_SEED,
     UNPLANNED,
     Fault,
     Kind,
     schedule,
 )
-from soak._vm import PACKETS, Vm
+from soak._vm import DATAGRAM_PORT, Vm
 from standins import http
 from standins.store import Fault as StoreFault
 from standins.store import Store
 
 ZONES = ("a", "b", "c")
 STORE_PORT = 8169
-START_S = 20.0
-"""Within which every VM must be ready, on a busy machine too."""
+START_TIMEOUT_S = 20.0
+"""The time in seconds within which all VMs must be ready.
 
-JUDGE_S = 3.0
-"""The last part of a run, in which requests must be answered."""
+It is long enough for a busy machine.
+"""
+
+RECOVERY_WINDOW_S = 3.0
+"""The length in seconds of the last part of a run, in which requests must be
+answered."""
 
 SETTLE_S = 4.0
-"""For requests under way at the end; a client repeats for three seconds."""
+"""Seconds to wait for pending requests at the end of a run.
+
+Clients retransmit for three seconds.
+"""
 
-RESTART_S = (0.1, 0.5, 1.5)
+RESTART_DELAYS_S = (0.1, 0.5, 1.5)
 DRAIN_S = APPLY_S + 3.0
-"""How long an endpoint serves after it said that it leaves: some seconds longer
-than new flows may come, so that a late one is seen."""
+"""How long an endpoint keeps serving while it drains, in seconds.
 
-REUSE_S = 2.0
-BACK_S = 1.5
-"""Entries that lapsed are back so soon after the store."""
+This is some seconds longer than new flows may arrive, so that a late flow is
+observed.
+"""
 
-AWAY_S = 0.7
-"""How long the store is away before it is back from a copy."""
+ADDRESS_REUSE_DELAY_S = 2.0
+ENTRY_RETURN_S = 1.5
+"""Seconds between the return of the store and that of the entries it lost."""
+
+STORE_OUTAGE_S = 0.7
+"""How long the store is down before it is restored from a copy, in seconds."""
 
 LOST_VERSIONS = 3
-"""Configurations that the copy lacks. Only the last is written again, so that
-the store's revision stays behind what the VMs know."""
+"""The number of configurations that the restored copy lacks.
+
+Only the last of them is written again, so that the revision of the store stays
+behind the revision that the VMs know.
+"""
 
-CALM_S = 4.5
-"""After an unplanned disturbance, until rules with a bound hold again."""
+UNDISTURBED_AFTER_S = 4.5
+"""Seconds from an unplanned disturbance until time bounds hold again."""
 
 LEASE_S = 3.6
-"""An entry that nobody writes again vanishes after so long."""
+"""Seconds after which an entry that is not renewed expires."""
 
 STORM_ROUTES = 300
 STORM_GAP_S = 0.1
-"""Routes of a storm's configurations, and the pause between two of them."""
+"""The number of additional routes in each configuration of a storm, and the
+seconds between two configurations."""
 
-LOSS = (0.02, 0.1)
+LOSS_RATES = (0.02, 0.1)
 _CUTS = (Mode.SLOW, Mode.RESET, Mode.SILENT, Mode.ONE_WAY)
 _STORE_FAULTS = (StoreFault.DOWN, StoreFault.BUSY, StoreFault.SILENT)
 
 
 class World:
-    """Everything around the VMs of one run."""
+    """The VMs of one run and their environment."""
 
     def __init__(self, plan: Plan, folder: pathlib.Path):
         net = f"127.{10 + os.getpid() % 200}"
@@ -78,30 +92,38 @@
         self._rng = random.Random(plan.seed)
         self._store = Store()
         self._store_address = (f"{net}.2.1", STORE_PORT)
-        self._endpoints = Endpoints(self._store, net, PACKETS)
+        self._endpoints = Endpoints(self._store, net, DATAGRAM_PORT)
         self._proxies: list[Proxy] = []
         self._vms: list[Vm] = []
         seeds = [f"{net}.3.{n}" for n in range(1, min(plan.vms, 3) + 1)]
         for number in range(1, plan.vms + 1):
-            way = (f"{net}.2.{number + 1}", STORE_PORT)
-            self._proxies.append(Proxy(*way, self._store_address))
+            proxy_address = (f"{net}.2.{number + 1}", STORE_PORT)
+            self._proxies.append(Proxy(*proxy_address, self._store_address))
             zone = ZONES[number % len(ZONES)]
             host = f"{net}.3.{number}"
             self._vms.append(
-                Vm(host, zone, seeds, way, folder, plan.module, APPLY_S)
+                Vm(
+                    host,
+                    zone,
+                    seeds,
+                    proxy_address,
+                    folder,
+                    plan.module,
+                    APPLY_S,
+                )
             )
         self._routers = Routers(self._vms, self._rng)
-        self._client = Client(f"{net}.1.7", PACKETS, self._routers)
+        self._client = Client(f"{net}.1.7", DATAGRAM_PORT, self._routers)
         self._callers = Callers(self._client, self._rng)
         self._published: dict[str, object] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
-        self._flips: list[Flip] = []
+        self._route_changes: list[RouteChange] = []
         self._drains: list[Drain] = []
-        self._warms_up = plan.seed >= FIRST_LATER_SEED
-        self._troubles: list[tuple[float, float]] = []
+        self._warms_up = plan.seed >= FIRST_STORM_SEED
+        self._disturbances: list[tuple[float, float]] = []
 
     async def run(self) -> Result:
-        """Plays the run."""
+        """Executes the run and returns its result."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             try:
@@ -112,7 +134,7 @@
                         tasks.start_soon(self._callers.run, route)
                 faults = schedule(self._plan.seed, self._plan.seconds)
                 for fault in faults:
-                    tasks.start_soon(self._play, fault, began)
+                    tasks.start_soon(self._apply_fault, fault, began)
                 await anyio.sleep(self._plan.seconds)
                 self._callers.stopping = True
                 await anyio.sleep(SETTLE_S)
@@ -124,10 +146,10 @@
                 self._routers.close()
                 self._client.close()
                 tasks.cancel_scope.cancel()
-        return self._judge(began, len(faults))
+        return self._check(began, len(faults))
 
     async def _start(self, tasks: anyio.abc.TaskGroup) -> None:
-        self._endpoints.join(tasks)
+        self._endpoints.set_task_group(tasks)
         await tasks.start(http.serve, self._store, *self._store_address)
         for proxy in self._proxies:
             await tasks.start(proxy.run)
@@ -137,51 +159,53 @@
         self._publish(SERVICES[0])
         for vm in self._vms:
             vm.start()
-        with anyio.fail_after(START_S):
+        with anyio.fail_after(START_TIMEOUT_S):
             for vm in self._vms:
                 while not await vm.ready():
                     await anyio.sleep(0.05)
         tasks.start_soon(self._routers.run)
         tasks.start_soon(self._client.run)
 
-    def _judge(self, began: float, faults: int) -> Result:
-        seen = Seen(
+    def _check(self, began: float, faults: int) -> Result:
+        observations = Observations(
             self._callers,
             self._endpoints,
             self._vms,
-            self._flips,
-            self._troubles,
-            began + self._plan.seconds - JUDGE_S,
+            self._route_changes,
+            self._disturbances,
+            began + self._plan.seconds - RECOVERY_WINDOW_S,
             self._drains,
         )
-        answered = sum(bool(asked.answer) for asked in self._callers.asked)
-        asked = len(self._callers.asked)
-        return Result(asked, answered, faults, promises.broken(seen))
+        answered = sum(bool(asked.answer) for asked in self._callers.requests)
+        sent = len(self._callers.requests)
+        return Result(
+            sent, answered, faults, invariants.find_violations(observations)
+        )
 
-    def _publish(self, service: str, more: int = 0) -> None:
-        version = 3 + 7 * len(self._flips)
+    def _publish(self, service: str, extra_routes: int = 0) -> None:
+        version = 3 + 7 * len(self._route_changes)
         published = configuration(
-            version, service, more, warms_up=self._warms_up
+            version, service, extra_routes, warms_up=self._warms_up
         )
         self._published = published
         self._store.put("op/config", published)
-        self._flips.append(Flip(anyio.current_time(), service))
+        self._route_changes.append(RouteChange(anyio.current_time(), service))
 
-    async def _play(self, fault: Fault, began: float) -> None:
+    async def _apply_fault(self, fault: Fault, began: float) -> None:
         await anyio.sleep_until(began + fault.at)
         start = anyio.current_time()
-        trouble = [start, float("inf")]
+        disturbance = [start, float("inf")]
         if fault.kind in UNPLANNED:
-            self._troubles.append(trouble)
+            self._disturbances.append(disturbance)
         await _ACTIONS[fault.kind](self, fault)
-        trouble[1] = anyio.current_time()
+        disturbance[1] = anyio.current_time()
 
-    def _chosen(self, fault: Fault) -> list[Vm]:
+    def _choose_vms(self, fault: Fault) -> list[Vm]:
         count = max(1, round(fault.share * len(self._vms)))
         return random.Random(fault.draw).sample(self._vms, count)
 
-    def _endpoint(self, fault: Fault) -> Endpoint | None:
-        """Returns an endpoint whose loss leaves its service another one."""
+    def _choose_endpoint(self, fault: Fault) -> Endpoint | None:
+        """Returns an endpoint whose service has at least one more, or None."""
         service = SERVICES[int(fault.draw * 1000) % len(SERVICES)]
         serving = self._endpoints.serving(service)
         if len(serving) < 2:
@@ -189,22 +213,24 @@
         return serving[int(fault.draw * len(serving))]
 
     async def _kill(self, fault: Fault) -> None:
-        chosen = self._chosen(fault)
+        chosen = self._choose_vms(fault)
         for vm in chosen:
             vm.kill()
-        await anyio.sleep(RESTART_S[int(fault.draw * len(RESTART_S))])
+        await anyio.sleep(
+            RESTART_DELAYS_S[int(fault.draw * len(RESTART_DELAYS_S))]
+        )
         for vm in chosen:
             vm.start()
         await self._until_ready(chosen)
 
     async def _until_ready(self, vms: list[Vm]) -> None:
-        with anyio.move_on_after(START_S):
+        with anyio.move_on_after(START_TIMEOUT_S):
             for vm in vms:
                 while vm.running and not await vm.ready():
                     await anyio.sleep(0.05)
 
     async def _freeze(self, fault: Fault) -> None:
-        chosen = self._chosen(fault)
+        chosen = self._choose_vms(fault)
         for vm in chosen:
             vm.signal(signal.SIGSTOP)
         await anyio.sleep(fault.for_s)
@@ -212,31 +238,32 @@
             vm.signal(signal.SIGCONT)
 
     async def _stop(self, fault: Fault) -> None:
-        vm = self._chosen(fault)[0]
+        vm = self._choose_vms(fault)[0]
         if not await vm.ready():
             return
         await vm.stop()
-        await anyio.sleep(RESTART_S[0])
+        await anyio.sleep(RESTART_DELAYS_S[0])
         vm.start()
         await self._until_ready([vm])
 
     async def _reload(self, fault: Fault) -> None:
-        for vm in self._chosen(fault):
+        for vm in self._choose_vms(fault):
             if await vm.ready():
                 vm.signal(signal.SIGHUP)
 
     async def _cut(self, fault: Fault) -> None:
         mode = _CUTS[int(fault.draw * len(_CUTS))]
-        chosen = self._chosen(fault)
-        ways = [self._proxies[self._vms.index(vm)] for vm in chosen]
-        for way in ways:
-            await way.set(mode)
+        chosen = self._choose_vms(fault)
+        proxies = [self._proxies[self._vms.index(vm)] for vm in chosen]
+        for proxy in proxies:
+            await proxy.set_mode(mode)
         await anyio.sleep(fault.for_s)
-        for way in ways:
-            # What was swallowed stays lost on the connections of before.
-            await way.set(Mode.PASS)
+        for proxy in proxies:
+            # Data that was dropped stays lost, so connections that were open
+            # then keep their mode.
+            await proxy.set_mode(Mode.PASS)
 
-    async def _misbehave(self, fault: Fault) -> None:
+    async def _fail_store(self, fault: Fault) -> None:
         self._store.fault = _STORE_FAULTS[int(fault.draw * len(_STORE_FAULTS))]
         await anyio.sleep(fault.for_s)
         self._store.fault = StoreFault.NONE
@@ -245,27 +272,31 @@
         self._store.compact()
 
     async def _restore(self, fault: Fault) -> None:
-        """What is written while the fault lasts is lost, and written again."""
+        """Restores the store from a copy that lacks the last writes.
+
+        What was written while the fault lasted is lost. Afterwards the last
+        configuration, the drains and the endpoints are written again.
+        """
         copy = self._store.copy()
         for _ in range(LOST_VERSIONS):
             await self._configure(fault)
         await anyio.sleep(fault.for_s)
         self._store.fault = StoreFault.DOWN
-        await anyio.sleep(AWAY_S)
+        await anyio.sleep(STORE_OUTAGE_S)
         self._store.restore(copy)
         self._store.fault = StoreFault.NONE
-        await anyio.sleep(BACK_S * fault.draw)
+        await anyio.sleep(ENTRY_RETURN_S * fault.draw)
         self._store.renew("op/config", self._published)
         for drain in self._drains:
             self._write_drain(drain)
-        self._endpoints.write_again()
+        self._endpoints.rewrite_entries()
         self._tasks.start_soon(self._change_later, fault)
 
     async def _change_later(self, fault: Fault) -> None:
-        """The restored store is written to once its return is no excuse."""
+        """Changes the restored store when time bounds are checked again."""
         await anyio.sleep(LEASE_S)
-        self._endpoints.lapse_ended()
-        await anyio.sleep(CALM_S - LEASE_S)
+        self._endpoints.delete_ended_entries()
+        await anyio.sleep(UNDISTURBED_AFTER_S - LEASE_S)
         await self._configure(fault)
 
     def _write_drain(self, drain: Drain) -> None:
@@ -280,31 +311,31 @@
         await anyio.sleep(fault.for_s / 2)
         lapsed = [e for e in self._endpoints.up if e.draining_at is None]
         for endpoint in lapsed:
-            self._endpoints.lapse(endpoint)
+            self._endpoints.delete_entry(endpoint)
         await anyio.sleep(fault.for_s / 2)
         self._store.fault = StoreFault.NONE
-        await anyio.sleep(BACK_S)
+        await anyio.sleep(ENTRY_RETURN_S)
         for endpoint in lapsed:
             if endpoint.ended_at is None and endpoint.draining_at is None:
-                self._endpoints.back(endpoint)
+                self._endpoints.restore_entry(endpoint)
 
-    async def _lose(self, fault: Fault) -> None:
-        self._routers.loss = LOSS[int(fault.draw * len(LOSS))]
+    async def _lose_packets(self, fault: Fault) -> None:
+        self._routers.loss = LOSS_RATES[int(fault.draw * len(LOSS_RATES))]
         await anyio.sleep(fault.for_s)
         self._routers.loss = 0.0
 
     async def _crash(self, fault: Fault) -> None:
-        endpoint = self._endpoint(fault)
+        endpoint = self._choose_endpoint(fault)
         if endpoint is None:
             return
         endpoint.disturbed_at = anyio.current_time()
-        self._endpoints.end(endpoint, tell=False)
+        self._endpoints.end(endpoint, delete_entry=False)
         await anyio.sleep(fault.for_s)
-        self._endpoints.lapse(endpoint)
+        self._endpoints.delete_entry(endpoint)
         self._endpoints.start(endpoint.service, endpoint.zone)
 
     async def _hang(self, fault: Fault) -> None:
-        endpoint = self._endpoint(fault)
+        endpoint = self._choose_endpoint(fault)
         if endpoint is None:
             return
         endpoint.hangs = True
@@ -313,14 +344,14 @@
         endpoint.disturbed_at = anyio.current_time()
 
     async def _leave(self, fault: Fault) -> None:
-        endpoint = self._endpoint(fault)
+        endpoint = self._choose_endpoint(fault)
         if endpoint is None:
             return
         self._endpoints.drain(endpoint)
         self._endpoints.start(endpoint.service, endpoint.zone)
         await anyio.sleep(DRAIN_S)
-        self._endpoints.end(endpoint, tell=True)
-        await anyio.sleep(REUSE_S)
+        self._endpoints.end(endpoint, delete_entry=True)
+        await anyio.sleep(ADDRESS_REUSE_DELAY_S)
         other = SERVICES[endpoint.service == SERVICES[0]]
         self._endpoints.start(other, endpoint.zone, endpoint.host)
 
@@ -329,7 +360,7 @@
         self._endpoints.start(SERVICES[int(fault.draw * 2)], zone)
 
     async def _configure(self, fault: Fault) -> None:
-        last = self._flips[-1].service
+        last = self._route_changes[-1].service
         self._publish(SERVICES[last == SERVICES[0]])
 
     async def _drain_zone(self, fault: Fault) -> None:
@@ -344,14 +375,14 @@
         await anyio.sleep(fault.for_s)
         for endpoint in self._endpoints.up:
             if endpoint.zone == zone:
-                self._endpoints.cool(endpoint)
+                self._endpoints.start_warmup(endpoint)
         drain.until = anyio.current_time()
         self._store.delete(f"op/evacuate/{zone}")
 
     async def _storm(self, fault: Fault) -> None:
         until = anyio.current_time() + fault.for_s
         while anyio.current_time() < until:
-            last = self._flips[-1].service
+            last = self._route_changes[-1].service
             self._publish(SERVICES[last == SERVICES[0]], STORM_ROUTES)
             await anyio.sleep(STORM_GAP_S)
 
@@ -362,10 +393,10 @@
     Kind.STOP: World._stop,
     Kind.RELOAD: World._reload,
     Kind.CUT: World._cut,
-    Kind.STORE: World._misbehave,
+    Kind.STORE: World._fail_store,
     Kind.COMPACT: World._compact,
     Kind.LAPSE: World._lapse,
-    Kind.LOSS: World._lose,
+    Kind.LOSS: World._lose_packets,
     Kind.CRASH: World._crash,
     Kind.HANG: World._hang,
     Kind.LEAVE: World._leave,
@@ -377,7 +408,7 @@
 }
 
 
-def play(plan: Plan) -> Result:
-    """Plays one run; its files are gone afterwards."""
+def run_plan(plan: Plan) -> Result:
+    """Executes one run; its files are deleted afterwards."""
     with tempfile.TemporaryDirectory(prefix="pollenmast-soak-") as folder:
         return anyio.run(World(plan, pathlib.Path(folder)).run)
--- a/soak/without.py
+++ b/soak/without.py
@@ -1,6 +1,6 @@
-"""The program of a VM without one of its protections: has the soak teeth?
+"""Runs a VM with one protection disabled, to prove that the soak detects it.
 
-`python -m soak.without NAME` runs a VM; each NAME takes one protection out.
+`python -m soak.without NAME` runs a VM; each NAME disables one protection.
 """
 
 import sys
@@ -14,7 +14,7 @@
 
 
 def _doubt_only() -> None:
-    """An endpoint that seems silent counts as dead without a check."""
+    """Treats an endpoint that seems silent as dead without checking it."""
 
     async def refused(self, endpoint, path, extra_s):
         return CheckResult.REFUSED
@@ -23,7 +23,7 @@
 
 
 def _no_draining() -> None:
-    """A leaving endpoint goes on taking new flows."""
+    """Lets draining endpoints get new flows."""
 
     def serving(self, service):
         return [r for r in self.records if r.endpoint.service == service]
@@ -32,13 +32,13 @@
 
 
 def _no_proof() -> None:
-    """A watch may be silent for ever, and nobody asks for himself."""
+    """Lets a watch stay silent forever, without a read of the VM's own."""
     _follow.WATCH_TIMEOUT_S = 60.0
     _follow.STALE_FRACTION = 1000.0
 
 
 def _no_epoch() -> None:
-    """Revisions of a restored store count as those of the one before."""
+    """Treats revisions of a restored store as those of the store before."""
     for module in (_first_read, _store):
         module.read_epoch = lambda headers: Ok(1)
 
--- a/tests/fleet_group.py
+++ b/tests/fleet_group.py
@@ -1,4 +1,4 @@
-"""VMs that follow one store and tell each other, without a network."""
+"""Test fixtures: VMs that follow one store and gossip, without a network."""
 
 import random
 
@@ -24,15 +24,15 @@
 
 STORE = "10.200.0.1"
 APPLY_S = 3.0
-ANSWER_S = 0.004
-"""How long the store takes to answer."""
+RESPONSE_TIME_S = 0.004
+"""The response time of the store in seconds."""
 
-START_S = 4.0
-"""After it each zone has readers, and all VMs know the same."""
+STARTUP_S = 4.0
+"""Seconds until each zone has readers and all VMs have the same state."""
 
 
 class _PeerConnection:
-    """Asks another VM without a network."""
+    """Sends requests to another VM in memory."""
 
     def __init__(self, site: HttpHandler | None):
         self._site = site
@@ -44,11 +44,11 @@
         return Ok(Response(answer.status, answer.body))
 
     async def aclose(self) -> None:
-        """Closes nothing."""
+        """Does nothing, as there is no real connection."""
 
 
-class _CutConnection:
-    """Asks the store, unless its VM is cut off from it."""
+class _StoreConnection:
+    """Sends requests to the store; they time out while the VM is cut off."""
 
     def __init__(self, store: store_group.Connection, cut_off, host: str):
         self._store = store
@@ -63,11 +63,11 @@
         return await self._store.get(target, patience, most)
 
     async def aclose(self) -> None:
-        """Closes nothing."""
+        """Does nothing, as there is no real connection."""
 
 
 class _MemoryGossip(Gossip):
-    """Reports that go through memory."""
+    """Gossip whose datagrams are delivered in memory."""
 
     def __init__(self, fleet: "Fleet", vm: "FleetVm", peers: PeerReader):
         super().__init__(
@@ -92,7 +92,7 @@
 
 
 class FleetVm:
-    """One VM's beliefs and what keeps them up to date."""
+    """The state of one VM and the components that keep it up to date."""
 
     def __init__(self, fleet: "Fleet", host: str, zone: str):
         self.host = host
@@ -132,14 +132,14 @@
 
 
 class Fleet:
-    """A store and its VMs.
+    """A store and the VMs that follow it.
 
     Attributes:
         store: The store.
         vms: The VMs by address.
-        seeds: Addresses of some of them.
-        cut_off: Addresses of VMs that the store does not answer.
-        deaf: Addresses of VMs that no report reaches.
+        seeds: The addresses of the seed nodes.
+        cut_off: Addresses of VMs that get no response from the store.
+        deaf: Addresses of VMs that receive no gossip.
     """
 
     def __init__(self, test: TestCase, zones: dict[str, int]):
@@ -159,7 +159,7 @@
             self.add(test, host, zone)
 
     def add(self, test: TestCase, host: str, zone: str) -> FleetVm:
-        """Adds a VM; the caller runs it if the others run already."""
+        """Adds a VM; if the fleet is running, the caller has to run the VM."""
         vm = self.vms[host] = FleetVm(self, host, zone)
         test.addCleanup(vm.gossip.close)
         return vm
@@ -168,45 +168,45 @@
         store, _, asker = host.partition(" ")
         if store == STORE:
             connection = store_group.Connection(self.store, self._link)
-            return _CutConnection(connection, self.cut_off, asker)
+            return _StoreConnection(connection, self.cut_off, asker)
         vm = self.vms.get(host)
         return _PeerConnection(vm.site if vm is not None else None)
 
     def lacking(self, holds) -> list[str]:
-        """Returns the VMs of which something does not hold."""
+        """Returns the addresses of VMs whose core does not meet a condition."""
         return [host for host, vm in self.vms.items() if not holds(vm.core)]
 
 
 class FleetCase(TestCase):
-    """A fleet of two zones, one larger than its number of readers."""
+    """A test case with two zones, one with more VMs than store readers."""
 
     def setUp(self):
-        """Makes a store with two endpoints, and the VMs."""
+        """Creates the VMs and a store with two endpoints."""
         super().setUp()
         self.fleet = Fleet(self, {"pos-frederick": 5, "pos-woodbrook": 3})
         self.store = self.fleet.store
-        self.store.delay_s = ANSWER_S
+        self.store.delay_s = RESPONSE_TIME_S
         self.publish(7)
         for number in (1, 2):
             self.announce(number)
 
     def publish(self, version: int) -> None:
-        """Writes a configuration."""
+        """Writes a configuration to the store."""
         entry = {**CONFIGURATION, "version": version}
         self.store.put("op/config", entry)
 
     def announce(self, number: int, **fields) -> None:
-        """Writes an endpoint's entry."""
+        """Writes an endpoint's entry to the store."""
         self.store.put(name_key(number), {**ENTRY, **fields})
 
     def play(self, script) -> None:
-        """Lets the fleet start, and runs a script beside it."""
+        """Starts the fleet and runs a script against it with a mock clock."""
 
         async def main() -> None:
             async with anyio.create_task_group() as tasks:
                 for vm in self.fleet.vms.values():
                     tasks.start_soon(vm.run)
-                await anyio.sleep(START_S)
+                await anyio.sleep(STARTUP_S)
                 await script(tasks)
                 tasks.cancel_scope.cancel()
 
--- a/tests/fleet_process_test.py
+++ b/tests/fleet_process_test.py
@@ -1,7 +1,7 @@
-"""Tests of a small fleet of real processes and sockets, under failure.
+"""Failure tests of a small fleet of real processes and sockets.
 
-No verdict rests on how long something took: callers are judged by what they
-received and upstreams by what they ran.
+No assertion depends on how long something took: the tests check what callers
+received and what upstreams executed.
 """
 
 import pathlib
@@ -18,15 +18,15 @@
 _SESSIONS = 30
 _IMAGES_PER_S = 5.0
 _RAMP_S = 1.0
-_WHILE_S = 3.0
+_STEP_S = 3.0
 _DEADLINE_S = 40.0
-_FROZEN_S = 4.0
-_DRAIN = {"relay": {"drain_quiet_s": "5"}}
+_FREEZE_S = 4.0
+_DRAIN_SETTINGS = {"relay": {"drain_quiet_s": "5"}}
 
 
-async def _play(script) -> Outcome:
+async def _run_fleet(script) -> Outcome:
     with tempfile.TemporaryDirectory(prefix="pollenmast-test-") as folder:
-        world = World(pathlib.Path(folder), overrides=_DRAIN)
+        world = World(pathlib.Path(folder), overrides=_DRAIN_SETTINGS)
         async with world.running(_VMS):
             world.start_callers(
                 "publishers",
@@ -44,17 +44,17 @@
                 rate=_IMAGES_PER_S,
                 deadline_s=_DEADLINE_S,
             )
-            await anyio.sleep(_RAMP_S + _WHILE_S)
+            await anyio.sleep(_RAMP_S + _STEP_S)
             await script(world)
-            await anyio.sleep(_WHILE_S)
+            await anyio.sleep(_STEP_S)
             return await world.end_callers()
 
 
 class FleetTest(TestCase):
     """What callers receive while processes of the fleet fail."""
 
-    def _judge(self, script, unplanned: bool = False) -> Outcome:
-        outcome = anyio.run(_play, script)
+    def _run_and_check(self, script, unplanned: bool = False) -> Outcome:
+        outcome = anyio.run(_run_fleet, script)
         promised = outcome.ledger.promised
         after = outcome.ledger.after_loss
         self.assertGreater(promised.answered + after.answered, _SESSIONS)
@@ -65,54 +65,54 @@
         return outcome
 
     def test_graceful_replacement(self):
-        """A VM is replaced in order; its sessions go on by the others."""
+        """Sessions of a VM that is replaced gracefully go on through others."""
 
         async def script(world: World) -> None:
             await world.replace(1, 4, within_s=60.0)
 
-        self._judge(script)
+        self._run_and_check(script)
 
     def test_relay_killed(self):
-        """A relay crashes while its agent lives on.
-
-        The platform lists VMs and not programs, so the fabric went on handing
-        this one a third of all datagrams, and nobody read them. An image of
-        which every repeat of one packet went there was lost, 15 s after a
-        handshake of 0.2 s; in the fabric's trace all eight datagrams of its
-        request have that VM's address. Now the agent finds its link closed,
-        tells the fleet, and passes on what comes to the relay's ports. What
-        was never excused stays at zero.
+        """The agent forwards datagrams for a relay that has crashed.
+
+        The platform lists VMs and not programs, so the fabric goes on
+        delivering a third of all datagrams to the VM. Without a reader there,
+        an image was lost 15 s after a handshake of 0.2 s, because all eight
+        datagrams of its request, retransmissions included, went to that VM. The
+        agent has to detect the closed link, notify the fleet and forward what
+        arrives on the relay's ports. Faults that are never excused stay at
+        zero.
         """
 
         async def script(world: World) -> None:
             world.mark_loss()
             world.vms[2].programs["relay"].signal(signal.SIGKILL)
-            await anyio.sleep(2 * _WHILE_S)
+            await anyio.sleep(2 * _STEP_S)
 
-        self._judge(script, unplanned=True)
+        self._run_and_check(script, unplanned=True)
 
     def test_relay_frozen(self):
-        """A relay stands still for some seconds and wakes with old beliefs.
+        """A relay that was frozen for some seconds resumes with stale state.
 
-        Others have taken its flows over meanwhile. It must run nothing twice
-        and lead no caller astray.
+        Other relays have taken over its flows meanwhile. It must not execute
+        anything twice nor misdirect callers.
         """
 
         async def script(world: World) -> None:
             world.mark_loss()
             relay = world.vms[2].programs["relay"]
             relay.signal(signal.SIGSTOP)
-            await anyio.sleep(_FROZEN_S)
+            await anyio.sleep(_FREEZE_S)
             relay.signal(signal.SIGCONT)
-            await anyio.sleep(_WHILE_S)
+            await anyio.sleep(_STEP_S)
 
-        self._judge(script, unplanned=True)
+        self._run_and_check(script, unplanned=True)
 
     def test_platform_outage(self):
-        """The platform is down, and a VM is replaced meanwhile.
+        """A VM is replaced during an outage of the platform.
 
-        The new VM takes manifest and members from its peers; callers notice
-        nothing.
+        The new VM gets the manifest and the members from its peers; callers are
+        not affected.
         """
 
         async def script(world: World) -> None:
@@ -120,13 +120,13 @@
             await world.replace(3, 4, within_s=60.0)
             await world.around.platform_fault("ok")
 
-        self._judge(script)
+        self._run_and_check(script)
 
     def test_stale_platform(self):
-        """The platform forgets a manifest that the fleet has accepted.
+        """The platform loses a manifest that the fleet has accepted.
 
-        It serves an older one again, as after a restore. No VM goes back, a
-        new one included.
+        It serves an older manifest again, as after a restore. No VM may return
+        to the older one, and neither may a new VM adopt it.
         """
 
         async def script(world: World) -> None:
@@ -140,4 +140,4 @@
             ]
             self.assertEqual([2] * _VMS, versions)
 
-        self._judge(script)
+        self._run_and_check(script)
--- a/tests/soak_test.py
+++ b/tests/soak_test.py
@@ -1,62 +1,62 @@
-"""A short soak: real programs, faults from outside, and the promises."""
+"""Tests of the soak of VMs and endpoints, and short runs of it."""
 
 from parameterized import parameterized
 from testtools import TestCase
 
 from soak._schedule import (
-    FIRST_LATER_SEED,
     FIRST_RESTORE_SEED,
-    FIRST_S,
-    LAST_S,
+    FIRST_STORM_SEED,
+    QUIET_END_S,
+    QUIET_START_S,
     Kind,
-    kinds_of,
+    kinds_for_seed,
     schedule,
 )
-from soak._world import Plan, play
-from tests.soak_seeds import kept
+from soak._world import Plan, run_plan
+from tests.soak_seeds import load_seeds
 
 
 class ScheduleTest(TestCase):
-    """A seed decides a run."""
+    """The schedule of faults that is drawn from a seed."""
 
-    def test_repeats(self):
-        """The same seed draws the same faults, another one others."""
+    def test_same_seed_same_faults(self):
+        """A seed always draws the same faults; another seed draws others."""
         self.assertEqual(schedule(7, 30.0), schedule(7, 30.0))
         self.assertNotEqual(schedule(7, 30.0), schedule(8, 30.0))
 
-    def test_bounds(self):
-        """Faults leave the start and the end of a run alone."""
+    def test_quiet_start_and_end(self):
+        """No fault falls into the quiet start or end of a run."""
         for seed in range(50):
             for fault in schedule(seed, 30.0):
-                self.assertGreaterEqual(fault.at, FIRST_S)
-                self.assertLessEqual(fault.at + fault.for_s, 30.0 - LAST_S)
+                self.assertGreaterEqual(fault.at, QUIET_START_S)
+                self.assertLessEqual(fault.at + fault.for_s, 30.0 - QUIET_END_S)
 
     @parameterized.expand(
         [
             ("first", 0, {Kind.DRAIN_ZONE, Kind.STORM, Kind.RESTORE}),
-            ("later", FIRST_LATER_SEED, {Kind.RESTORE}),
+            ("later", FIRST_STORM_SEED, {Kind.RESTORE}),
             ("restore", FIRST_RESTORE_SEED, set()),
         ]
     )
-    def test_every_kind(self, _, first, without):
-        """Each kind of fault comes up within a few dozen seeds."""
+    def test_draws_every_kind(self, _, first, without):
+        """Each kind of fault is drawn within a few dozen seeds."""
         expected = set(Kind) - without
-        self.assertEqual(expected, set(kinds_of(first)))
+        self.assertEqual(expected, set(kinds_for_seed(first)))
         seeds = range(first, first + 50)
         drawn = {f.kind for seed in seeds for f in schedule(seed, 30.0)}
         self.assertEqual(expected, drawn)
 
 
 class SoakTest(TestCase):
-    """VMs and endpoints fail in series and at once; callers keep asking.
+    """VMs and endpoints fail in series and at once while clients send requests.
 
-    A caller notices a broken promise as an answer that is another's, a
-    request run twice or by the wrong service, or a session cut for nothing.
+    A violation is a response that belongs to another request, a request that is
+    executed twice or by the wrong service, or a session reset without cause.
     """
 
-    @parameterized.expand(kept("soak_seeds.txt"))
+    @parameterized.expand(load_seeds("soak_seeds.txt"))
     def test_kept_seed(self, _, seed):
-        """Each seed that once showed a fault, and one that did not."""
-        result = play(Plan(seed))
-        self.assertEqual([], result.broken)
+        """Runs each seed that once found a fault, and one that did not."""
+        result = run_plan(Plan(seed))
+        self.assertEqual([], result.violations)
         self.assertGreater(result.answered, 0)
--- a/tests/store_group.py
+++ b/tests/store_group.py
@@ -108,8 +108,8 @@
         Args:
             script: An async function, called with the VM's steering core and
                 its follower.
-            on_change: Called when an update arrives, if the VM leaves watching the
-                store to other VMs; None if it watches the store itself.
+            on_change: Called when an update arrives, if the VM leaves watching
+                the store to other VMs; None if it watches the store itself.
             known: Whether the VM has just read the whole store.
         """
         core = group.steering(epoch=self.store.epoch)
