--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -32,9 +32,9 @@
         result = run_plan(Plan(seed, seconds, vms, module=module))
         summary = f"{result.answered} of {result.requests} answered"
         print(f"seed {seed}: {result.faults} faults, {summary}", flush=True)
-        for each in result.violations:
+        for each in result.broken:
             print(f"  broken: {each}", flush=True)
-        if result.violations:
+        if result.broken:
             failed_runs += 1
             for fault in schedule(seed, seconds):
                 print(f"    {fault.at:6.2f} s {fault.kind.value} {fault}")
--- a/soak/_plan.py
+++ b/soak/_plan.py
@@ -30,10 +30,10 @@
         requests: The number of requests sent.
         answered: The number of requests that got a response.
         faults: The number of faults injected.
-        violations: A description of each invariant violation.
+        broken: A description of each invariant violation.
     """
 
     requests: int
     answered: int
     faults: int
-    violations: list[str]
+    broken: list[str]
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -50,13 +50,13 @@
         faults: The number of faults, without the one left in place at the end.
         flows: The number of flows opened after everything else was restored.
         answered: The number of requests answered in the whole run.
-        violations: A description of each invariant violation.
+        broken: A description of each invariant violation.
     """
 
     faults: int
     flows: int = 0
     answered: int = 0
-    violations: list[str] = attrs.field(factory=list)
+    broken: list[str] = attrs.field(factory=list)
 
 
 class _Run:
@@ -129,7 +129,7 @@
         unread = await self._world.unread(1, UNREAD_WINDOW_S)
         without_relay = "relay" in _programs.PROGRAMS_BY_KIND[self._last]
         if without_relay and unread.passed_on < unread.handed:
-            self.result.violations.append(f"packets went unread: {unread}")
+            self.result.broken.append(f"packets went unread: {unread}")
 
     async def _stop(self, vm: fleet.Vm, programs: tuple[str, ...]) -> None:
         """Stops programs with SIGTERM; they exit with 0 unless disturbed.
@@ -144,7 +144,7 @@
         for process in stopped:
             ended = await process.ended(STOP_TIMEOUT_S)
             if not ended and process not in self._signalled:
-                self.result.violations.append(f"{process.name} did not end")
+                self.result.broken.append(f"{process.name} did not end")
             # A process that another fault froze must end too, because only
             # processes that have ended are restarted.
             process.signal(signal.SIGKILL)
@@ -164,14 +164,14 @@
             try:
                 await self._world.until_ready(number)
             except WorldError as error:
-                self.result.violations.append(str(error))
+                self.result.broken.append(str(error))
 
     def _check(self, outcome: Outcome, calm_from: float) -> None:
         ledger = outcome.ledger
         for part in (ledger.promised, ledger.after_loss):
             self.result.answered += part.answered
             if part.never_excused():
-                self.result.violations.append(f"never excused: {part}")
+                self.result.broken.append(f"never excused: {part}")
         for result in outcome.results:
             for flow in result.flows:
                 self._check_flow(flow, calm_from)
@@ -184,7 +184,7 @@
                 and process.exit_code == EXIT_ABORTED
             )
             if not cut:
-                self.result.violations.append(
+                self.result.broken.append(
                     f"{process.name} ended with {process.exit_code}"
                 )
 
@@ -193,14 +193,14 @@
             return
         self.result.flows += 1
         if flow.fate in _LOST_FATES:
-            self.result.violations.append(f"lost {flow}")
+            self.result.broken.append(f"lost {flow}")
 
     def _check_request(
         self, request: _records.RequestRecord, calm_from: float
     ) -> None:
         late = request.flow_opened >= calm_from
         if late and request.outcome not in _ANSWERED_OUTCOMES:
-            self.result.violations.append(f"lost {request}")
+            self.result.broken.append(f"lost {request}")
 
 
 def run_seed(
@@ -234,9 +234,9 @@
         with tempfile.TemporaryDirectory(prefix="pollenmast-soak-") as name:
             folder = pathlib.Path(name)
             result = run_seed(seed, folder, vms, seconds)
-            if result.violations and keep is not None:
+            if result.broken and keep is not None:
                 shutil.copytree(folder, keep / str(seed), dirs_exist_ok=True)
-        failed_runs += bool(result.violations)
+        failed_runs += bool(result.broken)
         _print_result(seed, seconds, result)
     print(f"{seeds} runs, {failed_runs} with a broken promise")
     raise typer.Exit(1 if failed_runs else 0)
@@ -248,9 +248,9 @@
         f" {result.flows} flows in the end, with {lasting_fault(seed).name}",
         flush=True,
     )
-    for each in result.violations:
+    for each in result.broken:
         print(f"  broken: {each}", flush=True)
-    if result.violations:
+    if result.broken:
         for fault in schedule(seed, seconds):
             print(f"    {fault.at:6.2f} s {fault}", flush=True)
 
--- a/tests/soak_fleet_test.py
+++ b/tests/soak_fleet_test.py
@@ -59,5 +59,5 @@
         """Runs each seed that once found a fault, and one that did not."""
         with tempfile.TemporaryDirectory(prefix="pollenmast-soak-") as folder:
             result = fleet.run_seed(seed, pathlib.Path(folder), _VMS, _SECONDS)
-        self.assertEqual([], result.violations)
+        self.assertEqual([], result.broken)
         self.assertGreater(result.flows, 0)
--- a/tests/soak_test.py
+++ b/tests/soak_test.py
@@ -58,5 +58,5 @@
     def test_kept_seed(self, _, seed):
         """Runs each seed that once found a fault, and one that did not."""
         result = run_plan(Plan(seed))
-        self.assertEqual([], result.violations)
+        self.assertEqual([], result.broken)
         self.assertGreater(result.answered, 0)
