--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -20,7 +20,7 @@
 from pollenmast.peers._envelope import Opener, Sealer
 from pollenmast.peers._kinds import Kind
 from pollenmast.peers._records import endpoint_id
-from pollenmast.relay._custody import Custody
+from pollenmast.relay._custody import RecordExchange
 from pollenmast.relay._directory import Directory
 from pollenmast.relay._endpoint_loads import EndpointLoads
 from pollenmast.relay._flows import TICKS_PER_S, Flow, FlowState, Listener
@@ -67,7 +67,7 @@
         )
         age_s = settings.relay.replicate_after_s
         budget = settings.relay.replication_bytes_per_s
-        self._custody = Custody(
+        self._record_exchange = RecordExchange(
             self._fleet, self, peer_sender, budget, self.counters
         )
         self._directory = Directory(
@@ -76,7 +76,7 @@
         self._routing = Routing(
             self._fleet,
             self,
-            self._custody,
+            self._record_exchange,
             self._directory,
             peer_sender,
             self.counters,
@@ -85,7 +85,7 @@
             settings.relay,
             self._table,
             self._fleet,
-            self._custody,
+            self._record_exchange,
             self._dispatcher,
             self.counters,
         )
@@ -101,8 +101,8 @@
             Kind.FOUND: self._routing.on_found,
             Kind.NOT_FOUND: self._routing.on_not_found,
             Kind.CONNECTION_IDS: self._directory.on_entries,
-            Kind.RECORDS: self._custody.on_records,
-            Kind.RECORDS_TAKEN: self._custody.on_records_acknowledged,
+            Kind.RECORDS: self._record_exchange.on_records,
+            Kind.RECORDS_TAKEN: self._record_exchange.on_records_acknowledged,
         }
 
     @property
@@ -116,9 +116,9 @@
         return self._fleet
 
     @property
-    def custody(self) -> Custody:
+    def record_exchange(self) -> RecordExchange:
         """The flow records exchanged with other relays."""
-        return self._custody
+        return self._record_exchange
 
     @property
     def directory(self) -> Directory:
@@ -140,7 +140,7 @@
         return (
             self._draining
             and self._table.flows == 0
-            and self._custody.outbox.idle
+            and self._record_exchange.outbox.idle
         )
 
     # Datagrams from callers.
@@ -243,10 +243,10 @@
             self._openings.on_answered(flow, now)
             self._directory.read_connection_id(flow, data)
         elif flow.state in (FlowState.ADOPTED, FlowState.GUESSED):
-            self._custody.release_previous_relay(flow)
+            self._record_exchange.release_previous_relay(flow)
         if flow.state is not FlowState.MOVED:
             flow.state = FlowState.CARRIED
-            self._custody.replicate_to_owner(flow)
+            self._record_exchange.replicate_to_owner(flow)
 
     def on_peer(self, data: bytes, now: float) -> None:
         """Handles a sealed envelope from another relay."""
@@ -261,7 +261,7 @@
             return
         handler(envelope, now)
 
-    # The interface used by routing, custody and directory.
+    # The interface used by routing, record exchange and directory.
 
     def open(self, datagram: IncomingDatagram, now: float) -> None:
         """Places, holds or refuses a new flow."""
@@ -397,7 +397,7 @@
         self.tick_now = int(now * TICKS_PER_S)
         self._openings.tick(now)
         self._upkeep.tick(now, self.tick_now)
-        self._custody.tick(now, urgent=self._draining)
+        self._record_exchange.tick(now, urgent=self._draining)
         self._directory.tick(self.tick_now)
 
     def report(self, now: float) -> messages.RelayReport:
@@ -411,7 +411,7 @@
             drained=self.drained(),
             flows=self._table.flows - self._table.moved,
             held=self._openings.held,
-            replicas=len(self._custody.replicas),
+            replicas=len(self._record_exchange.replicas),
             counters=tuple(
                 messages.CounterValue(*item) for item in self.counters.items()
             ),
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -26,7 +26,7 @@
 """
 
 
-class Custody:
+class RecordExchange:
     """The flow records that this relay stores, sends and takes over."""
 
     def __init__(
--- a/src/pollenmast/relay/_forwarder.py
+++ b/src/pollenmast/relay/_forwarder.py
@@ -1,4 +1,4 @@
-"""The interface of the relay core that routing and custody depend on."""
+"""The interface of the relay core used by routing and record exchange."""
 
 import abc
 
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -25,7 +25,7 @@
     unpack_forwarded,
     unpack_found,
 )
-from pollenmast.relay._custody import Custody
+from pollenmast.relay._custody import RecordExchange
 from pollenmast.relay._directory import Directory
 from pollenmast.relay._forwarder import FlowForwarder, IncomingDatagram
 from pollenmast.relay._peer_sender import PeerSender
@@ -65,14 +65,14 @@
         self,
         fleet: Fleet,
         forwarder: FlowForwarder,
-        custody: Custody,
+        record_exchange: RecordExchange,
         directory: Directory,
         peer_sender: PeerSender,
         counters: c.Counters,
     ):
         self._fleet = fleet
         self._forwarder = forwarder
-        self._custody = custody
+        self._record_exchange = record_exchange
         self._directory = directory
         self._query_budget = TokenBucket(QUERIES_PER_S, QUERIES_PER_S)
         self._peer_sender = peer_sender
@@ -80,7 +80,7 @@
 
     def route(self, datagram: IncomingDatagram, now: float) -> None:
         """Sends a datagram to its flow's relay, or handles it here."""
-        replica = self._custody.replicas.find(
+        replica = self._record_exchange.replicas.find(
             datagram.listener.service.port, datagram.caller
         )
         if replica is not None and self._route_by_replica(
@@ -149,7 +149,7 @@
         if flow is None:
             return False
         port = datagram.listener.service.port
-        self._custody.replicas.drop(port, datagram.caller)
+        self._record_exchange.replicas.drop(port, datagram.caller)
         self._forwarder.forward_to_upstream(flow, datagram.data, now)
         return True
 
@@ -214,9 +214,11 @@
         flow = listener.flows.get(caller) if listener else None
         if flow is not None:
             self._forwarder.forward_to_upstream(flow, forwarded.data, now)
-            self._custody.replicate_to_asker(flow, forwarded.asker)
+            self._record_exchange.replicate_to_asker(flow, forwarded.asker)
             return
-        replica = self._custody.replicas.find(forwarded.service_port, caller)
+        replica = self._record_exchange.replicas.find(
+            forwarded.service_port, caller
+        )
         if replica is not None:
             self._answer_from_replica(replica, forwarded)
             return
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -16,7 +16,7 @@
     is_silent,
 )
 from pollenmast.decisions._token_bucket import TokenBucket
-from pollenmast.relay._custody import Custody
+from pollenmast.relay._custody import RecordExchange
 from pollenmast.relay._flows import TICKS_PER_S, Flow, FlowState
 from pollenmast.relay._table import FlowTable
 from pollenmast.settings import RelaySettings
@@ -60,14 +60,14 @@
         settings: RelaySettings,
         table: FlowTable,
         fleet: Fleet,
-        custody: Custody,
+        record_exchange: RecordExchange,
         dispatcher: Dispatcher,
         counters: c.Counters,
     ):
         self._settings = settings
         self._table = table
         self._fleet = fleet
-        self._custody = custody
+        self._record_exchange = record_exchange
         self._dispatcher = dispatcher
         self._counters = counters
         self._repath_budget = TokenBucket(PER_SECOND, BURST)
@@ -162,7 +162,7 @@
 
     def _end(self, flow: Flow, now: float) -> None:
         if flow.state is not FlowState.MOVED:
-            self._custody.delete_record(flow)
+            self._record_exchange.delete_record(flow)
             self._dispatcher.on_flow_ended(
                 flow.target.service, flow.target.name, now
             )
@@ -183,7 +183,7 @@
     def _hand_over(self, flow: Flow) -> None:
         owner = self._fleet.owner(flow.key)
         if owner is not None and owner.number != self._fleet.me.number:
-            self._custody.hand_over(flow, owner.number)
+            self._record_exchange.hand_over(flow, owner.number)
 
     def _update_off_default(self, flow: Flow) -> None:
         # A VM that does not know the flow sees only its port, which may belong
@@ -208,7 +208,7 @@
             return
         backup = self._fleet.backup(key)
         if backup != flow.backup:
-            self._custody.replicate(flow, backup)
+            self._record_exchange.replicate(flow, backup)
 
     def _endpoint_answers_others(self, flow: Flow, tick: int) -> bool:
         """Returns whether the endpoint answered other flows after this one."""
--- a/tests/proof/_callers.py
+++ b/tests/proof/_callers.py
@@ -122,7 +122,7 @@
             sizes = {
                 "flows": core.table.flows - 2 * most,
                 "openings": len(core.openings) - most,
-                "replicas": len(core.custody.replicas) - 2 * most,
+                "replicas": len(core.record_exchange.replicas) - 2 * most,
             }
             over = [name for name, size in sizes.items() if size > 0]
             if over:
--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -13,7 +13,7 @@
 from pollenmast.peers import _envelope
 from pollenmast.relay import _core, _upkeep
 from pollenmast.relay._core import RelayCore
-from pollenmast.relay._custody import Custody
+from pollenmast.relay._custody import RecordExchange
 from pollenmast.relay._directory import Directory
 from pollenmast.relay._flows import FlowState
 from pollenmast.relay._openings import Openings
@@ -113,9 +113,11 @@
         "no-records",
         Invariant.SURVIVES,
         "flows off their default are replicated to another VM",
-        "`Custody.replicate` does nothing, and no connection id is looked up",
+        "`RecordExchange.replicate` does nothing, and no connection id is"
+        " looked up",
         lambda: _both(
-            mock.patch.object(Custody, "replicate", _nothing), _no_search()
+            mock.patch.object(RecordExchange, "replicate", _nothing),
+            _no_search(),
         ),
         scenarios.kill_after_drain,
     ),
@@ -240,8 +242,8 @@
         "no-hand-over",
         Invariant.GRACEFUL,
         "a leaving relay hands its flows to their owners",
-        "`Custody.hand_over` does nothing",
-        _attribute(Custody, "hand_over", _nothing),
+        "`RecordExchange.hand_over` does nothing",
+        _attribute(RecordExchange, "hand_over", _nothing),
         scenarios.planned_stop_to_the_end,
     ),
     Mutation(
--- a/tests/proof/_scenarios.py
+++ b/tests/proof/_scenarios.py
@@ -109,7 +109,7 @@
     """Kills a VM after all replicas of flow records were dropped."""
     world = machine.world
     for node in world.nodes.values():
-        replicas = node.core.custody.replicas
+        replicas = node.core.record_exchange.replicas
         replicas.drop_holders(replicas.holders())
     machine.kill(which=0)
     machine.wait(seconds=3.0)
@@ -277,7 +277,7 @@
         forged = genuine[:place] + bent + genuine[place + 1 :]
         core.on_peer(forged, machine.world.now)
         core.on_peer(genuine[:place], machine.world.now)
-    if len(core.custody.replicas):
+    if len(core.record_exchange.replicas):
         raise ViolationError(Invariant.AUTHENTIC, "a forged record was kept")
 
 
@@ -293,7 +293,7 @@
     keep, forget = [sealer.seal(Kind.RECORDS, body) for body in bodies]
     for data in (keep, forget, keep):
         core.on_peer(data, now)
-    if len(core.custody.replicas):
+    if len(core.record_exchange.replicas):
         raise ViolationError(Invariant.AUTHENTIC, "a replayed record was kept")
 
 
--- a/tests/relay_custody_test.py
+++ b/tests/relay_custody_test.py
@@ -236,7 +236,9 @@
         net.silent_upstreams.update(t.address for t in owner.table.targets)
         owner.guess(datagram, net.now)
         flow = net.relays[holder].table.listener(REGISTRY).flows[caller]
-        net.relays[holder].custody.replicate(flow, owner.fleet.me.number)
+        net.relays[holder].record_exchange.replicate(
+            flow, owner.fleet.me.number
+        )
         net.advance(1.0)
         self.assertEqual([holder], net.holders(tag))
 
--- a/tests/relay_routing_test.py
+++ b/tests/relay_routing_test.py
@@ -182,7 +182,7 @@
         body = b"\0\0\0\1" + pack_records([record])
         data = Sealer("vm-2", bytes(32)).seal(Kind.RECORDS, body)
         net.relays[1].on_peer(data, net.now)
-        self.assertEqual(0, len(net.relays[1].custody.replicas))
+        self.assertEqual(0, len(net.relays[1].record_exchange.replicas))
         faults = c.EnvelopeFault
         self.assertEqual(1, net.dropped(c.ENVELOPE_FAULTS, faults.UNKNOWN_KEY))
 
@@ -221,4 +221,4 @@
         for kind in Kind:
             net.relays[1].on_peer(sealer.seal(kind, b"\xff" * 50), net.now)
         self.assertEqual(0, net.relays[1].table.flows)
-        self.assertEqual(0, len(net.relays[1].custody.replicas))
+        self.assertEqual(0, len(net.relays[1].record_exchange.replicas))
