--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -21,7 +21,7 @@
 from pollenmast.peers._kinds import Kind
 from pollenmast.peers._records import endpoint_id
 from pollenmast.relay._custody import RecordExchange
-from pollenmast.relay._directory import Directory
+from pollenmast.relay._directory import ConnectionIdDirectory
 from pollenmast.relay._endpoint_loads import EndpointLoads
 from pollenmast.relay._flows import TICKS_PER_S, Flow, FlowState, Listener
 from pollenmast.relay._forwarder import FlowForwarder, IncomingDatagram
@@ -70,14 +70,14 @@
         self._record_exchange = RecordExchange(
             self._fleet, self, peer_sender, budget, self.counters
         )
-        self._directory = Directory(
+        self._connection_ids = ConnectionIdDirectory(
             self._fleet, self, peer_sender, age_s, self.counters
         )
         self._routing = Routing(
             self._fleet,
             self,
             self._record_exchange,
-            self._directory,
+            self._connection_ids,
             peer_sender,
             self.counters,
         )
@@ -100,7 +100,7 @@
             Kind.FIND: self._routing.on_find,
             Kind.FOUND: self._routing.on_found,
             Kind.NOT_FOUND: self._routing.on_not_found,
-            Kind.CONNECTION_IDS: self._directory.on_entries,
+            Kind.CONNECTION_IDS: self._connection_ids.on_entries,
             Kind.RECORDS: self._record_exchange.on_records,
             Kind.RECORDS_TAKEN: self._record_exchange.on_records_acknowledged,
         }
@@ -121,9 +121,9 @@
         return self._record_exchange
 
     @property
-    def directory(self) -> Directory:
+    def connection_ids(self) -> ConnectionIdDirectory:
         """The connection ids stored on this VM."""
-        return self._directory
+        return self._connection_ids
 
     @property
     def openings(self) -> Openings:
@@ -241,7 +241,7 @@
         """Handles the first datagram from the upstream on this path."""
         if flow.state is FlowState.OPENING:
             self._openings.on_answered(flow, now)
-            self._directory.read_connection_id(flow, data)
+            self._connection_ids.read_connection_id(flow, data)
         elif flow.state in (FlowState.ADOPTED, FlowState.GUESSED):
             self._record_exchange.release_previous_relay(flow)
         if flow.state is not FlowState.MOVED:
@@ -347,7 +347,7 @@
         Late answers on the old path are still forwarded to the caller.
         """
         target = flow.target
-        self._directory.publish(flow)
+        self._connection_ids.publish(flow)
         self._dispatcher.on_flow_ended(target.service, target.name, now)
         self._table.let_go(flow)
         flow.heard = self.tick_now
@@ -389,7 +389,7 @@
         if not self._draining:
             self._draining = True
             self._upkeep.drain()
-            self._directory.drain()
+            self._connection_ids.drain()
 
     def tick(self, now: float) -> None:
         """Runs all timed work; called every 20 ms."""
@@ -398,7 +398,7 @@
         self._openings.tick(now)
         self._upkeep.tick(now, self.tick_now)
         self._record_exchange.tick(now, urgent=self._draining)
-        self._directory.tick(self.tick_now)
+        self._connection_ids.tick(self.tick_now)
 
     def report(self, now: float) -> messages.RelayReport:
         """Returns the report that is sent to the agent twice a second."""
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -67,7 +67,7 @@
 _CID = struct.Struct("!Q")
 
 
-class Directory:
+class ConnectionIdDirectory:
     """The connection ids stored on this VM, and the lookup of others."""
 
     def __init__(
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -26,7 +26,7 @@
     unpack_found,
 )
 from pollenmast.relay._custody import RecordExchange
-from pollenmast.relay._directory import Directory
+from pollenmast.relay._directory import ConnectionIdDirectory
 from pollenmast.relay._forwarder import FlowForwarder, IncomingDatagram
 from pollenmast.relay._peer_sender import PeerSender
 from pollenmast.relay._replicas import Replica
@@ -66,14 +66,14 @@
         fleet: Fleet,
         forwarder: FlowForwarder,
         record_exchange: RecordExchange,
-        directory: Directory,
+        connection_ids: ConnectionIdDirectory,
         peer_sender: PeerSender,
         counters: c.Counters,
     ):
         self._fleet = fleet
         self._forwarder = forwarder
         self._record_exchange = record_exchange
-        self._directory = directory
+        self._connection_ids = connection_ids
         self._query_budget = TokenBucket(QUERIES_PER_S, QUERIES_PER_S)
         self._peer_sender = peer_sender
         self._counters = counters
@@ -182,7 +182,7 @@
         """Handles a flow known to no VM, being new or lost with its holder."""
         if datagram.is_initial:
             self._forwarder.open(datagram, now)
-        elif not self._directory.search(datagram, now):
+        elif not self._connection_ids.search(datagram, now):
             self._forwarder.guess(datagram, now)
 
     def _forward(
@@ -258,7 +258,7 @@
         del now
         forwarded = self._unpack(opened)
         if forwarded is not None:
-            self._directory.answer_query(forwarded)
+            self._connection_ids.answer_query(forwarded)
 
     def on_found(self, opened: Opened, now: float) -> None:
         """Forwards a datagram whose endpoint another VM has found."""
--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -14,7 +14,7 @@
 from pollenmast.relay import _core, _upkeep
 from pollenmast.relay._core import RelayCore
 from pollenmast.relay._custody import RecordExchange
-from pollenmast.relay._directory import Directory
+from pollenmast.relay._directory import ConnectionIdDirectory
 from pollenmast.relay._flows import FlowState
 from pollenmast.relay._openings import Openings
 from pollenmast.relay._routing import Routing
@@ -93,7 +93,7 @@
 
 def _no_search():
     return mock.patch.object(
-        Directory, "search", lambda self, arrival, now: False
+        ConnectionIdDirectory, "search", lambda self, arrival, now: False
     )
 
 
@@ -125,7 +125,7 @@
         "no-directory",
         Invariant.SURVIVES,
         "two VMs keep the connection id that a session's endpoint chose",
-        "`Directory.search` finds nothing",
+        "`ConnectionIdDirectory.search` finds nothing",
         _no_search,
         scenarios.caller_moves,
     ),
--- a/tests/relay_directory_test.py
+++ b/tests/relay_directory_test.py
@@ -61,7 +61,7 @@
         net.declare_leaving(2)
         net.keep_alive(CALLERS, 3.0)
         net.kill(2)
-        kept = sum(len(core.directory) for core in net.relays.values())
+        kept = sum(len(core.connection_ids) for core in net.relays.values())
         self.assertEqual(2 * len(CALLERS), kept)
 
     def test_unknown_id(self):
