--- a/bench/_capacity_relay.py
+++ b/bench/_capacity_relay.py
@@ -65,10 +65,10 @@
         start = time.process_time()
         for _ in range(_UPKEEP_TICKS):
             now += 0.02
-            core._upkeep._checks = False
-            core._upkeep._changes_seen = core.fleet.changes
-            core._upkeep._new_defaults = False
-            core._upkeep.tick(now, int(now * 10))
+            core._maintenance._checks = False
+            core._maintenance._changes_seen = core.fleet.changes
+            core._maintenance._new_defaults = False
+            core._maintenance.tick(now, int(now * 10))
         spent = time.process_time() - start
         points.append((size, spent / (_UPKEEP_TICKS * 0.02) * 100))
     return Slope(
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -31,7 +31,7 @@
 from pollenmast.relay._readiness import Readiness
 from pollenmast.relay._routing import Routing
 from pollenmast.relay._table import FlowTable, Wire
-from pollenmast.relay._upkeep import Upkeep
+from pollenmast.relay._upkeep import FlowMaintenance
 from pollenmast.settings import Settings
 
 DRAINING_RETRY_AFTER_MS = 500
@@ -81,7 +81,7 @@
             peer_sender,
             self.counters,
         )
-        self._upkeep = Upkeep(
+        self._maintenance = FlowMaintenance(
             settings.relay,
             self._table,
             self._fleet,
@@ -380,7 +380,7 @@
             return
         self._manifest = manifest
         self._dispatcher.set_manifest(manifest, now)
-        self._upkeep.on_manifest()
+        self._maintenance.on_manifest()
         self.counters.add(c.MANIFESTS, c.ManifestOutcome.ACCEPTED)
         self._table.set_manifest(manifest, now)
 
@@ -388,7 +388,7 @@
         """Starts a drain: opens no new flows and hands over all others."""
         if not self._draining:
             self._draining = True
-            self._upkeep.drain()
+            self._maintenance.drain()
             self._connection_ids.drain()
 
     def tick(self, now: float) -> None:
@@ -396,7 +396,7 @@
         self._readiness.on_tick(now)
         self.tick_now = int(now * TICKS_PER_S)
         self._openings.tick(now)
-        self._upkeep.tick(now, self.tick_now)
+        self._maintenance.tick(now, self.tick_now)
         self._record_exchange.tick(now, urgent=self._draining)
         self._connection_ids.tick(self.tick_now)
 
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -52,7 +52,7 @@
 """Maximum age of an answer that shows an endpoint is alive, in seconds."""
 
 
-class Upkeep:
+class FlowMaintenance:
     """Time-driven maintenance of the flows in the table."""
 
     def __init__(
--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -19,7 +19,7 @@
 from pollenmast.relay._openings import Openings
 from pollenmast.relay._routing import Routing
 from pollenmast.relay._table import FlowTable
-from pollenmast.relay._upkeep import Upkeep
+from pollenmast.relay._upkeep import FlowMaintenance
 from pollenmast.upstreams._paths import PathChooser
 from tests.proof import _scenarios as scenarios
 from tests.proof._oracle import Invariant
@@ -292,8 +292,10 @@
         "guesses-stay",
         Invariant.BOUNDED,
         "a guessed flow without an answer is forgotten",
-        "`Upkeep._unproved` is never true",
-        _attribute(Upkeep, "_unproved", lambda self, flow, tick: False),
+        "`FlowMaintenance._unproved` is never true",
+        _attribute(
+            FlowMaintenance, "_unproved", lambda self, flow, tick: False
+        ),
         scenarios.flood,
     ),
     Mutation(
