--- a/bench/_capacity_relay.py
+++ b/bench/_capacity_relay.py
@@ -39,7 +39,9 @@
     points = []
     for size in _FLOW_SIZES:
         tracemalloc.start()
-        core = _relay.core(packet_path._NullWire(), _relay.manifest(200), 100.0)
+        core = _relay.core(
+            packet_path._NullTransport(), _relay.manifest(200), 100.0
+        )
         before = tracemalloc.get_traced_memory()[0]
         _fill_table(core, size)
         held = tracemalloc.get_traced_memory()[0] - before
@@ -59,7 +61,9 @@
     """Returns the CPU share of the periodic scan over the flow table."""
     points = []
     for size in _FLOW_SIZES:
-        core = _relay.core(packet_path._NullWire(), _relay.manifest(200), 100.0)
+        core = _relay.core(
+            packet_path._NullTransport(), _relay.manifest(200), 100.0
+        )
         _fill_table(core, size)
         now = 100.0
         start = time.process_time()
--- a/bench/_relay.py
+++ b/bench/_relay.py
@@ -6,7 +6,7 @@
 from pollenmast.fleet import Vm
 from pollenmast.peers import _messages as messages
 from pollenmast.relay._core import RelayCore
-from pollenmast.relay._table import Wire
+from pollenmast.relay._table import Transport
 from pollenmast.settings import (
     FleetSettings,
     PlatformSettings,
@@ -93,8 +93,10 @@
     return messages.FleetView(1, text, 1, "", members, reports, wake_seen=1)
 
 
-def core(wire: Wire, text: bytes, now: float, vms: int = 1) -> RelayCore:
+def core(
+    transport: Transport, text: bytes, now: float, vms: int = 1
+) -> RelayCore:
     """Returns a relay core that has applied the view."""
-    relay = RelayCore(settings(), wire, random.Random(1), now)
+    relay = RelayCore(settings(), transport, random.Random(1), now)
     relay.on_view(view(text, vms), now)
     return relay
--- a/bench/packet_path.py
+++ b/bench/packet_path.py
@@ -16,7 +16,7 @@
 from pollenmast.events import EventLog
 from pollenmast.relay._flows import FlowState, Listener
 from pollenmast.relay._sockets import SocketWire
-from pollenmast.relay._table import Wire
+from pollenmast.relay._table import Transport
 from pollenmast.upstreams._paths import Path
 
 NAME = "packet_path"
@@ -68,7 +68,7 @@
     return spent / _PACKETS * 1e6
 
 
-def _to_upstream_us(caller, wire, core, upstream) -> float:
+def _to_upstream_us(caller, transport, core, upstream) -> float:
     """Returns microseconds per packet from the caller, at the flow's owner."""
     spent = 0.0
     to_relay = ("127.0.11.1", _relay.SERVICE_PORT)
@@ -76,14 +76,14 @@
         for _ in range(_BATCH):
             caller.sendto(_PAYLOAD, to_relay)
         start = time.process_time()
-        while wire.pump_once(core):
+        while transport.pump_once(core):
             pass
         spent += time.process_time() - start
         _drain_socket(upstream)
     return spent / _PACKETS * 1e6
 
 
-def _to_caller_us(caller, wire, core, upstream, flow) -> float:
+def _to_caller_us(caller, transport, core, upstream, flow) -> float:
     """Returns microseconds per packet from the upstream to the caller."""
     spent = 0.0
     to_path = flow.path.sock.getsockname()
@@ -91,7 +91,7 @@
         for _ in range(_BATCH):
             upstream.sendto(_PAYLOAD, to_path)
         start = time.process_time()
-        while wire.pump_once(core):
+        while transport.pump_once(core):
             pass
         spent += time.process_time() - start
         _drain_socket(caller)
@@ -121,18 +121,18 @@
 
 
 def _per_packet_costs() -> dict:
-    wire = SocketWire("127.0.11.1", 7001, EventLog("bench", "vm-1"))
+    transport = SocketWire("127.0.11.1", 7001, EventLog("bench", "vm-1"))
     upstream = _udp("127.0.12.1", 20001)
     caller = _udp("127.0.14.1")
     middle = _udp("127.0.11.2")
-    core = _relay.core(wire, _relay.manifest(1), anyio.current_time())
+    core = _relay.core(transport, _relay.manifest(1), anyio.current_time())
     target = core.table.targets[0]
     flow = _open_flow(core, caller.getsockname(), target, 0.0)
     rounds = [
         (
             _bare_loop_us(caller, middle, upstream),
-            _to_upstream_us(caller, wire, core, upstream),
-            _to_caller_us(caller, wire, core, upstream, flow),
+            _to_upstream_us(caller, transport, core, upstream),
+            _to_caller_us(caller, transport, core, upstream, flow),
         )
         for _ in range(_REPEATS)
     ]
@@ -140,7 +140,7 @@
     for sock in (caller, middle, upstream):
         sock.close()
     core.table.close()
-    wire.close()
+    transport.close()
     return {
         "bare_us": bare,
         "owner_us": owner,
@@ -169,8 +169,8 @@
         """Does nothing."""
 
 
-class _NullWire(Wire):
-    """Wire without sockets."""
+class _NullTransport(Transport):
+    """Transport without sockets."""
 
     def open_listener(self, service):
         """Returns a listener that discards datagrams."""
@@ -185,7 +185,7 @@
 
 
 def _new_flows() -> dict:
-    core = _relay.core(_NullWire(), _relay.manifest(20), 100.0)
+    core = _relay.core(_NullTransport(), _relay.manifest(20), 100.0)
     listener = core.table.listener(_relay.SERVICE)
     initial = _initial()
     callers = list(_callers(_NEW_FLOWS))
@@ -213,7 +213,7 @@
     for size in _FLOW_COUNTS:
         gc.collect()
         tracemalloc.start()
-        core = _relay.core(_NullWire(), _relay.manifest(_ENDPOINTS), 100.0)
+        core = _relay.core(_NullTransport(), _relay.manifest(_ENDPOINTS), 100.0)
         targets = core.table.targets
         before = tracemalloc.get_traced_memory()[0]
         for number, caller in enumerate(_callers(size)):
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -1,7 +1,7 @@
 """The relay's logic without I/O.
 
 Datagrams and the current time are passed in; datagrams go out through a
-`Wire`. This lets tests run whole fleets of relays in memory.
+`Transport`. This lets tests run whole fleets of relays in memory.
 """
 
 import random
@@ -30,7 +30,7 @@
 from pollenmast.relay._peer_sender import PeerSender
 from pollenmast.relay._readiness import Readiness
 from pollenmast.relay._routing import Routing
-from pollenmast.relay._table import FlowTable, Wire
+from pollenmast.relay._table import FlowTable, Transport
 from pollenmast.relay._upkeep import FlowMaintenance
 from pollenmast.settings import Settings
 
@@ -47,14 +47,14 @@
     def __init__(
         self,
         settings: Settings,
-        wire: Wire,
+        transport: Transport,
         rng: random.Random,
         now: float,
     ):
         self.tick_now = int(now * TICKS_PER_S)
         self.counters = c.Counters()
         self._fleet = Fleet(settings.vm.name, settings.vm.zone)
-        self._table = FlowTable(wire, settings.relay.most_flows)
+        self._table = FlowTable(transport, settings.relay.most_flows)
         self._dispatcher = Dispatcher(settings.vm.zone, rng)
         self._history = History()
         self._openings = Openings(
@@ -63,7 +63,7 @@
         key = settings.fleet.key
         self._opener = Opener(key, settings.fleet.previous_key)
         peer_sender = PeerSender(
-            self._fleet, wire, Sealer(settings.vm.name, key), self.counters
+            self._fleet, transport, Sealer(settings.vm.name, key), self.counters
         )
         age_s = settings.relay.replicate_after_s
         budget = settings.relay.replication_bytes_per_s
--- a/src/pollenmast/relay/_peer_sender.py
+++ b/src/pollenmast/relay/_peer_sender.py
@@ -4,17 +4,21 @@
 from pollenmast.decisions._fleet import Fleet
 from pollenmast.peers._envelope import Sealer
 from pollenmast.peers._kinds import Kind
-from pollenmast.relay._table import Wire
+from pollenmast.relay._table import Transport
 
 
 class PeerSender:
     """Sends messages to other relays."""
 
     def __init__(
-        self, fleet: Fleet, wire: Wire, sealer: Sealer, counters: c.Counters
+        self,
+        fleet: Fleet,
+        transport: Transport,
+        sealer: Sealer,
+        counters: c.Counters,
     ):
         self._fleet = fleet
-        self._wire = wire
+        self._transport = transport
         self._sealer = sealer
         self._counters = counters
 
@@ -25,4 +29,4 @@
             self._counters.add(c.DROPS, c.DropReason.NO_OWNER)
             return
         envelope = self._sealer.seal(kind, body)
-        self._wire.send_peer(envelope, (vm.address, vm.relay_port))
+        self._transport.send_peer(envelope, (vm.address, vm.relay_port))
--- a/src/pollenmast/relay/_program.py
+++ b/src/pollenmast/relay/_program.py
@@ -66,9 +66,11 @@
         self._log = log
         relay = settings.relay
         address = settings.vm.address
-        self._wire = SocketWire(address, relay.peer_port, log)
+        self._transport = SocketWire(address, relay.peer_port, log)
         rng = random.Random(settings.vm.name)
-        self._core = RelayCore(settings, self._wire, rng, anyio.current_time())
+        self._core = RelayCore(
+            settings, self._transport, rng, anyio.current_time()
+        )
         fleet = settings.fleet
         self._link = Link(
             Sealer(settings.vm.name, fleet.key),
@@ -88,7 +90,7 @@
             async with anyio.create_task_group() as tasks:
                 for task in (self._tick, self._report, self._listen):
                     tasks.start_soon(task)
-                tasks.start_soon(self._wire.pump, self._core)
+                tasks.start_soon(self._transport.pump, self._core)
                 scope = tasks.cancel_scope
                 tasks.start_soon(self._watch_signals, received, scope)
                 tasks.start_soon(self._watch_drain, scope)
@@ -102,7 +104,7 @@
         self._log.flush()
         self._link.close()
         self._core.table.close()
-        self._wire.close()
+        self._transport.close()
 
     async def _tick(self) -> None:
         while True:
--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -18,7 +18,7 @@
 from pollenmast.peers._udp import service_socket, udp_socket
 from pollenmast.relay._core import RelayCore
 from pollenmast.relay._flows import FlowState, Listener
-from pollenmast.relay._table import Wire
+from pollenmast.relay._table import Transport
 from pollenmast.upstreams._paths import Path
 
 MAX_DATAGRAM_BYTES = 9216
@@ -75,7 +75,7 @@
         self.sock.close()
 
 
-class SocketWire(Wire):
+class SocketWire(Transport):
     """The relay's sockets, all behind one epoll object."""
 
     def __init__(self, address: str, peer_port: int, log: EventLog):
--- a/src/pollenmast/relay/_table.py
+++ b/src/pollenmast/relay/_table.py
@@ -17,7 +17,7 @@
 _LONG_AGO = float("-inf")
 
 
-class Wire(abc.ABC):
+class Transport(abc.ABC):
     """The socket operations that the relay core needs."""
 
     @abc.abstractmethod
@@ -36,10 +36,10 @@
 class FlowTable:
     """The flows that this relay forwards, with their ports and endpoints."""
 
-    def __init__(self, wire: Wire, max_flows: int):
-        self._wire = wire
+    def __init__(self, transport: Transport, max_flows: int):
+        self._transport = transport
         self._max_flows = max_flows
-        self._pool = PathPool(wire.open_path)
+        self._pool = PathPool(transport.open_path)
         self._listeners: dict[int, Listener] = {}
         self._services: dict[int, Listener] = {}
         self._targets: dict[int, Target] = {}
@@ -100,7 +100,7 @@
     def _set_service(self, service: Service, now: float) -> None:
         listener = self._listeners.get(service.port)
         if listener is None:
-            listener = self._wire.open_listener(service)
+            listener = self._transport.open_listener(service)
             if listener is None:
                 self._unopened_services[service.port] = service
                 return
--- a/standins/memory.py
+++ b/standins/memory.py
@@ -13,7 +13,7 @@
 from pollenmast.peers import _messages as messages
 from pollenmast.relay._core import RelayCore
 from pollenmast.relay._flows import Flow, FlowState, Listener
-from pollenmast.relay._table import Wire
+from pollenmast.relay._table import Transport
 from pollenmast.upstreams._paths import Path
 from standins._tagged import (
     connection_id_of,
@@ -42,7 +42,7 @@
     "REGISTRY",
     "FakeListener",
     "FakePath",
-    "FakeWire",
+    "FakeTransport",
     "Net",
     "Session",
     "address_of",
@@ -91,7 +91,7 @@
         """Does nothing."""
 
 
-class FakeWire(Wire):
+class FakeTransport(Transport):
     """The sockets of one fake VM."""
 
     def __init__(self, net, number: int):
@@ -164,7 +164,7 @@
         self.vms.setdefault(number, vm(number))
         self.relays[number] = RelayCore(
             settings(number, **self._settings),
-            FakeWire(self, number),
+            FakeTransport(self, number),
             random.Random(number),
             self.now,
         )
--- a/tests/proof/_node.py
+++ b/tests/proof/_node.py
@@ -14,7 +14,7 @@
 from pollenmast.peers import _messages as messages
 from pollenmast.relay._core import RelayCore
 from pollenmast.relay._flows import Listener
-from pollenmast.relay._table import Wire
+from pollenmast.relay._table import Transport
 from pollenmast.upstreams._paths import Path
 from standins import memory as fakes
 from tests.proof import _traffic as traffic
@@ -78,7 +78,7 @@
         """Does nothing."""
 
 
-class SimulatedWire(Wire):
+class SimulatedTransport(Transport):
     """The sockets of one VM."""
 
     def __init__(self, node):
@@ -149,7 +149,7 @@
         self.started_at = now
         settings = fakes.settings(self.number, idle_s=IDLE_S)
         self.core = RelayCore(
-            settings, SimulatedWire(self), random.Random(self.number), now
+            settings, SimulatedTransport(self), random.Random(self.number), now
         )
 
     def run(self, action: Callable[[], None]) -> None:
--- a/tests/relay_core_test.py
+++ b/tests/relay_core_test.py
@@ -12,7 +12,7 @@
 from pollenmast.relay._core import RelayCore
 from standins.memory import (
     BARCODES,
-    FakeWire,
+    FakeTransport,
     Net,
     early_data,
     initial,
@@ -171,7 +171,9 @@
         net = Net(vms=1)
         core = net.relays[1]
         told = net.view(core)
-        joining = RelayCore(settings(3), FakeWire(net, 3), Random(3), net.now)
+        joining = RelayCore(
+            settings(3), FakeTransport(net, 3), Random(3), net.now
+        )
         joining.on_view(attrs.evolve(told, reports=()), net.now)
         self.assertFalse(joining.ready(net.now))
         joining.on_view(told, net.now)
@@ -181,7 +183,9 @@
         """A VM does not wait longer for a report that never comes."""
         net = Net(vms=1)
         view = attrs.evolve(net.view(net.relays[1]), reports=())
-        joining = RelayCore(settings(3), FakeWire(net, 3), Random(3), net.now)
+        joining = RelayCore(
+            settings(3), FakeTransport(net, 3), Random(3), net.now
+        )
         joining.on_view(view, net.now)
         for _ in range(30):
             net.now += 0.1
--- a/tests/relay_table_test.py
+++ b/tests/relay_table_test.py
@@ -6,11 +6,11 @@
 from pollenmast import manifest as manifests
 from pollenmast.relay._flows import FlowState
 from pollenmast.relay._table import FlowTable
-from standins.memory import BARCODES, REGISTRY, FakeWire, Net, manifest
+from standins.memory import BARCODES, REGISTRY, FakeTransport, Net, manifest
 
 
-class _BusyPortWire(FakeWire):
-    """A wire on which another program uses some ports for a while."""
+class _BusyPortTransport(FakeTransport):
+    """A transport on which another program uses some ports for a while."""
 
     busy_ports: tuple[int, ...] = ()
 
@@ -31,8 +31,8 @@
     """Exactly the services of the manifest have open ports."""
 
     def _table(self) -> FlowTable:
-        self.wire = _BusyPortWire(Net(vms=1), 1)
-        return FlowTable(self.wire, 100)
+        self.transport = _BusyPortTransport(Net(vms=1), 1)
+        return FlowTable(self.transport, 100)
 
     def test_busy_port(self):
         """A port in use by another program is retried without a new manifest.
@@ -41,10 +41,10 @@
         service.
         """
         table = self._table()
-        self.wire.busy_ports = (4000 + REGISTRY,)
+        self.transport.busy_ports = (4000 + REGISTRY,)
         table.set_manifest(_manifest(REGISTRY, BARCODES), 0.0)
         self.assertIsNone(table.listener(REGISTRY))
-        self.wire.busy_ports = ()
+        self.transport.busy_ports = ()
         table.maintain_ports(0.0)
         self.assertIsNotNone(table.listener(REGISTRY))
 
