--- a/bench/packet_path.py
+++ b/bench/packet_path.py
@@ -15,7 +15,7 @@
 from pollenmast.callers import read_packet, refusal
 from pollenmast.events import EventLog
 from pollenmast.relay._flows import FlowState, Listener
-from pollenmast.relay._sockets import SocketWire
+from pollenmast.relay._sockets import SocketTransport
 from pollenmast.relay._table import Transport
 from pollenmast.upstreams._paths import Path
 
@@ -121,7 +121,7 @@
 
 
 def _per_packet_costs() -> dict:
-    transport = SocketWire("127.0.11.1", 7001, EventLog("bench", "vm-1"))
+    transport = SocketTransport("127.0.11.1", 7001, EventLog("bench", "vm-1"))
     upstream = _udp("127.0.12.1", 20001)
     caller = _udp("127.0.14.1")
     middle = _udp("127.0.11.2")
--- a/src/pollenmast/relay/_program.py
+++ b/src/pollenmast/relay/_program.py
@@ -21,7 +21,7 @@
 from pollenmast.peers._envelope import Opener, Sealer
 from pollenmast.peers._link import Link
 from pollenmast.relay._core import RelayCore
-from pollenmast.relay._sockets import SocketWire
+from pollenmast.relay._sockets import SocketTransport
 from pollenmast.settings import Settings
 
 TICK_S = 0.02
@@ -66,7 +66,7 @@
         self._log = log
         relay = settings.relay
         address = settings.vm.address
-        self._transport = SocketWire(address, relay.peer_port, log)
+        self._transport = SocketTransport(address, relay.peer_port, log)
         rng = random.Random(settings.vm.name)
         self._core = RelayCore(
             settings, self._transport, rng, anyio.current_time()
--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -75,7 +75,7 @@
         self.sock.close()
 
 
-class SocketWire(Transport):
+class SocketTransport(Transport):
     """The relay's sockets, all behind one epoll object."""
 
     def __init__(self, address: str, peer_port: int, log: EventLog):
