--- a/bench/packet_path.py
+++ b/bench/packet_path.py
@@ -109,7 +109,7 @@
 def _open_flow(core, caller: tuple[str, int], target, now: float):
     listener = core.table.listener(_relay.SERVICE)
     return core.table.open(
-        listener, caller, target, FlowState.CARRIED, core.tick_now, now
+        listener, caller, target, FlowState.ESTABLISHED, core.tick_now, now
     )
 
 
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -245,7 +245,7 @@
         elif flow.state in (FlowState.ADOPTED, FlowState.GUESSED):
             self._record_exchange.release_previous_relay(flow)
         if flow.state is not FlowState.MOVED:
-            flow.state = FlowState.CARRIED
+            flow.state = FlowState.ESTABLISHED
             self._record_exchange.replicate_to_owner(flow)
 
     def on_peer(self, data: bytes, now: float) -> None:
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -191,7 +191,7 @@
     def _add_previous_relay(self, flow: Flow, sender: int) -> None:
         if len(self._previous_relays) < MAX_PREVIOUS_RELAYS:
             self._previous_relays[flow] = sender
-        if flow.state is FlowState.CARRIED:
+        if flow.state is FlowState.ESTABLISHED:
             self.release_previous_relay(flow)
 
     def _resolve_second_holder(
--- a/src/pollenmast/relay/_flows.py
+++ b/src/pollenmast/relay/_flows.py
@@ -26,7 +26,7 @@
     OPENING = 0
     """Its first packets were sent; the upstream has not answered yet."""
 
-    CARRIED = 1
+    ESTABLISHED = 1
     """The upstream has answered."""
 
     ADOPTED = 2
--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -202,7 +202,7 @@
         if flow is None:
             core.counters.add(c.DROPS, c.DropReason.STRANGER)
             continue
-        if flow.state is not FlowState.CARRIED:
+        if flow.state is not FlowState.ESTABLISHED:
             core.on_first_answer(flow, data, now)
         flow.answered = tick
         flow.unanswered = 0
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -104,7 +104,7 @@
         for flow in flows:
             # Fast path: nearly all flows need nothing, nearly all the time.
             if (
-                flow.state is FlowState.CARRIED
+                flow.state is FlowState.ESTABLISHED
                 and not flow.unanswered
                 and not flow.off_default
                 and not self._checks
@@ -135,7 +135,7 @@
             or self._handover_expired(flow, tick)
         ):
             self._end(flow, now)
-        elif flow.state in (FlowState.CARRIED, FlowState.ADOPTED):
+        elif flow.state in (FlowState.ESTABLISHED, FlowState.ADOPTED):
             self._maintain(flow, now, tick)
 
     def _unproved(self, flow: Flow, tick: int) -> bool:
--- a/standins/memory.py
+++ b/standins/memory.py
@@ -299,7 +299,7 @@
         flow = session.path.flows.get(session.upstream)
         if core is None or flow is None:
             return
-        if flow.state is not FlowState.CARRIED:
+        if flow.state is not FlowState.ESTABLISHED:
             core.on_first_answer(flow, data, self.now)
         flow.answered = core.tick_now
         flow.unanswered = 0
--- a/tests/proof/_upstreams.py
+++ b/tests/proof/_upstreams.py
@@ -171,7 +171,7 @@
             return
         core = path.node.core
         world.responding_session = session
-        if flow.state.name != "CARRIED":
+        if flow.state.name != "ESTABLISHED":
             core.on_first_answer(flow, data, world.now)
         flow.answered = core.tick_now
         flow.unanswered = 0
--- a/tests/relay_table_test.py
+++ b/tests/relay_table_test.py
@@ -72,7 +72,7 @@
         listener = table.listener(REGISTRY)
         target = next(t for t in table.targets if t.service == REGISTRY)
         flow = table.open(
-            listener, ("10.0.0.1", 1), target, FlowState.CARRIED, 0, 0.0
+            listener, ("10.0.0.1", 1), target, FlowState.ESTABLISHED, 0, 0.0
         )
         table.set_manifest(_manifest(BARCODES), 0.0)
         table.maintain_ports(0.0)
