--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -244,7 +244,7 @@
             self._connection_ids.read_connection_id(flow, data)
         elif flow.state in (FlowState.ADOPTED, FlowState.GUESSED):
             self._record_exchange.release_previous_relay(flow)
-        if flow.state is not FlowState.MOVED:
+        if flow.state is not FlowState.HANDED_OVER:
             flow.state = FlowState.ESTABLISHED
             self._record_exchange.replicate_to_owner(flow)
 
--- a/src/pollenmast/relay/_flows.py
+++ b/src/pollenmast/relay/_flows.py
@@ -32,7 +32,7 @@
     ADOPTED = 2
     """Taken over; the upstream has not answered on the new path yet."""
 
-    MOVED = 3
+    HANDED_OVER = 3
     """Another relay forwards it; this one forwards only late answers."""
 
     GUESSED = 4
--- a/src/pollenmast/relay/_table.py
+++ b/src/pollenmast/relay/_table.py
@@ -228,7 +228,7 @@
         """Detaches a flow from its caller; late answers are still forwarded."""
         if flow.listener.flows.get(flow.caller) is flow:
             del flow.listener.flows[flow.caller]
-        flow.state = FlowState.MOVED
+        flow.state = FlowState.HANDED_OVER
         self._moved[flow.listener.service.port, *flow.caller] = flow
 
     def end_moved(self, record: FlowRecord, now: float) -> None:
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -156,12 +156,12 @@
         waited = tick - flow.heard
         return (
             self._draining
-            and flow.state is FlowState.MOVED
+            and flow.state is FlowState.HANDED_OVER
             and waited > self._settings.drain_quiet_s * TICKS_PER_S
         )
 
     def _end(self, flow: Flow, now: float) -> None:
-        if flow.state is not FlowState.MOVED:
+        if flow.state is not FlowState.HANDED_OVER:
             self._record_exchange.delete_record(flow)
             self._dispatcher.on_flow_ended(
                 flow.target.service, flow.target.name, now
--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -83,7 +83,7 @@
 
 
 def _end_at_once(self, flow):
-    flow.state = FlowState.MOVED
+    flow.state = FlowState.HANDED_OVER
     self.end(flow, 0.0)
 
 
