--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -242,7 +242,7 @@
         if flow.state is FlowState.OPENING:
             self._openings.on_answered(flow, now)
             self._connection_ids.read_connection_id(flow, data)
-        elif flow.state in (FlowState.ADOPTED, FlowState.GUESSED):
+        elif flow.state in (FlowState.ADOPTED, FlowState.UNCONFIRMED):
             self._record_exchange.release_previous_relay(flow)
         if flow.state is not FlowState.HANDED_OVER:
             flow.state = FlowState.ESTABLISHED
@@ -294,7 +294,7 @@
             datagram.listener,
             datagram.caller,
             endpoint_id(number, name),
-            FlowState.GUESSED,
+            FlowState.UNCONFIRMED,
             now,
         )
         if flow is None:
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -168,7 +168,7 @@
         Returns:
             The flow, or None if there is none or it was only guessed.
         """
-        if flow is not None and flow.state is FlowState.GUESSED:
+        if flow is not None and flow.state is FlowState.UNCONFIRMED:
             self._forwarder.table.end(flow, now)
             return None
         return flow
--- a/src/pollenmast/relay/_flows.py
+++ b/src/pollenmast/relay/_flows.py
@@ -35,7 +35,7 @@
     HANDED_OVER = 3
     """Another relay forwards it; this one forwards only late answers."""
 
-    GUESSED = 4
+    UNCONFIRMED = 4
     """Known to no VM; tried at the default endpoint of its key."""
 
 
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -141,7 +141,7 @@
     def _unproved(self, flow: Flow, tick: int) -> bool:
         """Returns whether a guessed flow got no answer in time."""
         waited = tick - flow.opened
-        return flow.state is FlowState.GUESSED and waited > (
+        return flow.state is FlowState.UNCONFIRMED and waited > (
             GUESS_TIMEOUT_S * TICKS_PER_S
         )
 
