--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -283,7 +283,9 @@
             return
         self.counters.add(c.DROPS, c.DropReason.NO_OWNER)
 
-    def guess(self, datagram: IncomingDatagram, now: float) -> None:
+    def forward_to_default(
+        self, datagram: IncomingDatagram, now: float
+    ) -> None:
         """Forwards an unknown flow in progress to its default endpoint."""
         number = datagram.listener.service.number
         name = self._dispatcher.default_endpoint(number, datagram.key)
--- a/src/pollenmast/relay/_forwarder.py
+++ b/src/pollenmast/relay/_forwarder.py
@@ -90,7 +90,9 @@
         """Places, holds or refuses a new flow."""
 
     @abc.abstractmethod
-    def guess(self, datagram: IncomingDatagram, now: float) -> None:
+    def forward_to_default(
+        self, datagram: IncomingDatagram, now: float
+    ) -> None:
         """Forwards an unknown flow in progress to its default endpoint."""
 
     @abc.abstractmethod
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -183,7 +183,7 @@
         if datagram.is_initial:
             self._forwarder.open(datagram, now)
         elif not self._connection_ids.search(datagram, now):
-            self._forwarder.guess(datagram, now)
+            self._forwarder.forward_to_default(datagram, now)
 
     def _forward(
         self, vm: int, datagram: IncomingDatagram, reason: c.ForwardReason
@@ -291,7 +291,7 @@
             return
         flow = datagram.listener.flows.get(datagram.caller)
         if flow is None:
-            self._forwarder.guess(datagram, now)
+            self._forwarder.forward_to_default(datagram, now)
         else:
             self._forwarder.forward_to_upstream(flow, datagram.data, now)
 
--- a/tests/relay_custody_test.py
+++ b/tests/relay_custody_test.py
@@ -234,7 +234,7 @@
         caller = address_of(tag)
         datagram = owner.read(listener, caller, short(tag), 0, 0)
         net.silent_upstreams.update(t.address for t in owner.table.targets)
-        owner.guess(datagram, net.now)
+        owner.forward_to_default(datagram, net.now)
         flow = net.relays[holder].table.listener(REGISTRY).flows[caller]
         net.relays[holder].record_exchange.replicate(
             flow, owner.fleet.me.number
