--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -289,7 +289,7 @@
         """Forwards an unknown flow in progress to its default endpoint."""
         number = datagram.listener.service.number
         name = self._dispatcher.default_endpoint(number, datagram.key)
-        if name is None or not self._table.may_guess(datagram.listener):
+        if name is None or not self._table.may_use_default(datagram.listener):
             self.counters.add(c.DROPS, c.DropReason.UNKNOWN_FLOW)
             return
         flow = self._adopt(
--- a/src/pollenmast/relay/_openings.py
+++ b/src/pollenmast/relay/_openings.py
@@ -245,7 +245,7 @@
         opening.tried = (*opening.tried, placed.endpoint)
         opening.sent_at = now
         opening.flow.off_default = (
-            placed.off_default or not self._table.may_guess(listener)
+            placed.off_default or not self._table.may_use_default(listener)
         )
         for data in opening.datagrams:
             opening.flow.path.send(data, target.address)
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -305,7 +305,7 @@
         listener = table.listener_at(forwarded.service_port)
         in_session = not forwarded.data or not forwarded.data[0] & LONG_HEADER
         return in_session and (
-            listener is not None and not table.may_guess(listener)
+            listener is not None and not table.may_use_default(listener)
         )
 
     def on_unknown(self, opened: Opened, now: float) -> None:
--- a/src/pollenmast/relay/_table.py
+++ b/src/pollenmast/relay/_table.py
@@ -148,7 +148,7 @@
         """Returns the endpoint with this number, or None."""
         return self._targets.get(endpoint)
 
-    def may_guess(self, listener: Listener) -> bool:
+    def may_use_default(self, listener: Listener) -> bool:
         """Returns whether unknown flows may go to their default endpoint.
 
         A port that was reassigned may still receive packets of its previous
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -190,7 +190,7 @@
         # to another service by now.
         service = flow.listener.service.number
         default = self._dispatcher.default_endpoint(service, flow.key)
-        computed = self._table.may_guess(flow.listener)
+        computed = self._table.may_use_default(flow.listener)
         flow.off_default = not computed or (service, default) != (
             flow.target.service,
             flow.target.name,
--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -141,8 +141,8 @@
         "guess-reused-port",
         Invariant.RIGHT_SERVICE,
         "a packet that nobody knows is not guessed on a reused port",
-        "`FlowTable.may_guess` is always true",
-        _attribute(FlowTable, "may_guess", lambda self, listener: True),
+        "`FlowTable.may_use_default` is always true",
+        _attribute(FlowTable, "may_use_default", lambda self, listener: True),
         scenarios.reused_port,
     ),
     Mutation(
--- a/tests/relay_table_test.py
+++ b/tests/relay_table_test.py
@@ -57,12 +57,12 @@
         at once.
         """
         whole = _manifest(REGISTRY).services[0]
-        for since, may_guess in ((0, True), (7, False)):
+        for since, may_use_default in ((0, True), (7, False)):
             service = attrs.evolve(whole, port_since=since)
             table = self._table()
             table.set_manifest(manifests.Manifest(9, (service,), ""), 100.0)
             listener = table.listener_at(service.port)
-            self.assertEqual(may_guess, table.may_guess(listener))
+            self.assertEqual(may_use_default, table.may_use_default(listener))
             self.assertFalse(table.in_quarantine(listener, 100.0))
 
     def test_withdrawn_service(self):
