--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -343,7 +343,7 @@
             self._dispatcher.adopt(target.service, target.name)
         return flow
 
-    def let_go(self, flow: Flow, now: float) -> None:
+    def release(self, flow: Flow, now: float) -> None:
         """Leaves a flow to another relay.
 
         Late answers on the old path are still forwarded to the caller.
@@ -351,7 +351,7 @@
         target = flow.target
         self._connection_ids.publish(flow)
         self._dispatcher.on_flow_ended(target.service, target.name, now)
-        self._table.let_go(flow)
+        self._table.release(flow)
         flow.heard = self.tick_now
 
     # Input from the agent and the clock.
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -219,7 +219,7 @@
         self._replicas.keep(record, sender)
         if flow is not None:
             self._previous_relays.pop(flow, None)
-            self._forwarder.let_go(flow, now)
+            self._forwarder.release(flow, now)
 
     def on_records_acknowledged(self, opened: Opened, now: float) -> None:
         """Handles a batch's acknowledgement; releases handed-over flows."""
--- a/src/pollenmast/relay/_forwarder.py
+++ b/src/pollenmast/relay/_forwarder.py
@@ -111,7 +111,7 @@
         """Takes over a flow; returns None if it cannot be forwarded here."""
 
     @abc.abstractmethod
-    def let_go(self, flow: Flow, now: float) -> None:
+    def release(self, flow: Flow, now: float) -> None:
         """Leaves a flow to another relay.
 
         Late answers on the old path are still forwarded to the caller.
--- a/src/pollenmast/relay/_table.py
+++ b/src/pollenmast/relay/_table.py
@@ -224,7 +224,7 @@
         flow.unanswered = 0
         return True
 
-    def let_go(self, flow: Flow) -> None:
+    def release(self, flow: Flow) -> None:
         """Detaches a flow from its caller; late answers are still forwarded."""
         if flow.listener.flows.get(flow.caller) is flow:
             del flow.listener.flows[flow.caller]
--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -234,8 +234,8 @@
         "no-late-answers",
         Invariant.GRACEFUL,
         "a flow handed over still passes answers on its old path",
-        "`FlowTable.let_go` ends it",
-        _attribute(FlowTable, "let_go", _end_at_once),
+        "`FlowTable.release` ends it",
+        _attribute(FlowTable, "release", _end_at_once),
         scenarios.planned_stop_slow_answers,
     ),
     Mutation(
