--- a/src/pollenmast/decisions/_fleet.py
+++ b/src/pollenmast/decisions/_fleet.py
@@ -122,19 +122,19 @@
         members = self._owners.preference_list(key, CONNECTION_ID_REPLICAS)
         return [member.number for member in members]
 
-    def asked(self, key: int, but: int = 0) -> list[int]:
+    def lookup_targets(self, key: int, excluded: int = 0) -> list[int]:
         """Returns the VMs to ask about a flow, the most likely holder first.
 
         Args:
             key: The flow's hash.
-            but: Number of a VM to exclude, or 0.
+            excluded: Number of a VM to exclude, or 0.
         """
         candidates = [*self._holders.preference_list(key, LOOKUP_TARGETS + 2)]
         backup = self._owners.backup(key, self._me)
         if backup is not None:
             candidates.insert(1, backup)
         numbers = dict.fromkeys(member.number for member in candidates)
-        for number in (self._me.number, but):
+        for number in (self._me.number, excluded):
             numbers.pop(number, None)
         return list(numbers)[:LOOKUP_TARGETS]
 
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -160,7 +160,9 @@
             return
         # The VM that forwarded the packet is not queried: it does not know the
         # flow, or has no relay.
-        asked = self._fleet.asked(datagram.key, but=datagram.previous_hop)
+        asked = self._fleet.lookup_targets(
+            datagram.key, excluded=datagram.previous_hop
+        )
         if asked and not self._query_budget.take(now):
             self._counters.add(c.DROPS, c.DropReason.UNKNOWN_FLOW)
             return
--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -102,9 +102,12 @@
         "no-ask",
         Invariant.SURVIVES,
         "a new owner asks two VMs about a flow that it does not know",
-        "`Fleet.asked` names nobody, and no connection id is looked up",
+        "`Fleet.lookup_targets` names nobody, and no connection id is"
+        " looked up",
         lambda: _both(
-            mock.patch.object(Fleet, "asked", lambda self, key, but: []),
+            mock.patch.object(
+                Fleet, "lookup_targets", lambda self, key, excluded: []
+            ),
             _no_search(),
         ),
         scenarios.join_during_sessions,
