--- a/src/pollenmast/decisions/_fleet.py
+++ b/src/pollenmast/decisions/_fleet.py
@@ -117,7 +117,7 @@
         member = self._owners.backup(key, self._me)
         return member.number if member else 0
 
-    def keepers(self, key: int) -> list[int]:
+    def connection_id_holders(self, key: int) -> list[int]:
         """Returns the VMs that store the connection id with hash `key`."""
         members = self._owners.preference_list(key, CONNECTION_ID_REPLICAS)
         return [member.number for member in members]
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -165,7 +165,7 @@
         endpoint = self._entries.get((service_port, cid))
         if endpoint is not None:
             return self._adopt_moved_caller(datagram, endpoint, now)
-        asked = self._remote_keepers(service_port, cid)
+        asked = self._remote_holders(service_port, cid)
         if not asked:
             return False
         ip, port = datagram.caller
@@ -233,11 +233,11 @@
 
     def _distribute(self, entry: ConnectionId) -> None:
         key = connection_id_hash(entry.service_port, entry.cid)
-        for keeper in self._fleet.keepers(key):
-            if keeper == self._fleet.me.number:
+        for holder in self._fleet.connection_id_holders(key):
+            if holder == self._fleet.me.number:
                 self._store(entry)
             else:
-                self._outgoing.setdefault(keeper, []).append(entry)
+                self._outgoing.setdefault(holder, []).append(entry)
 
     def _store(self, entry: ConnectionId) -> None:
         key = (entry.service_port, entry.cid)
@@ -245,9 +245,11 @@
             del self._entries[next(iter(self._entries))]
         self._entries[key] = entry.endpoint
 
-    def _remote_keepers(self, service_port: int, cid: int) -> list[int]:
-        keepers = self._fleet.keepers(connection_id_hash(service_port, cid))
-        return [number for number in keepers if number != self._fleet.me.number]
+    def _remote_holders(self, service_port: int, cid: int) -> list[int]:
+        holders = self._fleet.connection_id_holders(
+            connection_id_hash(service_port, cid)
+        )
+        return [number for number in holders if number != self._fleet.me.number]
 
 
 def _cid_of(datagram: IncomingDatagram) -> int | None:
