--- a/src/pollenmast/decisions/_fleet.py
+++ b/src/pollenmast/decisions/_fleet.py
@@ -18,7 +18,7 @@
     """The VMs by number, and the hash rings of flow owners and holders."""
 
     def __init__(self, name: str, zone: str):
-        self._me = Member(sender_id(name), name, zone)
+        self._local = Member(sender_id(name), name, zone)
         self._vms: dict[int, Vm] = {}
         self._standbys: dict[int, int] | None = None
         self._owners = Ring()
@@ -27,9 +27,9 @@
         self._changes = 0
 
     @property
-    def me(self) -> Member:
+    def local(self) -> Member:
         """The local VM."""
-        return self._me
+        return self._local
 
     @property
     def changed_at(self) -> float:
@@ -100,21 +100,21 @@
     def successor(self, key: int) -> Member | None:
         """Returns the VM that would own a flow without the local VM."""
         for member in self._owners.preference_list(key, 2):
-            if member.number != self._me.number:
+            if member.number != self._local.number:
                 return member
         return None
 
     def owns(self, key: int) -> bool:
         """Returns whether the local VM owns the flow with hash `key`."""
         owner = self._owners.owner(key)
-        return owner is not None and owner.number == self._me.number
+        return owner is not None and owner.number == self._local.number
 
     def backup(self, key: int) -> int:
         """Returns the number of the VM that backs up the flow, or 0.
 
         The local VM holds the flow, and its backup stores the flow's record.
         """
-        member = self._owners.backup(key, self._me)
+        member = self._owners.backup(key, self._local)
         return member.number if member else 0
 
     def connection_id_holders(self, key: int) -> list[int]:
@@ -130,11 +130,11 @@
             excluded: Number of a VM to exclude, or 0.
         """
         candidates = [*self._holders.preference_list(key, LOOKUP_TARGETS + 2)]
-        backup = self._owners.backup(key, self._me)
+        backup = self._owners.backup(key, self._local)
         if backup is not None:
             candidates.insert(1, backup)
         numbers = dict.fromkeys(member.number for member in candidates)
-        for number in (self._me.number, excluded):
+        for number in (self._local.number, excluded):
             numbers.pop(number, None)
         return list(numbers)[:LOOKUP_TARGETS]
 
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -256,7 +256,7 @@
             return
         envelope = opened.unwrap()
         handler = self._handlers.get(envelope.kind)
-        if handler is None or envelope.sender == self._fleet.me.number:
+        if handler is None or envelope.sender == self._fleet.local.number:
             self.counters.add(c.ENVELOPE_FAULTS, c.EnvelopeFault.MALFORMED)
             return
         handler(envelope, now)
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -128,7 +128,7 @@
         if tick - self._last_scan < SCAN_INTERVAL_TICKS:
             return
         self._last_scan = tick
-        if self._draining and self._fleet.me not in self._fleet.owners:
+        if self._draining and self._fleet.local not in self._fleet.owners:
             self._hand_over()
         for flow in list(self._unpublished):
             if flow.heard - flow.opened >= self._publish_after:
@@ -175,7 +175,7 @@
             port,
             1,
             datagram.data,
-            self._fleet.me.number,
+            self._fleet.local.number,
             asked[1] if len(asked) > 1 else 0,
         )
         self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
@@ -234,7 +234,7 @@
     def _distribute(self, entry: ConnectionId) -> None:
         key = connection_id_hash(entry.service_port, entry.cid)
         for holder in self._fleet.connection_id_holders(key):
-            if holder == self._fleet.me.number:
+            if holder == self._fleet.local.number:
                 self._store(entry)
             else:
                 self._outgoing.setdefault(holder, []).append(entry)
@@ -249,7 +249,9 @@
         holders = self._fleet.connection_id_holders(
             connection_id_hash(service_port, cid)
         )
-        return [number for number in holders if number != self._fleet.me.number]
+        return [
+            number for number in holders if number != self._fleet.local.number
+        ]
 
 
 def _cid_of(datagram: IncomingDatagram) -> int | None:
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -92,7 +92,7 @@
             self._forwarder.on_no_owner(datagram, now)
         elif self._owned_but_not_ready(owner, datagram, now):
             self._forward_to_successor(datagram, now)
-        elif owner.number in (self._fleet.me.number, datagram.previous_hop):
+        elif owner.number in (self._fleet.local.number, datagram.previous_hop):
             self._handle_as_owner(datagram, now)
         else:
             self._forward(owner.number, datagram, c.ForwardReason.OWNER)
@@ -101,7 +101,7 @@
         self, owner: Member, datagram: IncomingDatagram, now: float
     ) -> bool:
         """Returns whether this VM owns a new flow but may not open it."""
-        own = owner.number == self._fleet.me.number
+        own = owner.number == self._fleet.local.number
         return own and datagram.is_initial and not self._forwarder.ready(now)
 
     def _forward_to_successor(
@@ -172,7 +172,7 @@
         forwarded = _forwarded(
             datagram,
             hops=1,
-            asker=self._fleet.me.number,
+            asker=self._fleet.local.number,
             next_asked=asked[1] if len(asked) > 1 else 0,
         )
         self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -182,7 +182,7 @@
 
     def _hand_over(self, flow: Flow) -> None:
         owner = self._fleet.owner(flow.key)
-        if owner is not None and owner.number != self._fleet.me.number:
+        if owner is not None and owner.number != self._fleet.local.number:
             self._record_exchange.hand_over(flow, owner.number)
 
     def _update_off_default(self, flow: Flow) -> None:
--- a/tests/relay_custody_test.py
+++ b/tests/relay_custody_test.py
@@ -165,7 +165,7 @@
         net = net_with_sessions(vms=6)
         net.keep_alive(CALLERS, REPLICATION_WAIT_S)
         lost = (1, 2, 3)
-        numbers = {net.relays[number].fleet.me.number for number in lost}
+        numbers = {net.relays[number].fleet.local.number for number in lost}
         excused = {
             tag
             for tag in CALLERS
@@ -237,7 +237,7 @@
         owner.forward_to_default(datagram, net.now)
         flow = net.relays[holder].table.listener(REGISTRY).flows[caller]
         net.relays[holder].record_exchange.replicate(
-            flow, owner.fleet.me.number
+            flow, owner.fleet.local.number
         )
         net.advance(1.0)
         self.assertEqual([holder], net.holders(tag))
