--- a/src/pollenmast/decisions/_fleet.py
+++ b/src/pollenmast/decisions/_fleet.py
@@ -88,7 +88,7 @@
             }
         return self._standbys.get(sender, sender)
 
-    def carries(self, number: int) -> bool:
+    def has_relay(self, number: int) -> bool:
         """Returns whether packets can be sent to the relay of a VM."""
         vm = self._vms.get(number)
         return vm is not None and vm.relay_up
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -63,7 +63,7 @@
             flow: The flow.
             backup: Number of the VM to store the record, 0 for none.
         """
-        if flow.backup and self._fleet.carries(flow.backup):
+        if flow.backup and self._fleet.has_relay(flow.backup):
             self._outbox.add(flow.backup, record_of(flow, RecordFlag.FORGET))
         flow.backup = backup
         if backup:
@@ -111,7 +111,7 @@
         """
         undelivered: list[FlowRecord] = []
         for vm in self._outbox.destinations():
-            if not self._fleet.carries(vm):
+            if not self._fleet.has_relay(vm):
                 undelivered.extend(self._outbox.drop_vm(vm))
         undelivered.extend(self._outbox.flush(now, urgent))
         for record in undelivered:
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -200,7 +200,7 @@
         if endpoint is not None:
             found = pack_found(Found(endpoint, True, forwarded))
             self._peer_sender.send(forwarded.asker, Kind.FOUND, found)
-        elif next_vm and self._fleet.carries(next_vm):
+        elif next_vm and self._fleet.has_relay(next_vm):
             body = pack_forwarded(
                 Forwarded(
                     forwarded.service_port,
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -127,7 +127,7 @@
         self, replica: Replica, datagram: IncomingDatagram, now: float
     ) -> bool:
         """Forwards a datagram to its holder, or adopts a dead holder's flow."""
-        if self._fleet.carries(replica.holder):
+        if self._fleet.has_relay(replica.holder):
             if replica.holder == datagram.previous_hop:
                 return False
             self._forward(replica.holder, datagram, c.ForwardReason.HOLDER)
@@ -231,7 +231,7 @@
     ) -> None:
         # A holder that queries has lost the flow: its relay was restarted.
         lost = replica.holder == forwarded.asker
-        if self._fleet.carries(replica.holder) and not lost:
+        if self._fleet.has_relay(replica.holder) and not lost:
             passed = attrs.evolve(forwarded, asker=0, next_asked=0, hops=2)
             self._counters.add(c.FORWARDS, c.ForwardReason.HOLDER)
             body = pack_forwarded(passed)
@@ -246,7 +246,7 @@
             self._counters.add(c.DROPS, c.DropReason.UNKNOWN_FLOW)
             return
         next_vm = forwarded.next_asked
-        if next_vm and self._fleet.carries(next_vm):
+        if next_vm and self._fleet.has_relay(next_vm):
             self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
             body = pack_forwarded(attrs.evolve(forwarded, next_asked=0))
             self._peer_sender.send(next_vm, Kind.ASK, body)
