--- a/src/pollenmast/decisions/_fleet.py
+++ b/src/pollenmast/decisions/_fleet.py
@@ -61,7 +61,7 @@
         self._changes += 1
         return True
 
-    def note_absence(self, now: float) -> None:
+    def record_absence(self, now: float) -> None:
         """Records that other VMs may have opened flows that this VM owns.
 
         They must be asked, as after a change of owners.
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -369,7 +369,7 @@
             # While this relay's view was stale, other VMs may have opened
             # flows that it owns. Opened a second time here, these flows could
             # reach an endpoint without their handshake state and hang.
-            self._fleet.note_absence(now)
+            self._fleet.record_absence(now)
 
     def _take_manifest(self, data: bytes, now: float) -> None:
         parsed = manifests.parse(data)
