--- a/src/pollenmast/decisions/_fleet.py
+++ b/src/pollenmast/decisions/_fleet.py
@@ -72,7 +72,7 @@
         """Returns the VM with this number, or None if it is dead or unknown."""
         return self._vms.get(number)
 
-    def vm_behind(self, sender: int) -> int:
+    def sending_vm(self, sender: int) -> int:
         """Returns the number of the VM that sent an envelope.
 
         An agent that sends on behalf of its relay uses a number of its own.
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -201,7 +201,7 @@
         """Handles a datagram that another relay forwarded."""
         # If an agent forwarded it in place of its relay, nothing may be sent
         # back to that VM. This VM may not know yet that the relay is gone.
-        previous_hop = self._fleet.vm_behind(opened.sender)
+        previous_hop = self._fleet.sending_vm(opened.sender)
         datagram = self._read(self._unpack(opened), previous_hop)
         if datagram is not None:
             self._forwarder.on_datagram(datagram, now)
