--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -15,7 +15,7 @@
     Dissemination,
 )
 from pollenmast.decisions._heartbeats import Send
-from pollenmast.decisions._members import Change, Why
+from pollenmast.decisions._members import Change, ChangeReason
 from pollenmast.fleet import Vm, VmState
 from pollenmast.manifest import ManifestKey
 from pollenmast.peers import _gossip
@@ -53,8 +53,8 @@
     VmState.ALIVE: events.VM_UPDATED,
 }
 _REASON_EVENTS = {
-    Why.JOINED: events.VM_JOINED,
-    Why.RETURNED: events.VM_RETURNED,
+    ChangeReason.JOINED: events.VM_JOINED,
+    ChangeReason.RETURNED: events.VM_RETURNED,
 }
 
 NewerManifestCallback = Callable[[ManifestKey, Vm], None]
--- a/src/pollenmast/decisions/_members.py
+++ b/src/pollenmast/decisions/_members.py
@@ -16,7 +16,7 @@
 }
 
 
-class Why(str, enum.Enum):
+class ChangeReason(str, enum.Enum):
     """The reason for a change of a member's state."""
 
     JOINED = "joined"
@@ -41,7 +41,7 @@
 
     vm: Vm
     before: VmState | None
-    why: Why
+    why: ChangeReason
 
 
 @attrs.define
@@ -111,7 +111,7 @@
         """Removes the member with this name, if it is known."""
         self._by_name.pop(name, None)
 
-    def merge(self, vm: Vm, now: float, why: Why) -> Change | None:
+    def merge(self, vm: Vm, now: float, why: ChangeReason) -> Change | None:
         """Applies an update about another VM.
 
         A greater incarnation always takes precedence, because only the VM
@@ -133,14 +133,14 @@
                 return None
             known = self._by_name[vm.name] = Member(vm)
             self._set(known, vm, now)
-            return Change(known.view, None, Why.JOINED)
+            return Change(known.view, None, ChangeReason.JOINED)
         if _precedence(vm) <= _precedence(known.vm):
             return None
         before = known.vm.state
         if before is VmState.DEAD and vm.state is not VmState.DEAD:
-            why = Why.RETURNED
+            why = ChangeReason.RETURNED
         elif before is VmState.SUSPECT and vm.state is VmState.ALIVE:
-            why = Why.REFUTED
+            why = ChangeReason.REFUTED
         self._set(known, vm, now)
         return Change(known.view, before, why)
 
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -28,9 +28,9 @@
 from pollenmast.decisions._join_candidates import JoinCandidates
 from pollenmast.decisions._members import (
     Change,
+    ChangeReason,
     Member,
     Members,
-    Why,
     fit_into_budget,
 )
 from pollenmast.decisions._membership_times import Times
@@ -134,12 +134,12 @@
     def set_relay_up(self, up: bool) -> None:
         """Announces whether the local relay answers its agent."""
         if up != self._own.relay_up:
-            self._update_own(relay_up=up, why=Why.UPDATED)
+            self._update_own(relay_up=up, why=ChangeReason.UPDATED)
 
     def leave(self) -> None:
         """Announces a planned shutdown of the local VM."""
         if self._own.state is VmState.ALIVE:
-            self._update_own(state=VmState.LEAVING, why=Why.LEAVES)
+            self._update_own(state=VmState.LEAVING, why=ChangeReason.LEAVES)
 
     def gone(self) -> list[Send]:
         """Announces that the local VM stops now.
@@ -152,7 +152,7 @@
     def stay(self) -> None:
         """Cancels a planned shutdown, because the relay was replaced."""
         if self._own.state is VmState.LEAVING:
-            self._update_own(state=VmState.ALIVE, why=Why.UPDATED)
+            self._update_own(state=VmState.ALIVE, why=ChangeReason.UPDATED)
 
     def set_in_force(self, key: ManifestKey) -> None:
         """Sets the key of the manifest in force on the local VM."""
@@ -210,9 +210,9 @@
             return []
         sends = self._detect_pause(now)
         sender = message.sender
-        self._merge(sender, now, Why.TOLD)
+        self._merge(sender, now, ChangeReason.TOLD)
         for vm in message.members:
-            self._merge(vm, now, Why.TOLD)
+            self._merge(vm, now, ChangeReason.TOLD)
         member = self._members.get(sender.name)
         if member is not None:
             member.heard_s = now
@@ -228,7 +228,7 @@
     def _suspect(self, member: Member, now: float) -> list[Send]:
         """Marks a member as suspect and notifies it, so that it can refute."""
         suspect = attrs.evolve(member.vm, state=VmState.SUSPECT)
-        self._merge(suspect, now, Why.NO_ACK)
+        self._merge(suspect, now, ChangeReason.NO_ACK)
         return [self._heartbeats.ping(member.vm, now)]
 
     def _expire_suspicions(self, now: float) -> None:
@@ -239,7 +239,7 @@
                 and now - since >= self._times.suspicion_timeout
             ):
                 dead = attrs.evolve(member.vm, state=VmState.DEAD)
-                self._merge(dead, now, Why.SUSPICION_OVER)
+                self._merge(dead, now, ChangeReason.SUSPICION_OVER)
 
     # Message handlers.
 
@@ -332,7 +332,7 @@
 
     # Updates of the view.
 
-    def _merge(self, vm: Vm, now: float, why: Why) -> None:
+    def _merge(self, vm: Vm, now: float, why: ChangeReason) -> None:
         if vm.name == self._own.name:
             self._merge_own(vm, now)
             return
@@ -340,9 +340,9 @@
         if change is None:
             return
         self._record_change(change)
-        if change.why is Why.JOINED:
+        if change.why is ChangeReason.JOINED:
             self._heartbeats.add_member(vm.name)
-        if change.why is Why.RETURNED:
+        if change.why is ChangeReason.RETURNED:
             self._heartbeats.retry_dead_soon(now)
 
     def _merge_own(self, vm: Vm, now: float) -> None:
@@ -356,13 +356,13 @@
         if not current or not wrong or own.state is VmState.DEAD:
             return
         self._own = attrs.evolve(own, incarnation=vm.incarnation)
-        self._update_own(why=Why.REFUTED)
+        self._update_own(why=ChangeReason.REFUTED)
         if vm.state is VmState.DEAD:
             # The others continued without this VM, so its view is stale.
             self._freshness.start_refresh(now)
             self._syncs_left = constants.REFRESH_SYNCS
 
-    def _update_own(self, why: Why, **changed: object) -> None:
+    def _update_own(self, why: ChangeReason, **changed: object) -> None:
         before = self._own.state
         changed["incarnation"] = self._own.incarnation + 1
         self._own = attrs.evolve(self._own, **changed)
--- a/tests/agent_gossip_test.py
+++ b/tests/agent_gossip_test.py
@@ -10,7 +10,7 @@
 from pollenmast.agent._node import new_node
 from pollenmast.counters import CONTROL_BYTES
 from pollenmast.decisions._heartbeats import Send
-from pollenmast.decisions._members import Members, Why
+from pollenmast.decisions._members import ChangeReason, Members
 from pollenmast.decisions._membership_times import PAGE_BYTES
 from pollenmast.fleet import EndpointReport
 from pollenmast.manifest import ManifestKey
@@ -166,7 +166,7 @@
         for number in range(40):
             name = f"vm-{number}".ljust(63, "x")
             long_vm = attrs.evolve(vm(number), name=name, zone="z" * 63)
-            members.merge(long_vm, 0.0, Why.TOLD)
+            members.merge(long_vm, 0.0, ChangeReason.TOLD)
         seen, after = [], ""
         while True:
             page, after = members.page(after, PAGE_BYTES)
--- a/tests/agent_probe_test.py
+++ b/tests/agent_probe_test.py
@@ -9,7 +9,7 @@
 
 from pollenmast.agent._node import new_node
 from pollenmast.agent._probe_loop import ProbeLoop
-from pollenmast.decisions._members import Why
+from pollenmast.decisions._members import ChangeReason
 from pollenmast.http1 import Connection, HttpFault, Response
 from pollenmast.manifest import parse
 from tests.agent_manifest_test import LOG, SETTINGS, text
@@ -97,7 +97,7 @@
             await trio.sleep(3)
             now = trio.current_time()
             for number in range(3, 90, 3):
-                node.membership._merge(vm(number), now, Why.JOINED)
+                node.membership._merge(vm(number), now, ChangeReason.JOINED)
             await trio.sleep(1)
             self.probed_at.clear()
             await trio.sleep(10)
--- a/tests/agent_standby_test.py
+++ b/tests/agent_standby_test.py
@@ -9,7 +9,7 @@
 from pollenmast.agent._node import Node, new_node
 from pollenmast.agent._standby import Standby
 from pollenmast.callers import PacketType, read_packet
-from pollenmast.decisions._members import Why
+from pollenmast.decisions._members import ChangeReason
 from pollenmast.fleet import Vm
 from pollenmast.manifest import parse
 from pollenmast.peers._envelope import Opener, sender_id, standby_name
@@ -33,7 +33,7 @@
     node.acceptance.offer(parse(data).unwrap(), data, anyio.current_time())
     for peer in peers:
         now = anyio.current_time()
-        node.membership._members.merge(peer, now, Why.JOINED)
+        node.membership._members.merge(peer, now, ChangeReason.JOINED)
     return node
 
 
