--- a/src/pollenmast/agent/_shutdown.py
+++ b/src/pollenmast/agent/_shutdown.py
@@ -79,7 +79,7 @@
         self._gossip.send(node.membership.tick(anyio.current_time()))
         with anyio.move_on_after(grace_s):
             await self._drain_relay(grace_s)
-        self._gossip.send(node.membership.gone())
+        self._gossip.send(node.membership.announce_stop())
         await anyio.sleep(FINAL_SEND_S)
 
     async def _drain_relay(self, grace_s: float) -> None:
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -141,7 +141,7 @@
         if self._own.state is VmState.ALIVE:
             self._update_own(state=VmState.LEAVING, why=ChangeReason.LEAVES)
 
-    def gone(self) -> list[Send]:
+    def announce_stop(self) -> list[Send]:
         """Announces that the local VM stops now.
 
         Peers then need not detect its failure.
--- a/tests/decisions_membership_test.py
+++ b/tests/decisions_membership_test.py
@@ -188,7 +188,7 @@
         group = Group(SIZE)
         node = group.nodes["vm-3"]
         node.membership.leave()
-        group.send(node, node.membership.gone())
+        group.send(node, node.membership.announce_stop())
         node.ended = True
         group.until(
             lambda: all("vm-3" not in n.states() for n in _live(group)), 0.3
