--- a/src/pollenmast/agent/_link_loop.py
+++ b/src/pollenmast/agent/_link_loop.py
@@ -217,7 +217,7 @@
             if report.draining:
                 node.membership.leave()
             else:
-                node.membership.stay()
+                node.membership.cancel_leave()
         await self._check_relay()
 
     async def _watch_relay(self) -> None:
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -149,7 +149,7 @@
         self._own = attrs.evolve(self._own, state=VmState.DEAD)
         return self._push((self._own,))
 
-    def stay(self) -> None:
+    def cancel_leave(self) -> None:
         """Cancels a planned shutdown, because the relay was replaced."""
         if self._own.state is VmState.LEAVING:
             self._update_own(state=VmState.ALIVE, why=ChangeReason.UPDATED)
