--- a/src/pollenmast/agent/_program.py
+++ b/src/pollenmast/agent/_program.py
@@ -134,7 +134,7 @@
         """Refreshes from the peers, then starts to follow the platform."""
         await self._list.read_first()
         now = anyio.current_time()
-        self._gossip.send(self._node.membership.stale(now))
+        self._gossip.send(self._node.membership.start_refresh(now))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._list.run)
             tasks.start_soon(self._manifests.run)
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -158,7 +158,7 @@
         """Sets the key of the manifest in force on the local VM."""
         self._in_force = key
 
-    def stale(self, now: float) -> list[Send]:
+    def start_refresh(self, now: float) -> list[Send]:
         """Starts a refresh, because the view appears to be stale."""
         self._freshness.start_refresh(now)
         return self._ping_for_refresh(now)
@@ -218,7 +218,7 @@
             member.heard_s = now
         if self._freshness.record_message(now):
             # The network partition may have lasted hours: refresh first.
-            sends += self.stale(now)
+            sends += self.start_refresh(now)
         sends += self._handle_message(message, source, now)
         self._freshness.end_refresh(self._in_force, now)
         return sends + self._push_urgent()
