--- a/src/pollenmast/agent/_link_loop.py
+++ b/src/pollenmast/agent/_link_loop.py
@@ -133,7 +133,7 @@
     async def _send_views(self) -> None:
         while True:
             now = anyio.current_time()
-            self._gossip.send(self._node.membership.look(now))
+            self._gossip.send(self._node.membership.check_for_pause(now))
             await self._link.send(self._build_view(now))
             await self._node.wait_for_change(
                 URGENT_DELAY_S, MIN_VIEW_INTERVAL_S, MAX_VIEW_INTERVAL_S
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -165,7 +165,7 @@
 
     # Events.
 
-    def look(self, now: float) -> list[Send]:
+    def check_for_pause(self, now: float) -> list[Send]:
         """Checks for a pause of the process before the view is used.
 
         This may be the first code to run after a pause. Without the check, a
--- a/tests/decisions_membership_test.py
+++ b/tests/decisions_membership_test.py
@@ -235,7 +235,7 @@
         node.paused = True
         group.run(pause_s)
         node.paused = False
-        group.send(node, node.membership.look(group.now))
+        group.send(node, node.membership.check_for_pause(group.now))
         self.assertFalse(node.membership.fresh)
         group.until(lambda: node.membership.fresh, 1.5)
         self.assertFalse(node.membership.alone)
--- a/tests/proof/_agents.py
+++ b/tests/proof/_agents.py
@@ -181,7 +181,9 @@
         was_fresh = node.membership.fresh
         self.group.pause(node, seconds)
         if was_fresh and seconds > _LEASE_S + 0.5 and not node.ended:
-            self.group.send(node, node.membership.look(self.group.now))
+            self.group.send(
+                node, node.membership.check_for_pause(self.group.now)
+            )
             if node.membership.fresh and len(node.membership.known()) > 1:
                 raise ViolationError(
                     Invariant.DRAINED,
