--- a/src/pollenmast/agent/_vm_list_loop.py
+++ b/src/pollenmast/agent/_vm_list_loop.py
@@ -44,7 +44,7 @@
             return
         now = anyio.current_time()
         membership = self._node.membership
-        self._gossip.send(membership.introduce(answer.ok_value, now))
+        self._gossip.send(membership.update_listed(answer.ok_value, now))
 
     def _interval(self) -> float:
         fleet = len(self._node.membership.vms())
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -173,7 +173,7 @@
         """
         return self._detect_pause(now)
 
-    def introduce(self, listed: Iterable[Vm], now: float) -> list[Send]:
+    def update_listed(self, listed: Iterable[Vm], now: float) -> list[Send]:
         """Takes the platform's list of VMs and pings those not yet known.
 
         Dead members that are missing from the list are removed later.
--- a/tests/decisions_membership_test.py
+++ b/tests/decisions_membership_test.py
@@ -136,7 +136,7 @@
         group.run(4.0)
         node = group.nodes["vm-0"]
         listed = [vm(number) for number in range(8)]
-        group.send(node, node.membership.introduce(listed, group.now))
+        group.send(node, node.membership.update_listed(listed, group.now))
         group.run(3.0)
         self.assertNotIn("vm-4", node.states())
         self.assertIn("vm-8", node.states())
@@ -146,7 +146,9 @@
         group = Group(3)
         group.nodes["vm-2"].ended = True
         node = group.nodes["vm-0"]
-        group.send(node, node.membership.introduce([vm(0), vm(1)], group.now))
+        group.send(
+            node, node.membership.update_listed([vm(0), vm(1)], group.now)
+        )
         group.run(70.0)
         self.assertEqual(2, len(node.membership.known()))
 
--- a/tests/membership_group.py
+++ b/tests/membership_group.py
@@ -103,7 +103,7 @@
         member = Membership(own, self.now, rng, seeds=seeds)
         node = self.nodes[own.name] = Node(member)
         if listed:
-            self.send(node, member.introduce(self._listed, self.now))
+            self.send(node, member.update_listed(self._listed, self.now))
         return node
 
     def run(self, seconds: float) -> None:
--- a/tests/proof/_agents.py
+++ b/tests/proof/_agents.py
@@ -95,7 +95,7 @@
         """Gives every agent the platform's current list of VMs."""
         listed = [node.membership.own for node in self.running()]
         for node in self.running():
-            sends = node.membership.introduce(listed, self.now)
+            sends = node.membership.update_listed(listed, self.now)
             self.send(node, sends)
 
     def running(self) -> list[Node]:
