--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -168,7 +168,7 @@
         membership = self._node.membership
         changes = membership.take_changes()
         for change in changes:
-            update = membership.told(change.vm.name)
+            update = membership.latest_update(change.vm.name)
             self._members.add(update.name, update, _gossip.member_size(update))
             self._log_change(change)
         if membership.fresh != self._was_fresh:
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -406,9 +406,9 @@
 
     def _record_change(self, change: Change) -> None:
         self._changes.append(change)
-        self._urgent[change.vm.name] = self.told(change.vm.name)
+        self._urgent[change.vm.name] = self.latest_update(change.vm.name)
 
-    def told(self, name: str) -> Vm:
+    def latest_update(self, name: str) -> Vm:
         """Returns the latest state of a VM, as announced to peers."""
         member = self._members.get(name)
         return member.vm if member else self._own
--- a/tests/membership_group.py
+++ b/tests/membership_group.py
@@ -142,7 +142,7 @@
     def send(self, node: Node, sends: list[Send]) -> None:
         """Sends a member's messages, with its queued updates added."""
         for change in node.membership.take_changes():
-            told = node.membership.told(change.vm.name)
+            told = node.membership.latest_update(change.vm.name)
             node.news.add(told.name, told, _gossip.member_size(told))
         for send in sends:
             carries = send.act in (Act.PING, Act.ACK)
