--- a/src/pollenmast/agent/_probe_loop.py
+++ b/src/pollenmast/agent/_probe_loop.py
@@ -116,7 +116,7 @@
             if self._log_health_change(news.report):
                 # An endpoint that leaves must get no new work after a few
                 # seconds, and heartbeats may take longer to reach every VM.
-                self._gossip.send(self._node.membership.push())
+                self._gossip.send(self._node.membership.push_messages())
         self._node.notify_changed()
 
     def _log_health_change(self, report: EndpointReport) -> bool:
--- a/src/pollenmast/agent/_program.py
+++ b/src/pollenmast/agent/_program.py
@@ -144,4 +144,4 @@
         membership = self._node.membership
         membership.set_in_force(self._node.acceptance.key)
         self._node.notify_changed(at_once=True)
-        self._gossip.send(membership.push())
+        self._gossip.send(membership.push_messages())
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -422,7 +422,7 @@
             for vm in self._sample(others, constants.URGENT_FANOUT)
         ]
 
-    def push(self) -> list[Send]:
+    def push_messages(self) -> list[Send]:
         """Returns messages to a few random members for urgent updates.
 
         The messages are empty; the sender adds the updates.
