--- a/src/pollenmast/agent/_knowledge.py
+++ b/src/pollenmast/agent/_knowledge.py
@@ -117,7 +117,7 @@
             digest=node.acceptance.key.digest,
             age_s=round(age_s, 3) if age_s is not None else None,
             relay_version=report.version if report else 0,
-            heard_version=node.acceptance.heard.version,
+            heard_version=node.acceptance.greatest_known_key.version,
         )
 
     def _relay(self) -> operators.RelayStatus:
--- a/src/pollenmast/decisions/_acceptance.py
+++ b/src/pollenmast/decisions/_acceptance.py
@@ -70,7 +70,7 @@
         return self._in_force.key if self._in_force else ManifestKey()
 
     @property
-    def heard(self) -> ManifestKey:
+    def greatest_known_key(self) -> ManifestKey:
         """The greatest key that any VM is known to have in force."""
         return max(self._heard, self.key)
 
--- a/tests/decisions_acceptance_test.py
+++ b/tests/decisions_acceptance_test.py
@@ -79,7 +79,7 @@
         self.assertTrue(acceptance.wants(key))
         acceptance.refuse(key)
         self.assertFalse(acceptance.wants(key))
-        self.assertEqual(key, acceptance.heard)
+        self.assertEqual(key, acceptance.greatest_known_key)
         for version in range(100, 100 + MAX_REFUSED):
             acceptance.refuse(ManifestKey(version, LOW))
         self.assertTrue(acceptance.wants(key))
