--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -155,7 +155,7 @@
         if new_reports:
             self._node.notify_changed()
         key = ManifestKey(message.version, message.digest.hex())
-        if self._node.acceptance.wants(key):
+        if self._node.acceptance.should_fetch(key):
             self._on_newer_manifest(key, message.sender)
         return new_reports
 
--- a/src/pollenmast/decisions/_acceptance.py
+++ b/src/pollenmast/decisions/_acceptance.py
@@ -74,7 +74,7 @@
         """The greatest key that any VM is known to have in force."""
         return max(self._heard, self.key)
 
-    def wants(self, key: ManifestKey) -> bool:
+    def should_fetch(self, key: ManifestKey) -> bool:
         """Records a peer's key in force; returns whether to fetch the text."""
         self._heard = max(self._heard, key)
         return key > self.key and key not in self._refused
--- a/tests/decisions_acceptance_test.py
+++ b/tests/decisions_acceptance_test.py
@@ -76,10 +76,10 @@
         """
         acceptance = Acceptance()
         key = ManifestKey(9, LOW)
-        self.assertTrue(acceptance.wants(key))
+        self.assertTrue(acceptance.should_fetch(key))
         acceptance.refuse(key)
-        self.assertFalse(acceptance.wants(key))
+        self.assertFalse(acceptance.should_fetch(key))
         self.assertEqual(key, acceptance.greatest_known_key)
         for version in range(100, 100 + MAX_REFUSED):
             acceptance.refuse(ManifestKey(version, LOW))
-        self.assertTrue(acceptance.wants(key))
+        self.assertTrue(acceptance.should_fetch(key))
--- a/tests/proof/_agents.py
+++ b/tests/proof/_agents.py
@@ -81,7 +81,9 @@
     def _receive(self, node: Node, message, source) -> None:
         key = ManifestKey(message.version, message.digest.hex())
         peer = self.nodes.get(message.sender.name)
-        if self.accepted[node.name].wants(key) and self._answers(node, peer):
+        if self.accepted[node.name].should_fetch(key) and self._answers(
+            node, peer
+        ):
             in_force = self.accepted[peer.name].in_force
             if in_force is not None:
                 self.offer(node, in_force.text)
