--- a/src/pollenmast/agent/_probe_loop.py
+++ b/src/pollenmast/agent/_probe_loop.py
@@ -110,7 +110,7 @@
         reports = self._node.reports
         sequence = reports.next_sequence(number, name)
         report = _report(number, name, sequence, load)
-        news = reports.own(report, anyio.current_time(), load.is_ok())
+        news = reports.record_local(report, anyio.current_time(), load.is_ok())
         if news is not None:
             self._gossip.queue_report(news)
             if self._log_health_change(news.report):
--- a/src/pollenmast/decisions/_probing.py
+++ b/src/pollenmast/decisions/_probing.py
@@ -194,7 +194,7 @@
         )
         return max(known_sequences, default=self._floor) + 1
 
-    def own(
+    def record_local(
         self, report: EndpointReport, now: float, answered: bool = True
     ) -> ProbeNews | None:
         """Records the result of a probe by the local VM.
--- a/tests/decisions_probing_test.py
+++ b/tests/decisions_probing_test.py
@@ -116,11 +116,11 @@
         A second one in a row makes the endpoint unhealthy.
         """
         reports = _reports()
-        reports.own(REPORT, 0.0)
+        reports.record_local(REPORT, 0.0)
         failed = _report(sequence=12, healthy=False)
-        self.assertIsNone(reports.own(failed, 0.5, answered=False))
+        self.assertIsNone(reports.record_local(failed, 0.5, answered=False))
         self.assertTrue(reports.view(0.5)[0].healthy)
-        self.assertIsNotNone(reports.own(failed, 1.0, answered=False))
+        self.assertIsNotNone(reports.record_local(failed, 1.0, answered=False))
         self.assertFalse(reports.view(1.0)[0].healthy)
 
     def test_leaving_takes_effect_immediately(self):
@@ -130,9 +130,9 @@
         would get new sessions for another second and could not stop in time.
         """
         reports = _reports()
-        reports.own(REPORT, 0.0)
+        reports.record_local(REPORT, 0.0)
         leaving = _report(sequence=12, healthy=False)
-        self.assertIsNotNone(reports.own(leaving, 0.5))
+        self.assertIsNotNone(reports.record_local(leaving, 0.5))
         self.assertFalse(reports.view(0.5)[0].healthy)
 
     def test_one_prober_cut_off(self):
@@ -145,7 +145,7 @@
         reports.heard(ProbeNews(PEER, REPORT), 0.0)
         for sequence in (12, 14):
             failed = _report(sequence=sequence, healthy=False)
-            reports.own(failed, 0.1, answered=False)
+            reports.record_local(failed, 0.1, answered=False)
         self.assertTrue(reports.view(0.2)[0].healthy)
 
     def test_report_of_silent_prober_expires(self):
@@ -158,7 +158,8 @@
         """An idle endpoint causes one report every two seconds."""
         reports = _reports()
         sent = [
-            reports.own(_report(sequence=11 + n), n * 0.5) for n in range(20)
+            reports.record_local(_report(sequence=11 + n), n * 0.5)
+            for n in range(20)
         ]
         self.assertEqual(5, sum(news is not None for news in sent))
 
