--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -150,7 +150,7 @@
         """
         reports = self._node.reports
         new_reports = [
-            news for news in message.probes if reports.heard(news, now)
+            news for news in message.probes if reports.record_peer(news, now)
         ]
         if new_reports:
             self._node.notify_changed()
--- a/src/pollenmast/decisions/_probing.py
+++ b/src/pollenmast/decisions/_probing.py
@@ -234,7 +234,7 @@
         self._sent[key] = (report, now)
         return news
 
-    def heard(self, news: ProbeNews, now: float) -> bool:
+    def record_peer(self, news: ProbeNews, now: float) -> bool:
         """Records a peer's report; returns whether it was not yet known."""
         key = (news.report.service, news.report.endpoint)
         by_prober = self._reports.setdefault(key, {})
