--- a/bench/_capacity_relay.py
+++ b/bench/_capacity_relay.py
@@ -8,7 +8,7 @@
 from pollenmast import counters as c
 from pollenmast.decisions._ownership import flow_hash
 from pollenmast.peers._envelope import Opener, Sealer
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     ConnectionId,
     FlowRecord,
@@ -112,7 +112,9 @@
             start = time.process_time()
             for _ in range(_MESSAGES):
                 flow_hash(1, "10.0.0.1", 4000)
-                data = sealer.seal(Kind.FORWARD, pack_forwarded(forwarded))
+                data = sealer.seal(
+                    MessageType.FORWARD, pack_forwarded(forwarded)
+                )
                 unpack_forwarded(opener.open(data, 0.0).unwrap().body)
             best = min(best, time.process_time() - start)
         points.append((size, best / _MESSAGES * 1e6))
@@ -132,8 +134,8 @@
     for count in _BATCH_SIZES:
         record = FlowRecord(1, "10.0.0.1", 4000, 7)
         body = b"\0\0\0\1" + pack_records([record] * count)
-        sent = len(sealer.seal(Kind.RECORDS, body)) + _UDP_BYTES
-        ack = len(sealer.seal(Kind.RECORDS_TAKEN, body[:4])) + _UDP_BYTES
+        sent = len(sealer.seal(MessageType.RECORDS, body)) + _UDP_BYTES
+        ack = len(sealer.seal(MessageType.RECORDS_TAKEN, body[:4])) + _UDP_BYTES
         points.append((count, sent + ack))
     return Slope("a batch of records", "B", "records", tuple(points), at_size)
 
@@ -144,7 +146,7 @@
     points = []
     for count in _BATCH_SIZES:
         body = pack_connection_ids([ConnectionId(1, 2, 3)] * count)
-        sealed = sealer.seal(Kind.CONNECTION_IDS, body)
+        sealed = sealer.seal(MessageType.CONNECTION_IDS, body)
         points.append((count, len(sealed) + _UDP_BYTES))
     return Slope(
         "a batch of connection ids", "B", "ids", tuple(points), at_size
--- a/src/pollenmast/agent/_standby.py
+++ b/src/pollenmast/agent/_standby.py
@@ -21,7 +21,7 @@
 from pollenmast.fleet import Vm
 from pollenmast.manifest import Service
 from pollenmast.peers._envelope import Sealer, standby_name
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import Forwarded, pack_forwarded
 from pollenmast.peers._udp import service_socket
 
@@ -203,7 +203,9 @@
     def _forward(
         self, sock: socket.socket, vm: Vm, forwarded: Forwarded
     ) -> None:
-        envelope = self._sealer.seal(Kind.FORWARD, pack_forwarded(forwarded))
+        envelope = self._sealer.seal(
+            MessageType.FORWARD, pack_forwarded(forwarded)
+        )
         counters = self._node.counters
         try:
             sock.sendto(envelope, (vm.address, vm.relay_port))
--- a/src/pollenmast/peers/_fetch.py
+++ b/src/pollenmast/peers/_fetch.py
@@ -17,7 +17,7 @@
 from pollenmast.manifest import ManifestKey
 from pollenmast.peers import _nng
 from pollenmast.peers._envelope import Opened, Opener, Sealer
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 
 MAX_MESSAGE_BYTES = (1 << 20) + 1024
 """Limit on a received message: a manifest of 1 MiB, and its framing."""
@@ -64,7 +64,7 @@
         """
         request = FetchRequest(key.version, key.digest)
         body = _CONVERTER.dumps(request)
-        data = self._sealer.seal(Kind.FETCH, body)
+        data = self._sealer.seal(MessageType.FETCH, body)
         received = None
         try:
             with pynng.Req0(recv_max_size=MAX_MESSAGE_BYTES) as socket:
@@ -134,7 +134,7 @@
         # request only after it has replied to this one.
         text = self._text() if request else None
         body = _CONVERTER.dumps(FetchReply(text))
-        reply = self._sealer.seal(Kind.FETCH, body)
+        reply = self._sealer.seal(MessageType.FETCH, body)
         await _nng.send(self._socket, reply)
         self._counters.add(CONTROL_BYTES, "fetch", len(reply))
 
@@ -146,7 +146,7 @@
     if opened.is_err():
         counters.add(ENVELOPE_FAULTS, opened.unwrap_err())
         return None
-    if opened.unwrap().kind != Kind.FETCH:
+    if opened.unwrap().kind != MessageType.FETCH:
         counters.add(ENVELOPE_FAULTS, EnvelopeFault.MALFORMED)
         return None
     return opened.unwrap()
--- a/src/pollenmast/peers/_gossip_socket.py
+++ b/src/pollenmast/peers/_gossip_socket.py
@@ -17,7 +17,7 @@
 )
 from pollenmast.peers import _gossip
 from pollenmast.peers._envelope import Opener, Sealer
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 
 Address = tuple[str, int]
 
@@ -69,7 +69,7 @@
             The size of the datagram in bytes, or 0 if it was not sent.
         """
         body = _gossip.encode(message)
-        data = self._sealer.seal(Kind.GOSSIP, body)
+        data = self._sealer.seal(MessageType.GOSSIP, body)
         try:
             self._socket.sendto(data, to)
         except OSError:
@@ -101,7 +101,7 @@
             self._counters.add(ENVELOPE_FAULTS, opened.unwrap_err())
             return None
         envelope = opened.unwrap()
-        if envelope.kind != Kind.GOSSIP:
+        if envelope.kind != MessageType.GOSSIP:
             self._counters.add(ENVELOPE_FAULTS, EnvelopeFault.MALFORMED)
             return None
         decoded = _gossip.decode(envelope.body)
--- a/src/pollenmast/peers/_kinds.py
+++ b/src/pollenmast/peers/_kinds.py
@@ -3,7 +3,7 @@
 import enum
 
 
-class Kind(enum.IntEnum):
+class MessageType(enum.IntEnum):
     """The type of an envelope's body.
 
     All ports share one number space, so that an envelope captured on one port
--- a/src/pollenmast/peers/_link.py
+++ b/src/pollenmast/peers/_link.py
@@ -8,7 +8,7 @@
 from pollenmast.counters import ENVELOPE_FAULTS, Counters, EnvelopeFault
 from pollenmast.peers import _codec, _nng
 from pollenmast.peers._envelope import Opener, Sealer
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 
 MAX_MESSAGE_BYTES = 8 << 20
 """Limit on a received message. It fits a fleet view with a manifest of a
@@ -87,7 +87,7 @@
 
     async def send(self, message: object) -> bool:
         """Sends a message; returns whether pynng accepted it in time."""
-        data = self._sealer.seal(Kind.LINK, _codec.encode(message))
+        data = self._sealer.seal(MessageType.LINK, _codec.encode(message))
         with anyio.move_on_after(SEND_TIMEOUT_S):
             try:
                 await _nng.send(self._socket, data)
@@ -120,7 +120,7 @@
             self._counters.add(ENVELOPE_FAULTS, opened.unwrap_err())
             return None
         decoded = _codec.decode(opened.unwrap().body)
-        if opened.unwrap().kind != Kind.LINK or decoded.is_err():
+        if opened.unwrap().kind != MessageType.LINK or decoded.is_err():
             self._counters.add(ENVELOPE_FAULTS, EnvelopeFault.MALFORMED)
             return None
         return decoded.unwrap()
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -18,7 +18,7 @@
 from pollenmast.decisions._fleet import Fleet
 from pollenmast.peers import _messages as messages
 from pollenmast.peers._envelope import Opener, Sealer
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import endpoint_id
 from pollenmast.relay._custody import RecordExchange
 from pollenmast.relay._directory import ConnectionIdDirectory
@@ -94,15 +94,17 @@
         self._loads = EndpointLoads(self._table, self._dispatcher)
         self._draining = False
         self._handlers = {
-            Kind.FORWARD: self._routing.on_forward,
-            Kind.ASK: self._routing.on_ask,
-            Kind.UNKNOWN: self._routing.on_unknown,
-            Kind.FIND: self._routing.on_find,
-            Kind.FOUND: self._routing.on_found,
-            Kind.NOT_FOUND: self._routing.on_not_found,
-            Kind.CONNECTION_IDS: self._connection_ids.on_entries,
-            Kind.RECORDS: self._record_exchange.on_records,
-            Kind.RECORDS_TAKEN: self._record_exchange.on_records_acknowledged,
+            MessageType.FORWARD: self._routing.on_forward,
+            MessageType.ASK: self._routing.on_ask,
+            MessageType.UNKNOWN: self._routing.on_unknown,
+            MessageType.FIND: self._routing.on_find,
+            MessageType.FOUND: self._routing.on_found,
+            MessageType.NOT_FOUND: self._routing.on_not_found,
+            MessageType.CONNECTION_IDS: self._connection_ids.on_entries,
+            MessageType.RECORDS: self._record_exchange.on_records,
+            MessageType.RECORDS_TAKEN: (
+                self._record_exchange.on_records_acknowledged
+            ),
         }
 
     @property
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -3,7 +3,7 @@
 from pollenmast import counters as c
 from pollenmast.decisions._fleet import Fleet
 from pollenmast.peers._envelope import Opened
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     FlowRecord,
     RecordFlag,
@@ -140,7 +140,7 @@
         self._counters.add(
             c.CONTROL_BYTES, "replication", ACKNOWLEDGEMENT_BYTES
         )
-        self._peer_sender.send(opened.sender, Kind.RECORDS_TAKEN, number)
+        self._peer_sender.send(opened.sender, MessageType.RECORDS_TAKEN, number)
 
     def _apply_record(
         self, record: FlowRecord, sender: int, now: float
@@ -239,7 +239,7 @@
         return listener.flows.get((record.ip, record.port))
 
     def _send_records(self, vm: int, body: bytes) -> None:
-        self._peer_sender.send(vm, Kind.RECORDS, body)
+        self._peer_sender.send(vm, MessageType.RECORDS, body)
 
 
 def record_of(flow: Flow, flag: int) -> FlowRecord:
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -26,7 +26,7 @@
 from pollenmast.decisions._ownership import connection_id_hash
 from pollenmast.manifest import ServiceKind
 from pollenmast.peers._envelope import Opened
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     MOST_RECORDS,
     ConnectionId,
@@ -144,7 +144,7 @@
                     entries[start : start + MOST_RECORDS]
                 )
                 self._counters.add(c.CONTROL_BYTES, "replication", len(body))
-                self._peer_sender.send(vm, Kind.CONNECTION_IDS, body)
+                self._peer_sender.send(vm, MessageType.CONNECTION_IDS, body)
         self._outgoing = {}
 
     def search(self, datagram: IncomingDatagram, now: float) -> bool:
@@ -179,7 +179,9 @@
             asked[1] if len(asked) > 1 else 0,
         )
         self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
-        self._peer_sender.send(asked[0], Kind.FIND, pack_forwarded(forwarded))
+        self._peer_sender.send(
+            asked[0], MessageType.FIND, pack_forwarded(forwarded)
+        )
         return True
 
     def on_entries(self, opened: Opened, now: float) -> None:
@@ -199,7 +201,7 @@
         next_vm = forwarded.next_asked
         if endpoint is not None:
             found = pack_found(Found(endpoint, True, forwarded))
-            self._peer_sender.send(forwarded.asker, Kind.FOUND, found)
+            self._peer_sender.send(forwarded.asker, MessageType.FOUND, found)
         elif next_vm and self._fleet.has_relay(next_vm):
             body = pack_forwarded(
                 Forwarded(
@@ -211,10 +213,10 @@
                     forwarded.asker,
                 )
             )
-            self._peer_sender.send(next_vm, Kind.FIND, body)
+            self._peer_sender.send(next_vm, MessageType.FIND, body)
         else:
             body = pack_forwarded(forwarded)
-            self._peer_sender.send(forwarded.asker, Kind.NOT_FOUND, body)
+            self._peer_sender.send(forwarded.asker, MessageType.NOT_FOUND, body)
 
     def _adopt_moved_caller(
         self, datagram: IncomingDatagram, endpoint: int, now: float
--- a/src/pollenmast/relay/_peer_sender.py
+++ b/src/pollenmast/relay/_peer_sender.py
@@ -3,7 +3,7 @@
 from pollenmast import counters as c
 from pollenmast.decisions._fleet import Fleet
 from pollenmast.peers._envelope import Sealer
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.relay._table import Transport
 
 
@@ -22,7 +22,7 @@
         self._sealer = sealer
         self._counters = counters
 
-    def send(self, number: int, kind: Kind, body: bytes) -> None:
+    def send(self, number: int, kind: MessageType, body: bytes) -> None:
         """Sends a message to a VM's relay; dropped if the VM is dead."""
         vm = self._fleet.vm(number)
         if vm is None:
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -16,7 +16,7 @@
 from pollenmast.decisions._ownership import Member
 from pollenmast.decisions._token_bucket import TokenBucket
 from pollenmast.peers._envelope import Opened
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     Forwarded,
     Found,
@@ -176,7 +176,9 @@
             next_asked=asked[1] if len(asked) > 1 else 0,
         )
         self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
-        self._peer_sender.send(asked[0], Kind.ASK, pack_forwarded(forwarded))
+        self._peer_sender.send(
+            asked[0], MessageType.ASK, pack_forwarded(forwarded)
+        )
 
     def _handle_unknown_flow(
         self, datagram: IncomingDatagram, now: float
@@ -195,7 +197,7 @@
             return
         self._counters.add(c.FORWARDS, reason)
         body = pack_forwarded(_forwarded(datagram, hops=datagram.hops + 1))
-        self._peer_sender.send(vm, Kind.FORWARD, body)
+        self._peer_sender.send(vm, MessageType.FORWARD, body)
 
     def on_forward(self, opened: Opened, now: float) -> None:
         """Handles a datagram that another relay forwarded."""
@@ -235,11 +237,11 @@
             passed = attrs.evolve(forwarded, asker=0, next_asked=0, hops=2)
             self._counters.add(c.FORWARDS, c.ForwardReason.HOLDER)
             body = pack_forwarded(passed)
-            self._peer_sender.send(replica.holder, Kind.FORWARD, body)
+            self._peer_sender.send(replica.holder, MessageType.FORWARD, body)
             return
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
         found = pack_found(Found(replica.endpoint, False, forwarded))
-        self._peer_sender.send(forwarded.asker, Kind.FOUND, found)
+        self._peer_sender.send(forwarded.asker, MessageType.FOUND, found)
 
     def _ask_next(self, forwarded: Forwarded) -> None:
         if self._may_be_anothers(forwarded):
@@ -249,11 +251,11 @@
         if next_vm and self._fleet.has_relay(next_vm):
             self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
             body = pack_forwarded(attrs.evolve(forwarded, next_asked=0))
-            self._peer_sender.send(next_vm, Kind.ASK, body)
+            self._peer_sender.send(next_vm, MessageType.ASK, body)
             return
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
         body = pack_forwarded(forwarded)
-        self._peer_sender.send(forwarded.asker, Kind.UNKNOWN, body)
+        self._peer_sender.send(forwarded.asker, MessageType.UNKNOWN, body)
 
     def on_find(self, opened: Opened, now: float) -> None:
         """Answers a query for the connection id in a datagram."""
--- a/tests/agent_standby_test.py
+++ b/tests/agent_standby_test.py
@@ -13,7 +13,7 @@
 from pollenmast.fleet import Vm
 from pollenmast.manifest import parse
 from pollenmast.peers._envelope import Opener, sender_id, standby_name
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import unpack_forwarded
 from pollenmast.peers._udp import service_socket, udp_socket
 from standins._addresses import Reservation
@@ -120,7 +120,7 @@
             env.send(data)
             envelope = await env.received_by_peer()
             forwarded = unpack_forwarded(envelope.body).unwrap()
-            self.assertEqual(Kind.FORWARD, envelope.kind)
+            self.assertEqual(MessageType.FORWARD, envelope.kind)
             self.assertEqual(sender_id(standby_name("vm-0")), envelope.sender)
             self.assertEqual(
                 (_PORT, *env.caller.getsockname(), 1, data),
--- a/tests/peers_gossip_test.py
+++ b/tests/peers_gossip_test.py
@@ -12,7 +12,7 @@
 from pollenmast.peers._envelope import Opener, Sealer
 from pollenmast.peers._gossip import Act, Gossip, ProbeNews
 from pollenmast.peers._gossip_socket import GossipSocket
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from tests.membership_group import vm
 
 KEY = bytes(range(32))
@@ -153,14 +153,14 @@
 
     def test_valid_datagram(self):
         """A valid datagram is accepted once."""
-        data = self.sealer.seal(Kind.GOSSIP, _gossip.encode(EXAMPLE))
+        data = self.sealer.seal(MessageType.GOSSIP, _gossip.encode(EXAMPLE))
         self.assertEqual(EXAMPLE, self._open(data))
         self.assertIsNone(self._open(data))
         self.assertEqual(1, self._faults(EnvelopeFault.REPLAYED))
 
     def test_wrong_kind(self):
         """A captured link envelope is dropped when sent to the gossip port."""
-        data = self.sealer.seal(Kind.LINK, _gossip.encode(EXAMPLE))
+        data = self.sealer.seal(MessageType.LINK, _gossip.encode(EXAMPLE))
         self.assertIsNone(self._open(data))
         self.assertEqual(1, self._faults(EnvelopeFault.MALFORMED))
 
@@ -171,7 +171,9 @@
 
         If it were accepted, anyone on the path could declare VMs dead.
         """
-        data = bytearray(self.sealer.seal(Kind.GOSSIP, _gossip.encode(EXAMPLE)))
+        data = bytearray(
+            self.sealer.seal(MessageType.GOSSIP, _gossip.encode(EXAMPLE))
+        )
         place %= len(data)
         data[place] ^= flip
         forged = bytes(data[:place]) if cut else bytes(data)
--- a/tests/proof/_scenarios.py
+++ b/tests/proof/_scenarios.py
@@ -1,7 +1,7 @@
 """Short fixed runs of the rules, each of which exercises one invariant."""
 
 from pollenmast.peers._envelope import MOST_SENDERS, Opener, Sealer
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import FlowRecord, RecordFlag, pack_records
 from standins import memory as fakes
 from tests.proof import _traffic as traffic
@@ -271,7 +271,7 @@
     core = machine.world.nodes[1].core
     record = FlowRecord(4001, "10.0.0.9", 30000, 7, RecordFlag.KEEP)
     body = bytes(4) + pack_records([record])
-    genuine = Sealer("vm-2", fakes.KEY).seal(Kind.RECORDS, body)
+    genuine = Sealer("vm-2", fakes.KEY).seal(MessageType.RECORDS, body)
     for place in range(len(genuine)):
         bent = bytes([genuine[place] ^ 1])
         forged = genuine[:place] + bent + genuine[place + 1 :]
@@ -290,7 +290,7 @@
         bytes(4) + pack_records([FlowRecord(4001, "10.0.0.9", 30000, 7, flag)])
         for flag in (RecordFlag.KEEP, RecordFlag.FORGET)
     ]
-    keep, forget = [sealer.seal(Kind.RECORDS, body) for body in bodies]
+    keep, forget = [sealer.seal(MessageType.RECORDS, body) for body in bodies]
     for data in (keep, forget, keep):
         core.on_peer(data, now)
     if len(core.record_exchange.replicas):
@@ -321,7 +321,7 @@
     """Envelopes arrive from ever more senders that have the key."""
     opener = Opener(fakes.KEY)
     for number in range(MOST_SENDERS + 50):
-        data = Sealer(f"vm-{number}", fakes.KEY).seal(Kind.GOSSIP, b"")
+        data = Sealer(f"vm-{number}", fakes.KEY).seal(MessageType.GOSSIP, b"")
         opener.open(data, 0.0)
     if len(opener._windows) > MOST_SENDERS:
         raise ViolationError(
--- a/tests/proof_parsers_test.py
+++ b/tests/proof_parsers_test.py
@@ -10,7 +10,7 @@
 from pollenmast.callers import LONG_HEADER, read_packet, without_early_data
 from pollenmast.peers import _codec, _gossip
 from pollenmast.peers._envelope import MOST_BYTES, Opener, Sealer
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     MOST_RECORDS,
     Forwarded,
@@ -120,12 +120,14 @@
     @given(
         st.one_of(
             _noise(),
-            _corrupted([Sealer("vm-2", fakes.KEY).seal(Kind.RECORDS, b"abc")]),
+            _corrupted(
+                [Sealer("vm-2", fakes.KEY).seal(MessageType.RECORDS, b"abc")]
+            ),
         )
     )
     def test_unauthenticated(self, data):
         """An envelope that was not sealed with the fleet's key is rejected."""
-        genuine = Sealer("vm-2", fakes.KEY).seal(Kind.RECORDS, b"abc")
+        genuine = Sealer("vm-2", fakes.KEY).seal(MessageType.RECORDS, b"abc")
         opener = Opener(bytes(32))
         self.assertTrue(opener.open(data, 0.0).is_err())
         self.assertTrue(opener.open(genuine, 0.0).is_err())
--- a/tests/relay_routing_test.py
+++ b/tests/relay_routing_test.py
@@ -7,7 +7,7 @@
 from pollenmast.decisions._ownership import flow_hash
 from pollenmast.fleet import VmState
 from pollenmast.peers._envelope import Sealer, standby_name
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     FlowRecord,
     Forwarded,
@@ -97,7 +97,7 @@
         body = pack_forwarded(
             Forwarded(port, *address_of(owned), 1, initial(owned))
         )
-        net.peer(2, sealer.seal(Kind.FORWARD, body), ("127.0.1.1", 0))
+        net.peer(2, sealer.seal(MessageType.FORWARD, body), ("127.0.1.1", 0))
         net.deliver()
         self.assertEqual([1], net.holders(owned))
         self.assertIn(owned, net.sessions)
@@ -180,7 +180,7 @@
         net = Net(vms=2)
         record = FlowRecord(REGISTRY, *address_of("c1"), 7, RecordFlag.KEEP)
         body = b"\0\0\0\1" + pack_records([record])
-        data = Sealer("vm-2", bytes(32)).seal(Kind.RECORDS, body)
+        data = Sealer("vm-2", bytes(32)).seal(MessageType.RECORDS, body)
         net.relays[1].on_peer(data, net.now)
         self.assertEqual(0, len(net.relays[1].record_exchange.replicas))
         faults = c.EnvelopeFault
@@ -218,7 +218,7 @@
         net.vms[2] = vm(2, state=state)
         net.publish()
         sealer = Sealer("vm-2", KEY)
-        for kind in Kind:
+        for kind in MessageType:
             net.relays[1].on_peer(sealer.seal(kind, b"\xff" * 50), net.now)
         self.assertEqual(0, net.relays[1].table.flows)
         self.assertEqual(0, len(net.relays[1].record_exchange.replicas))
