--- a/src/pollenmast/peers/_kinds.py
+++ b/src/pollenmast/peers/_kinds.py
@@ -23,12 +23,13 @@
     """Relay to relay: a caller's datagram, forwarded to its flow's owner or
     holder."""
 
-    ASK = 11
+    FLOW_LOOKUP = 11
     """Relay to relay: a datagram whose flow the sender does not know; the
     receiver handles it if it knows the flow."""
 
     UNKNOWN = 12
-    """Relay to relay: returns the datagram of an ASK; its flow is unknown."""
+    """Relay to relay: returns the datagram of a FLOW_LOOKUP; its flow is
+    unknown."""
 
     RECORDS = 13
     """Relay to relay: a batch of flow records; see `RecordFlag`."""
@@ -37,8 +38,8 @@
     """Relay to relay: acknowledges a batch of RECORDS."""
 
     FOUND = 15
-    """Relay to relay: returns the datagram of an ASK or FIND, with the endpoint
-    of its flow."""
+    """Relay to relay: returns the datagram of a FLOW_LOOKUP or FIND, with the
+    endpoint of its flow."""
 
     CONNECTION_IDS = 16
     """Relay to relay: connection IDs and their endpoints, to store."""
--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -155,7 +155,7 @@
 
 
 def pack_forwarded(forwarded: Forwarded) -> bytes:
-    """Returns the body of a FORWARD, ASK, UNKNOWN, FIND or NOT_FOUND."""
+    """Returns the body of a FORWARD, a lookup or its negative answer."""
     ip = pack_ip(forwarded.ip)
     fixed = _FORWARD.pack(
         forwarded.service_port,
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -95,7 +95,7 @@
         self._draining = False
         self._handlers = {
             MessageType.FORWARD: self._routing.on_forward,
-            MessageType.ASK: self._routing.on_ask,
+            MessageType.FLOW_LOOKUP: self._routing.on_ask,
             MessageType.UNKNOWN: self._routing.on_unknown,
             MessageType.FIND: self._routing.on_find,
             MessageType.FOUND: self._routing.on_found,
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -177,7 +177,7 @@
         )
         self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
         self._peer_sender.send(
-            asked[0], MessageType.ASK, pack_forwarded(forwarded)
+            asked[0], MessageType.FLOW_LOOKUP, pack_forwarded(forwarded)
         )
 
     def _handle_unknown_flow(
@@ -251,7 +251,7 @@
         if next_vm and self._fleet.has_relay(next_vm):
             self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
             body = pack_forwarded(attrs.evolve(forwarded, next_asked=0))
-            self._peer_sender.send(next_vm, MessageType.ASK, body)
+            self._peer_sender.send(next_vm, MessageType.FLOW_LOOKUP, body)
             return
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
         body = pack_forwarded(forwarded)
