--- a/src/pollenmast/peers/_kinds.py
+++ b/src/pollenmast/peers/_kinds.py
@@ -27,7 +27,7 @@
     """Relay to relay: a datagram whose flow the sender does not know; the
     receiver handles it if it knows the flow."""
 
-    UNKNOWN = 12
+    FLOW_NOT_FOUND = 12
     """Relay to relay: returns the datagram of a FLOW_LOOKUP; its flow is
     unknown."""
 
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -96,7 +96,7 @@
         self._handlers = {
             MessageType.FORWARD: self._routing.on_forward,
             MessageType.FLOW_LOOKUP: self._routing.on_ask,
-            MessageType.UNKNOWN: self._routing.on_unknown,
+            MessageType.FLOW_NOT_FOUND: self._routing.on_unknown,
             MessageType.FIND: self._routing.on_find,
             MessageType.FOUND: self._routing.on_found,
             MessageType.NOT_FOUND: self._routing.on_not_found,
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -255,7 +255,9 @@
             return
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
         body = pack_forwarded(forwarded)
-        self._peer_sender.send(forwarded.asker, MessageType.UNKNOWN, body)
+        self._peer_sender.send(
+            forwarded.asker, MessageType.FLOW_NOT_FOUND, body
+        )
 
     def on_find(self, opened: Opened, now: float) -> None:
         """Answers a query for the connection id in a datagram."""
