--- a/src/pollenmast/peers/_kinds.py
+++ b/src/pollenmast/peers/_kinds.py
@@ -38,15 +38,15 @@
     """Relay to relay: acknowledges a batch of RECORDS."""
 
     FOUND = 15
-    """Relay to relay: returns the datagram of a FLOW_LOOKUP or FIND, with the
-    endpoint of its flow."""
+    """Relay to relay: returns the datagram of a FLOW_LOOKUP or
+    CONNECTION_ID_LOOKUP, with the endpoint of its flow."""
 
     CONNECTION_IDS = 16
     """Relay to relay: connection IDs and their endpoints, to store."""
 
-    FIND = 17
+    CONNECTION_ID_LOOKUP = 17
     """Relay to relay: a datagram whose connection ID the receiver looks up."""
 
     NOT_FOUND = 18
-    """Relay to relay: returns the datagram of a FIND; its connection ID is
-    unknown."""
+    """Relay to relay: returns the datagram of a CONNECTION_ID_LOOKUP; its
+    connection ID is unknown."""
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -97,7 +97,7 @@
             MessageType.FORWARD: self._routing.on_forward,
             MessageType.FLOW_LOOKUP: self._routing.on_ask,
             MessageType.FLOW_NOT_FOUND: self._routing.on_unknown,
-            MessageType.FIND: self._routing.on_find,
+            MessageType.CONNECTION_ID_LOOKUP: self._routing.on_find,
             MessageType.FOUND: self._routing.on_found,
             MessageType.NOT_FOUND: self._routing.on_not_found,
             MessageType.CONNECTION_IDS: self._connection_ids.on_entries,
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -180,7 +180,9 @@
         )
         self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
         self._peer_sender.send(
-            asked[0], MessageType.FIND, pack_forwarded(forwarded)
+            asked[0],
+            MessageType.CONNECTION_ID_LOOKUP,
+            pack_forwarded(forwarded),
         )
         return True
 
@@ -213,7 +215,9 @@
                     forwarded.asker,
                 )
             )
-            self._peer_sender.send(next_vm, MessageType.FIND, body)
+            self._peer_sender.send(
+                next_vm, MessageType.CONNECTION_ID_LOOKUP, body
+            )
         else:
             body = pack_forwarded(forwarded)
             self._peer_sender.send(forwarded.asker, MessageType.NOT_FOUND, body)
