--- a/src/pollenmast/peers/_kinds.py
+++ b/src/pollenmast/peers/_kinds.py
@@ -47,6 +47,6 @@
     CONNECTION_ID_LOOKUP = 17
     """Relay to relay: a datagram whose connection ID the receiver looks up."""
 
-    NOT_FOUND = 18
+    CONNECTION_ID_NOT_FOUND = 18
     """Relay to relay: returns the datagram of a CONNECTION_ID_LOOKUP; its
     connection ID is unknown."""
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -220,7 +220,9 @@
             )
         else:
             body = pack_forwarded(forwarded)
-            self._peer_sender.send(forwarded.asker, MessageType.NOT_FOUND, body)
+            self._peer_sender.send(
+                forwarded.asker, MessageType.CONNECTION_ID_NOT_FOUND, body
+            )
 
     def _adopt_moved_caller(
         self, datagram: IncomingDatagram, endpoint: int, now: float
