--- a/src/pollenmast/peers/_kinds.py
+++ b/src/pollenmast/peers/_kinds.py
@@ -37,7 +37,7 @@
     RECORDS_TAKEN = 14
     """Relay to relay: acknowledges a batch of RECORDS."""
 
-    FOUND = 15
+    LOOKUP_RESULT = 15
     """Relay to relay: returns the datagram of a FLOW_LOOKUP or
     CONNECTION_ID_LOOKUP, with the endpoint of its flow."""
 
--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -207,13 +207,13 @@
 
 
 def pack_found(found: Found) -> bytes:
-    """Returns the body of a FOUND envelope."""
+    """Returns the body of a LOOKUP_RESULT envelope."""
     fixed = _FOUND.pack(found.endpoint, found.caller_moved)
     return fixed + pack_forwarded(found.forwarded)
 
 
 def unpack_found(body: bytes) -> Result[Found, EnvelopeFault]:
-    """Returns the content of a FOUND body, or why the body is dropped."""
+    """Returns the content of a LOOKUP_RESULT, or why it is dropped."""
     if len(body) < _FOUND.size:
         return Err(EnvelopeFault.MALFORMED)
     endpoint, caller_moved = _FOUND.unpack_from(body)
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -98,7 +98,7 @@
             MessageType.FLOW_LOOKUP: self._routing.on_ask,
             MessageType.FLOW_NOT_FOUND: self._routing.on_unknown,
             MessageType.CONNECTION_ID_LOOKUP: self._routing.on_find,
-            MessageType.FOUND: self._routing.on_found,
+            MessageType.LOOKUP_RESULT: self._routing.on_found,
             MessageType.CONNECTION_ID_NOT_FOUND: self._routing.on_not_found,
             MessageType.CONNECTION_IDS: self._connection_ids.on_entries,
             MessageType.RECORDS: self._record_exchange.on_records,
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -203,7 +203,9 @@
         next_vm = forwarded.next_asked
         if endpoint is not None:
             found = pack_found(Found(endpoint, True, forwarded))
-            self._peer_sender.send(forwarded.asker, MessageType.FOUND, found)
+            self._peer_sender.send(
+                forwarded.asker, MessageType.LOOKUP_RESULT, found
+            )
         elif next_vm and self._fleet.has_relay(next_vm):
             body = pack_forwarded(
                 Forwarded(
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -241,7 +241,9 @@
             return
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
         found = pack_found(Found(replica.endpoint, False, forwarded))
-        self._peer_sender.send(forwarded.asker, MessageType.FOUND, found)
+        self._peer_sender.send(
+            forwarded.asker, MessageType.LOOKUP_RESULT, found
+        )
 
     def _ask_next(self, forwarded: Forwarded) -> None:
         if self._may_be_anothers(forwarded):
