--- a/bench/_capacity_relay.py
+++ b/bench/_capacity_relay.py
@@ -135,7 +135,7 @@
         record = FlowRecord(1, "10.0.0.1", 4000, 7)
         body = b"\0\0\0\1" + pack_records([record] * count)
         sent = len(sealer.seal(MessageType.RECORDS, body)) + _UDP_BYTES
-        ack = len(sealer.seal(MessageType.RECORDS_TAKEN, body[:4])) + _UDP_BYTES
+        ack = len(sealer.seal(MessageType.RECORDS_ACK, body[:4])) + _UDP_BYTES
         points.append((count, sent + ack))
     return Slope("a batch of records", "B", "records", tuple(points), at_size)
 
--- a/src/pollenmast/peers/_kinds.py
+++ b/src/pollenmast/peers/_kinds.py
@@ -34,7 +34,7 @@
     RECORDS = 13
     """Relay to relay: a batch of flow records; see `RecordFlag`."""
 
-    RECORDS_TAKEN = 14
+    RECORDS_ACK = 14
     """Relay to relay: acknowledges a batch of RECORDS."""
 
     LOOKUP_RESULT = 15
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -102,7 +102,7 @@
             MessageType.CONNECTION_ID_NOT_FOUND: self._routing.on_not_found,
             MessageType.CONNECTION_IDS: self._connection_ids.on_entries,
             MessageType.RECORDS: self._record_exchange.on_records,
-            MessageType.RECORDS_TAKEN: (
+            MessageType.RECORDS_ACK: (
                 self._record_exchange.on_records_acknowledged
             ),
         }
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -140,7 +140,7 @@
         self._counters.add(
             c.CONTROL_BYTES, "replication", ACKNOWLEDGEMENT_BYTES
         )
-        self._peer_sender.send(opened.sender, MessageType.RECORDS_TAKEN, number)
+        self._peer_sender.send(opened.sender, MessageType.RECORDS_ACK, number)
 
     def _apply_record(
         self, record: FlowRecord, sender: int, now: float
