--- a/src/pollenmast/peers/_kinds.py
+++ b/src/pollenmast/peers/_kinds.py
@@ -32,7 +32,7 @@
     unknown."""
 
     RECORDS = 13
-    """Relay to relay: a batch of flow records; see `RecordFlag`."""
+    """Relay to relay: a batch of flow records; see `RecordAction`."""
 
     RECORDS_ACK = 14
     """Relay to relay: acknowledges a batch of RECORDS."""
--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -42,7 +42,7 @@
         ip: The caller's IP address.
         port: The caller's UDP port.
         endpoint: `endpoint_id` of the endpoint.
-        flags: One of the values of `RecordFlag`.
+        flags: One of the values of `RecordAction`.
     """
 
     service_port: int
@@ -57,7 +57,7 @@
         return (self.service_port, self.ip, self.port)
 
 
-class RecordFlag:
+class RecordAction:
     """The action that a record requests of its receiver."""
 
     KEEP = 0
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -6,7 +6,7 @@
 from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     FlowRecord,
-    RecordFlag,
+    RecordAction,
     unpack_records,
 )
 from pollenmast.relay._flows import Flow, FlowState
@@ -64,10 +64,10 @@
             backup: Number of the VM to store the record, 0 for none.
         """
         if flow.backup and self._fleet.has_relay(flow.backup):
-            self._outbox.add(flow.backup, record_of(flow, RecordFlag.FORGET))
+            self._outbox.add(flow.backup, record_of(flow, RecordAction.FORGET))
         flow.backup = backup
         if backup:
-            self._outbox.add(backup, record_of(flow, RecordFlag.KEEP))
+            self._outbox.add(backup, record_of(flow, RecordAction.KEEP))
 
     def replicate_to_owner(self, flow: Flow) -> None:
         """Sends the record of a flow owned by another VM to that VM.
@@ -89,12 +89,12 @@
         """Deletes the record of an ended flow from its backup VM."""
         self._previous_relays.pop(flow, None)
         if flow.backup:
-            self._outbox.add(flow.backup, record_of(flow, RecordFlag.FORGET))
+            self._outbox.add(flow.backup, record_of(flow, RecordAction.FORGET))
             flow.backup = 0
 
     def hand_over(self, flow: Flow, owner: int) -> None:
         """Asks the new owner to take over the flow, unless already asked."""
-        record = record_of(flow, RecordFlag.TAKE)
+        record = record_of(flow, RecordAction.TAKE)
         if self._handover_targets.get(record.key) == owner:
             return
         if self._outbox.add(owner, record):
@@ -117,7 +117,7 @@
         for record in undelivered:
             self._handover_targets.pop(record.key, None)
             flow = self._flow(record)
-            if flow is not None and record.flags == RecordFlag.KEEP:
+            if flow is not None and record.flags == RecordAction.KEEP:
                 flow.backup = 0
 
     def release_previous_relay(self, flow: Flow) -> None:
@@ -125,7 +125,7 @@
         previous_relay = self._previous_relays.pop(flow, None)
         if previous_relay is not None:
             self._outbox.add(
-                previous_relay, record_of(flow, RecordFlag.CARRIED)
+                previous_relay, record_of(flow, RecordAction.CARRIED)
             )
 
     def on_records(self, opened: Opened, now: float) -> None:
@@ -146,15 +146,15 @@
         self, record: FlowRecord, sender: int, now: float
     ) -> None:
         flow = self._discard_guess(self._flow(record), now)
-        if record.flags == RecordFlag.FORGET:
+        if record.flags == RecordAction.FORGET:
             self._replicas.forget(record, sender)
-        elif record.flags == RecordFlag.RELEASE:
+        elif record.flags == RecordAction.RELEASE:
             self._release(flow, record, sender, now)
-        elif record.flags == RecordFlag.CARRIED:
+        elif record.flags == RecordAction.CARRIED:
             self._forwarder.table.end_moved(record, now)
         elif flow is not None:
             self._resolve_second_holder(flow, record, sender, now)
-        elif record.flags == RecordFlag.TAKE:
+        elif record.flags == RecordAction.TAKE:
             self._take_over(record, sender, now)
         else:
             self._replicas.keep(record, sender)
@@ -204,14 +204,14 @@
         them and the caller would see stalls. The flow's owner keeps it; the
         other relay still forwards late answers until its path is silent.
         """
-        if record.flags == RecordFlag.TAKE:
+        if record.flags == RecordAction.TAKE:
             self._add_previous_relay(flow, sender)
             return
         owner = self._fleet.owner(flow.key)
         if owner is not None and owner.number == sender:
             self._release(flow, record, sender, now)
             return
-        self._outbox.add(sender, record_of(flow, RecordFlag.RELEASE))
+        self._outbox.add(sender, record_of(flow, RecordAction.RELEASE))
 
     def _release(
         self, flow: Flow | None, record: FlowRecord, sender: int, now: float
@@ -224,7 +224,7 @@
     def on_records_acknowledged(self, opened: Opened, now: float) -> None:
         """Handles a batch's acknowledgement; releases handed-over flows."""
         for record in self._outbox.pop_acknowledged(opened.body):
-            if record.flags != RecordFlag.TAKE:
+            if record.flags != RecordAction.TAKE:
                 continue
             self._handover_targets.pop(record.key, None)
             flow = self._flow(record)
--- a/tests/relay_routing_test.py
+++ b/tests/relay_routing_test.py
@@ -11,7 +11,7 @@
 from pollenmast.peers._records import (
     FlowRecord,
     Forwarded,
-    RecordFlag,
+    RecordAction,
     pack_forwarded,
     pack_records,
 )
@@ -178,7 +178,7 @@
         It could otherwise lead a caller to another endpoint.
         """
         net = Net(vms=2)
-        record = FlowRecord(REGISTRY, *address_of("c1"), 7, RecordFlag.KEEP)
+        record = FlowRecord(REGISTRY, *address_of("c1"), 7, RecordAction.KEEP)
         body = b"\0\0\0\1" + pack_records([record])
         data = Sealer("vm-2", bytes(32)).seal(MessageType.RECORDS, body)
         net.relays[1].on_peer(data, net.now)
