--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -60,7 +60,7 @@
 class RecordAction:
     """The action that a record requests of its receiver."""
 
-    KEEP = 0
+    REPLICATE = 0
     """Store the record as a replica; the sender carries the flow."""
 
     TAKE = 1
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -67,7 +67,7 @@
             self._outbox.add(flow.backup, record_of(flow, RecordAction.FORGET))
         flow.backup = backup
         if backup:
-            self._outbox.add(backup, record_of(flow, RecordAction.KEEP))
+            self._outbox.add(backup, record_of(flow, RecordAction.REPLICATE))
 
     def replicate_to_owner(self, flow: Flow) -> None:
         """Sends the record of a flow owned by another VM to that VM.
@@ -117,7 +117,7 @@
         for record in undelivered:
             self._handover_targets.pop(record.key, None)
             flow = self._flow(record)
-            if flow is not None and record.flags == RecordAction.KEEP:
+            if flow is not None and record.flags == RecordAction.REPLICATE:
                 flow.backup = 0
 
     def release_previous_relay(self, flow: Flow) -> None:
--- a/tests/proof/_scenarios.py
+++ b/tests/proof/_scenarios.py
@@ -269,7 +269,7 @@
     """A sender without the key forges a record that would redirect a caller."""
     machine = _begin(vms=2)
     core = machine.world.nodes[1].core
-    record = FlowRecord(4001, "10.0.0.9", 30000, 7, RecordAction.KEEP)
+    record = FlowRecord(4001, "10.0.0.9", 30000, 7, RecordAction.REPLICATE)
     body = bytes(4) + pack_records([record])
     genuine = Sealer("vm-2", fakes.KEY).seal(MessageType.RECORDS, body)
     for place in range(len(genuine)):
@@ -288,7 +288,7 @@
     sealer = Sealer("vm-2", fakes.KEY)
     bodies = [
         bytes(4) + pack_records([FlowRecord(4001, "10.0.0.9", 30000, 7, flag)])
-        for flag in (RecordAction.KEEP, RecordAction.FORGET)
+        for flag in (RecordAction.REPLICATE, RecordAction.FORGET)
     ]
     keep, forget = [sealer.seal(MessageType.RECORDS, body) for body in bodies]
     for data in (keep, forget, keep):
--- a/tests/relay_routing_test.py
+++ b/tests/relay_routing_test.py
@@ -178,7 +178,9 @@
         It could otherwise lead a caller to another endpoint.
         """
         net = Net(vms=2)
-        record = FlowRecord(REGISTRY, *address_of("c1"), 7, RecordAction.KEEP)
+        record = FlowRecord(
+            REGISTRY, *address_of("c1"), 7, RecordAction.REPLICATE
+        )
         body = b"\0\0\0\1" + pack_records([record])
         data = Sealer("vm-2", bytes(32)).seal(MessageType.RECORDS, body)
         net.relays[1].on_peer(data, net.now)
