--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -63,7 +63,7 @@
     REPLICATE = 0
     """Store the record as a replica; the sender carries the flow."""
 
-    TAKE = 1
+    TAKE_OVER = 1
     """Take over the flow from the sender."""
 
     FORGET = 2
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -94,7 +94,7 @@
 
     def hand_over(self, flow: Flow, owner: int) -> None:
         """Asks the new owner to take over the flow, unless already asked."""
-        record = record_of(flow, RecordAction.TAKE)
+        record = record_of(flow, RecordAction.TAKE_OVER)
         if self._handover_targets.get(record.key) == owner:
             return
         if self._outbox.add(owner, record):
@@ -154,7 +154,7 @@
             self._forwarder.table.end_moved(record, now)
         elif flow is not None:
             self._resolve_second_holder(flow, record, sender, now)
-        elif record.flags == RecordAction.TAKE:
+        elif record.flags == RecordAction.TAKE_OVER:
             self._take_over(record, sender, now)
         else:
             self._replicas.keep(record, sender)
@@ -204,7 +204,7 @@
         them and the caller would see stalls. The flow's owner keeps it; the
         other relay still forwards late answers until its path is silent.
         """
-        if record.flags == RecordAction.TAKE:
+        if record.flags == RecordAction.TAKE_OVER:
             self._add_previous_relay(flow, sender)
             return
         owner = self._fleet.owner(flow.key)
@@ -224,7 +224,7 @@
     def on_records_acknowledged(self, opened: Opened, now: float) -> None:
         """Handles a batch's acknowledgement; releases handed-over flows."""
         for record in self._outbox.pop_acknowledged(opened.body):
-            if record.flags != RecordAction.TAKE:
+            if record.flags != RecordAction.TAKE_OVER:
                 continue
             self._handover_targets.pop(record.key, None)
             flow = self._flow(record)
