--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -66,7 +66,7 @@
     TAKE_OVER = 1
     """Take over the flow from the sender."""
 
-    FORGET = 2
+    DELETE = 2
     """Delete the replica; the flow has ended."""
 
     RELEASE = 3
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -64,7 +64,7 @@
             backup: Number of the VM to store the record, 0 for none.
         """
         if flow.backup and self._fleet.has_relay(flow.backup):
-            self._outbox.add(flow.backup, record_of(flow, RecordAction.FORGET))
+            self._outbox.add(flow.backup, record_of(flow, RecordAction.DELETE))
         flow.backup = backup
         if backup:
             self._outbox.add(backup, record_of(flow, RecordAction.REPLICATE))
@@ -89,7 +89,7 @@
         """Deletes the record of an ended flow from its backup VM."""
         self._previous_relays.pop(flow, None)
         if flow.backup:
-            self._outbox.add(flow.backup, record_of(flow, RecordAction.FORGET))
+            self._outbox.add(flow.backup, record_of(flow, RecordAction.DELETE))
             flow.backup = 0
 
     def hand_over(self, flow: Flow, owner: int) -> None:
@@ -146,7 +146,7 @@
         self, record: FlowRecord, sender: int, now: float
     ) -> None:
         flow = self._discard_guess(self._flow(record), now)
-        if record.flags == RecordAction.FORGET:
+        if record.flags == RecordAction.DELETE:
             self._replicas.forget(record, sender)
         elif record.flags == RecordAction.RELEASE:
             self._release(flow, record, sender, now)
--- a/tests/proof/_scenarios.py
+++ b/tests/proof/_scenarios.py
@@ -288,7 +288,7 @@
     sealer = Sealer("vm-2", fakes.KEY)
     bodies = [
         bytes(4) + pack_records([FlowRecord(4001, "10.0.0.9", 30000, 7, flag)])
-        for flag in (RecordAction.REPLICATE, RecordAction.FORGET)
+        for flag in (RecordAction.REPLICATE, RecordAction.DELETE)
     ]
     keep, forget = [sealer.seal(MessageType.RECORDS, body) for body in bodies]
     for data in (keep, forget, keep):
