--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -72,7 +72,7 @@
     RELEASE = 3
     """Stop carrying the flow; the sender carries and owns it."""
 
-    CARRIED = 4
+    CLOSE_OLD_PATH = 4
     """Close the old path of a flow that was taken over; the upstream's answers
     now pass through the sender."""
 
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -125,7 +125,7 @@
         previous_relay = self._previous_relays.pop(flow, None)
         if previous_relay is not None:
             self._outbox.add(
-                previous_relay, record_of(flow, RecordAction.CARRIED)
+                previous_relay, record_of(flow, RecordAction.CLOSE_OLD_PATH)
             )
 
     def on_records(self, opened: Opened, now: float) -> None:
@@ -150,7 +150,7 @@
             self._replicas.forget(record, sender)
         elif record.flags == RecordAction.RELEASE:
             self._release(flow, record, sender, now)
-        elif record.flags == RecordAction.CARRIED:
+        elif record.flags == RecordAction.CLOSE_OLD_PATH:
             self._forwarder.table.end_moved(record, now)
         elif flow is not None:
             self._resolve_second_holder(flow, record, sender, now)
