--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -191,7 +191,7 @@
 
 
 @attrs.frozen
-class Found:
+class LookupResult:
     """A datagram that is returned with the endpoint of its flow.
 
     Attributes:
@@ -206,19 +206,21 @@
     forwarded: Forwarded
 
 
-def pack_found(found: Found) -> bytes:
+def pack_found(found: LookupResult) -> bytes:
     """Returns the body of a LOOKUP_RESULT envelope."""
     fixed = _FOUND.pack(found.endpoint, found.caller_moved)
     return fixed + pack_forwarded(found.forwarded)
 
 
-def unpack_found(body: bytes) -> Result[Found, EnvelopeFault]:
+def unpack_found(body: bytes) -> Result[LookupResult, EnvelopeFault]:
     """Returns the content of a LOOKUP_RESULT, or why it is dropped."""
     if len(body) < _FOUND.size:
         return Err(EnvelopeFault.MALFORMED)
     endpoint, caller_moved = _FOUND.unpack_from(body)
     forwarded = unpack_forwarded(body[_FOUND.size :])
-    return forwarded.map(lambda each: Found(endpoint, bool(caller_moved), each))
+    return forwarded.map(
+        lambda each: LookupResult(endpoint, bool(caller_moved), each)
+    )
 
 
 @attrs.frozen
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -31,7 +31,7 @@
     MOST_RECORDS,
     ConnectionId,
     Forwarded,
-    Found,
+    LookupResult,
     pack_connection_ids,
     pack_forwarded,
     pack_found,
@@ -202,7 +202,7 @@
         endpoint = self._entries.get((forwarded.service_port, cid))
         next_vm = forwarded.next_asked
         if endpoint is not None:
-            found = pack_found(Found(endpoint, True, forwarded))
+            found = pack_found(LookupResult(endpoint, True, forwarded))
             self._peer_sender.send(
                 forwarded.asker, MessageType.LOOKUP_RESULT, found
             )
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -19,7 +19,7 @@
 from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     Forwarded,
-    Found,
+    LookupResult,
     pack_forwarded,
     pack_found,
     unpack_forwarded,
@@ -240,7 +240,7 @@
             self._peer_sender.send(replica.holder, MessageType.FORWARD, body)
             return
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
-        found = pack_found(Found(replica.endpoint, False, forwarded))
+        found = pack_found(LookupResult(replica.endpoint, False, forwarded))
         self._peer_sender.send(
             forwarded.asker, MessageType.LOOKUP_RESULT, found
         )
