--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -140,7 +140,7 @@
         port: The caller's UDP port.
         hops: How many times the datagram has been forwarded.
         data: The datagram's payload.
-        asker: Number of the VM that looks up the flow, or 0.
+        requester: Number of the VM that looks up the flow, or 0.
         next_asked: Number of the VM to ask next if the receiver does not know
             the flow, or 0.
     """
@@ -150,7 +150,7 @@
     port: int
     hops: int
     data: bytes
-    asker: int = 0
+    requester: int = 0
     next_asked: int = 0
 
 
@@ -160,7 +160,7 @@
     fixed = _FORWARD.pack(
         forwarded.service_port,
         forwarded.hops,
-        forwarded.asker,
+        forwarded.requester,
         forwarded.next_asked,
     )
     return b"".join(
@@ -177,7 +177,7 @@
 def unpack_forwarded(body: bytes) -> Result[Forwarded, EnvelopeFault]:
     """Returns the datagram of a body, or why the body is dropped."""
     try:
-        service, hops, asker, next_asked = _FORWARD.unpack_from(body)
+        service, hops, requester, next_asked = _FORWARD.unpack_from(body)
         offset = _FORWARD.size
         length = body[offset]
         offset += 1
@@ -187,7 +187,7 @@
     except (struct.error, ValueError, IndexError):
         return Err(EnvelopeFault.MALFORMED)
     data = body[offset + _PORT.size :]
-    return Ok(Forwarded(service, ip, port, hops, data, asker, next_asked))
+    return Ok(Forwarded(service, ip, port, hops, data, requester, next_asked))
 
 
 @attrs.frozen
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -80,10 +80,10 @@
         if not self._fleet.owns(flow.key):
             self.replicate(flow, self._fleet.backup(flow.key))
 
-    def replicate_to_asker(self, flow: Flow, asker: int) -> None:
+    def replicate_to_requester(self, flow: Flow, requester: int) -> None:
         """Stores the record on a VM that asked for it, so that it asks once."""
-        if flow.backup != asker and asker:
-            self.replicate(flow, asker)
+        if flow.backup != requester and requester:
+            self.replicate(flow, requester)
 
     def delete_record(self, flow: Flow) -> None:
         """Deletes the record of an ended flow from its backup VM."""
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -204,7 +204,7 @@
         if endpoint is not None:
             found = pack_found(LookupResult(endpoint, True, forwarded))
             self._peer_sender.send(
-                forwarded.asker, MessageType.LOOKUP_RESULT, found
+                forwarded.requester, MessageType.LOOKUP_RESULT, found
             )
         elif next_vm and self._fleet.has_relay(next_vm):
             body = pack_forwarded(
@@ -214,7 +214,7 @@
                     forwarded.port,
                     forwarded.hops,
                     forwarded.data,
-                    forwarded.asker,
+                    forwarded.requester,
                 )
             )
             self._peer_sender.send(
@@ -223,7 +223,7 @@
         else:
             body = pack_forwarded(forwarded)
             self._peer_sender.send(
-                forwarded.asker, MessageType.CONNECTION_ID_NOT_FOUND, body
+                forwarded.requester, MessageType.CONNECTION_ID_NOT_FOUND, body
             )
 
     def _adopt_moved_caller(
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -172,7 +172,7 @@
         forwarded = _forwarded(
             datagram,
             hops=1,
-            asker=self._fleet.local.number,
+            requester=self._fleet.local.number,
             next_asked=asked[1] if len(asked) > 1 else 0,
         )
         self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
@@ -218,7 +218,9 @@
         flow = listener.flows.get(caller) if listener else None
         if flow is not None:
             self._forwarder.forward_to_upstream(flow, forwarded.data, now)
-            self._record_exchange.replicate_to_asker(flow, forwarded.asker)
+            self._record_exchange.replicate_to_requester(
+                flow, forwarded.requester
+            )
             return
         replica = self._record_exchange.replicas.find(
             forwarded.service_port, caller
@@ -232,9 +234,9 @@
         self, replica: Replica, forwarded: Forwarded
     ) -> None:
         # A holder that queries has lost the flow: its relay was restarted.
-        lost = replica.holder == forwarded.asker
+        lost = replica.holder == forwarded.requester
         if self._fleet.has_relay(replica.holder) and not lost:
-            passed = attrs.evolve(forwarded, asker=0, next_asked=0, hops=2)
+            passed = attrs.evolve(forwarded, requester=0, next_asked=0, hops=2)
             self._counters.add(c.FORWARDS, c.ForwardReason.HOLDER)
             body = pack_forwarded(passed)
             self._peer_sender.send(replica.holder, MessageType.FORWARD, body)
@@ -242,7 +244,7 @@
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
         found = pack_found(LookupResult(replica.endpoint, False, forwarded))
         self._peer_sender.send(
-            forwarded.asker, MessageType.LOOKUP_RESULT, found
+            forwarded.requester, MessageType.LOOKUP_RESULT, found
         )
 
     def _ask_next(self, forwarded: Forwarded) -> None:
@@ -258,7 +260,7 @@
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
         body = pack_forwarded(forwarded)
         self._peer_sender.send(
-            forwarded.asker, MessageType.FLOW_NOT_FOUND, body
+            forwarded.requester, MessageType.FLOW_NOT_FOUND, body
         )
 
     def on_find(self, opened: Opened, now: float) -> None:
@@ -351,7 +353,10 @@
 
 
 def _forwarded(
-    datagram: IncomingDatagram, hops: int, asker: int = 0, next_asked: int = 0
+    datagram: IncomingDatagram,
+    hops: int,
+    requester: int = 0,
+    next_asked: int = 0,
 ) -> Forwarded:
     ip, port = datagram.caller
     return Forwarded(
@@ -360,6 +365,6 @@
         port,
         hops,
         datagram.data,
-        asker,
+        requester,
         next_asked,
     )
