--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -141,8 +141,8 @@
         hops: How many times the datagram has been forwarded.
         data: The datagram's payload.
         requester: Number of the VM that looks up the flow, or 0.
-        next_asked: Number of the VM to ask next if the receiver does not know
-            the flow, or 0.
+        next_candidate: Number of the VM to ask next if the receiver does not
+            know the flow, or 0.
     """
 
     service_port: int
@@ -151,7 +151,7 @@
     hops: int
     data: bytes
     requester: int = 0
-    next_asked: int = 0
+    next_candidate: int = 0
 
 
 def pack_forwarded(forwarded: Forwarded) -> bytes:
@@ -161,7 +161,7 @@
         forwarded.service_port,
         forwarded.hops,
         forwarded.requester,
-        forwarded.next_asked,
+        forwarded.next_candidate,
     )
     return b"".join(
         (
@@ -177,7 +177,7 @@
 def unpack_forwarded(body: bytes) -> Result[Forwarded, EnvelopeFault]:
     """Returns the datagram of a body, or why the body is dropped."""
     try:
-        service, hops, requester, next_asked = _FORWARD.unpack_from(body)
+        service, hops, requester, next_candidate = _FORWARD.unpack_from(body)
         offset = _FORWARD.size
         length = body[offset]
         offset += 1
@@ -187,7 +187,9 @@
     except (struct.error, ValueError, IndexError):
         return Err(EnvelopeFault.MALFORMED)
     data = body[offset + _PORT.size :]
-    return Ok(Forwarded(service, ip, port, hops, data, requester, next_asked))
+    return Ok(
+        Forwarded(service, ip, port, hops, data, requester, next_candidate)
+    )
 
 
 @attrs.frozen
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -200,7 +200,7 @@
         """Answers a query for a connection id, or forwards it."""
         cid = _read_cid(forwarded.data)
         endpoint = self._entries.get((forwarded.service_port, cid))
-        next_vm = forwarded.next_asked
+        next_vm = forwarded.next_candidate
         if endpoint is not None:
             found = pack_found(LookupResult(endpoint, True, forwarded))
             self._peer_sender.send(
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -173,7 +173,7 @@
             datagram,
             hops=1,
             requester=self._fleet.local.number,
-            next_asked=asked[1] if len(asked) > 1 else 0,
+            next_candidate=asked[1] if len(asked) > 1 else 0,
         )
         self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
         self._peer_sender.send(
@@ -236,7 +236,9 @@
         # A holder that queries has lost the flow: its relay was restarted.
         lost = replica.holder == forwarded.requester
         if self._fleet.has_relay(replica.holder) and not lost:
-            passed = attrs.evolve(forwarded, requester=0, next_asked=0, hops=2)
+            passed = attrs.evolve(
+                forwarded, requester=0, next_candidate=0, hops=2
+            )
             self._counters.add(c.FORWARDS, c.ForwardReason.HOLDER)
             body = pack_forwarded(passed)
             self._peer_sender.send(replica.holder, MessageType.FORWARD, body)
@@ -251,10 +253,10 @@
         if self._may_be_anothers(forwarded):
             self._counters.add(c.DROPS, c.DropReason.UNKNOWN_FLOW)
             return
-        next_vm = forwarded.next_asked
+        next_vm = forwarded.next_candidate
         if next_vm and self._fleet.has_relay(next_vm):
             self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
-            body = pack_forwarded(attrs.evolve(forwarded, next_asked=0))
+            body = pack_forwarded(attrs.evolve(forwarded, next_candidate=0))
             self._peer_sender.send(next_vm, MessageType.FLOW_LOOKUP, body)
             return
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
@@ -356,7 +358,7 @@
     datagram: IncomingDatagram,
     hops: int,
     requester: int = 0,
-    next_asked: int = 0,
+    next_candidate: int = 0,
 ) -> Forwarded:
     ip, port = datagram.caller
     return Forwarded(
@@ -366,5 +368,5 @@
         hops,
         datagram.data,
         requester,
-        next_asked,
+        next_candidate,
     )
