--- a/bench/_capacity_control.py
+++ b/bench/_capacity_control.py
@@ -190,7 +190,9 @@
     membership = Membership(own, 1000.0, random.Random(1))
     for first in range(1, size, 8):
         news = tuple(_vm(n) for n in range(first, min(first + 8, size)))
-        message = _gossip.Gossip(_gossip.Act.NEWS, 1, news[0], members=news)
+        message = _gossip.Gossip(
+            _gossip.GossipType.NEWS, 1, news[0], members=news
+        )
         source = (news[0].address, news[0].gossip_port)
         membership.receive(message, source, 1000.0)
     membership.take_changes()
@@ -210,7 +212,7 @@
             now += 0.5
             membership.due()
             membership.tick(now)
-            ping = _gossip.Gossip(_gossip.Act.PING, 7, peer)
+            ping = _gossip.Gossip(_gossip.GossipType.PING, 7, peer)
             source = (peer.address, peer.gossip_port)
             membership.receive(ping, source, now)
             membership.vms()
@@ -250,7 +252,7 @@
     for count in _REPORT_COUNTS:
         news = _gossip.ProbeNews(1 << 30, report)
         message = _gossip.Gossip(
-            _gossip.Act.ACK, 1, _vm(1), probes=(news,) * count
+            _gossip.GossipType.ACK, 1, _vm(1), probes=(news,) * count
         )
         points.append((count, len(_gossip.encode(message))))
     return Slope("load in a message", "B", "reports", tuple(points), at_size)
--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -19,7 +19,7 @@
 from pollenmast.fleet import Vm, VmState
 from pollenmast.manifest import ManifestKey
 from pollenmast.peers import _gossip
-from pollenmast.peers._gossip import Act, Gossip, ProbeNews
+from pollenmast.peers._gossip import Gossip, GossipType, ProbeNews
 from pollenmast.peers._gossip_socket import GossipSocket
 
 GOSSIP_BYTES_PER_S = 2_300
@@ -104,7 +104,7 @@
         changed = self._queue_changes()
         for send in sends:
             self._send_message(send)
-        if changed or any(send.act is Act.PING for send in sends):
+        if changed or any(send.act is GossipType.PING for send in sends):
             # The next deadline may now be earlier than the one that `_tick`
             # waits for.
             self._rescheduled.set()
@@ -197,7 +197,7 @@
 
     def _send_message(self, send: Send) -> None:
         bytes_left = self._budget.left(anyio.current_time())
-        if send.act is Act.NEWS and not bytes_left:
+        if send.act is GossipType.NEWS and not bytes_left:
             # The same updates are sent with the next heartbeats. Without
             # this limit, a network cut of many VMs would cause a burst from
             # each of the others.
@@ -211,7 +211,7 @@
         own = node.membership.own
         fleet = len(node.membership.vms())
         members, probes = send.members, ()
-        if send.act in (Act.PING, Act.ACK, Act.NEWS):
+        if send.act in (GossipType.PING, GossipType.ACK, GossipType.NEWS):
             room = min(bytes_left, _gossip.room(own, send.target, members))
             updates = self._members.pick(min(room, MAX_MEMBER_BYTES), fleet)
             members += updates
--- a/src/pollenmast/decisions/_heartbeats.py
+++ b/src/pollenmast/decisions/_heartbeats.py
@@ -15,7 +15,7 @@
 from pollenmast.decisions._members import Member, Members
 from pollenmast.decisions._membership_times import Times
 from pollenmast.fleet import Vm, VmState
-from pollenmast.peers._gossip import Act
+from pollenmast.peers._gossip import GossipType
 
 MAX_PENDING_PINGS = 256
 """Maximum number of outstanding pings; beyond it, peers' requests for indirect
@@ -38,7 +38,7 @@
     """
 
     to: Address
-    act: Act
+    act: GossipType
     sequence: int = 0
     target: str = ""
     members: tuple[Vm, ...] = ()
@@ -151,13 +151,15 @@
         sequence = next(self._sequences)
         self._pings[sequence] = Ping(vm.name, now)
         to = gossip_address(vm)
-        return Send(to, Act.PING, sequence, vm.name, self.update_for(vm.name))
+        return Send(
+            to, GossipType.PING, sequence, vm.name, self.update_for(vm.name)
+        )
 
     def ping_address(self, to: Address, now: float) -> Send:
         """Returns a ping to an address whose VM is not known."""
         sequence = next(self._sequences)
         self._pings[sequence] = Ping("", now)
-        return Send(to, Act.PING, sequence)
+        return Send(to, GossipType.PING, sequence)
 
     def ping_on_behalf(
         self, vm: Vm, requester_address: Address, sequence: int, now: float
@@ -223,7 +225,7 @@
         return [
             Send(
                 gossip_address(vm),
-                Act.PING_REQUEST,
+                GossipType.PING_REQUEST,
                 sequence,
                 ping.target,
                 (member.vm,),
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -36,7 +36,7 @@
 from pollenmast.decisions._membership_times import Times
 from pollenmast.fleet import Vm, VmState
 from pollenmast.manifest import ManifestKey
-from pollenmast.peers._gossip import Act, Gossip
+from pollenmast.peers._gossip import Gossip, GossipType
 
 
 class Membership:
@@ -247,15 +247,15 @@
         self, message: Gossip, source: Address, now: float
     ) -> list[Send]:
         match message.act:
-            case Act.PING:
+            case GossipType.PING:
                 return self._receive_ping(message, source)
-            case Act.ACK:
+            case GossipType.ACK:
                 return self._receive_ack(message)
-            case Act.PING_REQUEST:
+            case GossipType.PING_REQUEST:
                 return self._receive_ping_request(message, source, now)
-            case Act.SYNC_REQUEST:
+            case GossipType.SYNC_REQUEST:
                 return [self._page_reply(message, source)]
-            case Act.SYNC:
+            case GossipType.SYNC:
                 return self._receive_page(message)
         return []
 
@@ -266,7 +266,7 @@
             return []
         members = self._heartbeats.update_for(message.sender.name)
         own = self._own.name
-        return [Send(source, Act.ACK, message.sequence, own, members)]
+        return [Send(source, GossipType.ACK, message.sequence, own, members)]
 
     def _receive_ack(self, message: Gossip) -> list[Send]:
         ping = self._heartbeats.take_answered(message.sequence)
@@ -277,7 +277,9 @@
             to, sequence = ping.requester
             member = self._members.get(ping.target)
             members = (member.vm,) if member else ()
-            sends.append(Send(to, Act.ACK, sequence, ping.target, members))
+            sends.append(
+                Send(to, GossipType.ACK, sequence, ping.target, members)
+            )
         if self._syncs_left:
             sends.append(self._request_page(message.sender, ""))
             self._syncs_left -= 1
@@ -313,11 +315,13 @@
 
     def _request_page(self, vm: Vm, after: str) -> Send:
         number = self._freshness.refresh_number
-        return Send(gossip_address(vm), Act.SYNC_REQUEST, number, after)
+        return Send(gossip_address(vm), GossipType.SYNC_REQUEST, number, after)
 
     def _page_reply(self, message: Gossip, source: Address) -> Send:
         page, last = self._members.page(message.target, constants.PAGE_BYTES)
-        return Send(source, Act.SYNC, message.sequence, last, tuple(page))
+        return Send(
+            source, GossipType.SYNC, message.sequence, last, tuple(page)
+        )
 
     def _receive_page(self, message: Gossip) -> list[Send]:
         # An answer to an earlier refresh: it waited in the socket buffer
@@ -418,7 +422,7 @@
         live = [each.vm for each in self._members.live()]
         others = [vm for vm in live if vm.name not in names]
         return [
-            Send(gossip_address(vm), Act.NEWS, members=vms)
+            Send(gossip_address(vm), GossipType.NEWS, members=vms)
             for vm in self._sample(others, constants.URGENT_FANOUT)
         ]
 
--- a/src/pollenmast/peers/_gossip.py
+++ b/src/pollenmast/peers/_gossip.py
@@ -32,7 +32,7 @@
 """Upper bound on the bytes of a message's numbers, digest and framing."""
 
 
-class Act(enum.IntEnum):
+class GossipType(enum.IntEnum):
     """The type of a gossip message."""
 
     PING = 0
@@ -76,14 +76,14 @@
         act: The type of the message.
         sequence: Number that matches a response to its request.
         sender: The sending VM's own entry.
-        target: Name of the VM that the message concerns; see `Act`.
+        target: Name of the VM that the message concerns; see `GossipType`.
         version: Version of the manifest in force at the sender.
         digest: Digest of that manifest, empty if there is none.
         members: Updates of VMs.
         probes: Updates of endpoints.
     """
 
-    act: Act
+    act: GossipType
     sequence: int
     sender: Vm
     target: str = ""
--- a/tests/agent_gossip_test.py
+++ b/tests/agent_gossip_test.py
@@ -15,14 +15,14 @@
 from pollenmast.fleet import EndpointReport
 from pollenmast.manifest import ManifestKey
 from pollenmast.peers import _gossip
-from pollenmast.peers._gossip import Act, Gossip, ProbeNews
+from pollenmast.peers._gossip import Gossip, GossipType, ProbeNews
 from tests.agent_manifest_test import LOG, SETTINGS
 from tests.membership_group import vm
 
 PEER = vm(4)
 SOURCE = (PEER.address, PEER.gossip_port)
 PROBE_NEWS = ProbeNews(7, EndpointReport(1, "registry-1", 9, True))
-PING = Gossip(Act.PING, 1, PEER, "vm-0", probes=(PROBE_NEWS,))
+PING = Gossip(GossipType.PING, 1, PEER, "vm-0", probes=(PROBE_NEWS,))
 
 
 class FakeSocket:
@@ -75,15 +75,15 @@
         async def script(loop, socket):
             _deliver(socket, PING)
             await trio.sleep(0.01)
-            loop.send([Send(SOURCE, Act.PING, 2, "vm-4")])
+            loop.send([Send(SOURCE, GossipType.PING, 2, "vm-4")])
 
         sent, _, _ = _run(script)
         probes = {
             act: [message.probes for message, _ in sent if message.act is act]
-            for act in (Act.ACK, Act.PING)
+            for act in (GossipType.ACK, GossipType.PING)
         }
-        self.assertEqual([()], probes[Act.ACK])
-        self.assertEqual([(PROBE_NEWS,)], probes[Act.PING])
+        self.assertEqual([()], probes[GossipType.ACK])
+        self.assertEqual([(PROBE_NEWS,)], probes[GossipType.PING])
 
     def test_known_report_is_not_forwarded_again(self):
         """A report that is received repeatedly is forwarded as one."""
@@ -93,7 +93,7 @@
                 _deliver(socket, attrs.evolve(PING, sequence=sequence))
                 await trio.sleep(0.01)
             for sequence in range(9):
-                loop.send([Send(SOURCE, Act.PING, sequence, "vm-4")])
+                loop.send([Send(SOURCE, GossipType.PING, sequence, "vm-4")])
 
         sent, _, _ = _run(script)
         report_count = sum(len(message.probes) for message, _ in sent)
@@ -107,16 +107,20 @@
         """
 
         async def script(loop, socket):
-            push = Send(SOURCE, Act.NEWS, members=tuple(map(vm, range(8))))
+            push = Send(
+                SOURCE, GossipType.NEWS, members=tuple(map(vm, range(8)))
+            )
             for _ in range(200):
                 loop.send([push])
             loop.queue_report(PROBE_NEWS)
-            loop.send([Send(SOURCE, Act.PING, 2, "vm-4")])
+            loop.send([Send(SOURCE, GossipType.PING, 2, "vm-4")])
 
         sent, _, _ = _run(script)
         size = sum(len(_gossip.encode(message)) + 30 for message, _ in sent)
         self.assertLess(size, GOSSIP_BURST_BYTES + 1200)
-        self.assertEqual((Act.PING, ()), (sent[-1][0].act, sent[-1][0].probes))
+        self.assertEqual(
+            (GossipType.PING, ()), (sent[-1][0].act, sent[-1][0].probes)
+        )
 
     def test_newer_manifest_is_requested(self):
         """Any message from a peer shows that it has a greater manifest."""
@@ -153,7 +157,7 @@
                 loop._members.add(member.name, member, size)
             target = long_vm(9)
             members = (target,)
-            loop.send([Send(SOURCE, Act.PING, 2, target.name, members)])
+            loop.send([Send(SOURCE, GossipType.PING, 2, target.name, members)])
 
         sent, _, _ = _run(script)
         size = len(_gossip.encode(sent[0][0]))
@@ -172,7 +176,7 @@
             page, after = members.page(after, PAGE_BYTES)
             seen += page
             message = Gossip(
-                Act.SYNC, 0, page[0], after, 9, b"d" * 16, tuple(page)
+                GossipType.SYNC, 0, page[0], after, 9, b"d" * 16, tuple(page)
             )
             size = len(_gossip.encode(message))
             self.assertLessEqual(size, _gossip.MOST_BODY_BYTES)
--- a/tests/decisions_membership_test.py
+++ b/tests/decisions_membership_test.py
@@ -8,7 +8,7 @@
 
 from pollenmast.fleet import Vm, VmState
 from pollenmast.manifest import ManifestKey
-from pollenmast.peers._gossip import Act, Gossip
+from pollenmast.peers._gossip import Gossip, GossipType
 from tests.membership_group import Group, Node, vm
 
 SIZE = 9
@@ -320,4 +320,4 @@
 
 
 def _message_from(node: Node, members: tuple[Vm, ...]) -> Gossip:
-    return Gossip(Act.NEWS, 0, node.membership.own, members=members)
+    return Gossip(GossipType.NEWS, 0, node.membership.own, members=members)
--- a/tests/membership_group.py
+++ b/tests/membership_group.py
@@ -17,7 +17,7 @@
 from pollenmast.fleet import Vm, VmState
 from pollenmast.manifest import ManifestKey
 from pollenmast.peers import _gossip
-from pollenmast.peers._gossip import Act, Gossip
+from pollenmast.peers._gossip import Gossip, GossipType
 
 DELAY_S = 0.002
 STEP_S = 0.01
@@ -145,7 +145,7 @@
             told = node.membership.latest_update(change.vm.name)
             node.news.add(told.name, told, _gossip.member_size(told))
         for send in sends:
-            carries = send.act in (Act.PING, Act.ACK)
+            carries = send.act in (GossipType.PING, GossipType.ACK)
             news = node.news.pick(500, len(self.nodes)) if carries else ()
             message = Gossip(
                 act=send.act,
--- a/tests/peers_gossip_test.py
+++ b/tests/peers_gossip_test.py
@@ -10,7 +10,7 @@
 from pollenmast.fleet import EndpointReport, VmState
 from pollenmast.peers import _gossip
 from pollenmast.peers._envelope import Opener, Sealer
-from pollenmast.peers._gossip import Act, Gossip, ProbeNews
+from pollenmast.peers._gossip import Gossip, GossipType, ProbeNews
 from pollenmast.peers._gossip_socket import GossipSocket
 from pollenmast.peers._kinds import MessageType
 from tests.membership_group import vm
@@ -18,7 +18,7 @@
 KEY = bytes(range(32))
 REPORT = EndpointReport(1, "registry-1", 7, True, 2, 1, 900, 40, 12.5)
 EXAMPLE = Gossip(
-    Act.PING,
+    GossipType.PING,
     5,
     vm(1),
     "vm-2",
