--- a/bench/_capacity_control.py
+++ b/bench/_capacity_control.py
@@ -250,7 +250,7 @@
     )
     points = []
     for count in _REPORT_COUNTS:
-        news = _gossip.ProbeNews(1 << 30, report)
+        news = _gossip.ProbeUpdate(1 << 30, report)
         message = _gossip.Gossip(
             _gossip.GossipType.ACK, 1, _vm(1), probes=(news,) * count
         )
--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -19,7 +19,7 @@
 from pollenmast.fleet import Vm, VmState
 from pollenmast.manifest import ManifestKey
 from pollenmast.peers import _gossip
-from pollenmast.peers._gossip import Gossip, GossipType, ProbeNews
+from pollenmast.peers._gossip import Gossip, GossipType, ProbeUpdate
 from pollenmast.peers._gossip_socket import GossipSocket
 
 GOSSIP_BYTES_PER_S = 2_300
@@ -85,7 +85,7 @@
         self._socket = socket
         self._on_newer_manifest = on_newer_manifest
         self._members: Dissemination[Vm] = Dissemination()
-        self._probes: Dissemination[ProbeNews] = Dissemination(
+        self._probes: Dissemination[ProbeUpdate] = Dissemination(
             PROBE_SENDS_PER_LOG
         )
         now = anyio.current_time()
@@ -109,7 +109,7 @@
             # waits for.
             self._rescheduled.set()
 
-    def queue_report(self, news: ProbeNews) -> None:
+    def queue_report(self, news: ProbeUpdate) -> None:
         """Queues an endpoint's report for the peers.
 
         A report that an endpoint is down or leaving must reach every VM,
@@ -142,7 +142,7 @@
                 for news in new_reports:
                     self.queue_report(news)
 
-    def _apply_updates(self, message: Gossip, now: float) -> list[ProbeNews]:
+    def _apply_updates(self, message: Gossip, now: float) -> list[ProbeUpdate]:
         """Applies the updates in a message.
 
         Returns:
--- a/src/pollenmast/decisions/_probing.py
+++ b/src/pollenmast/decisions/_probing.py
@@ -17,7 +17,7 @@
 from pollenmast.decisions._rendezvous import mix
 from pollenmast.fleet import EndpointReport, Vm, VmState
 from pollenmast.manifest import Endpoint, Service
-from pollenmast.peers._gossip import ProbeNews
+from pollenmast.peers._gossip import ProbeUpdate
 
 PROBERS = 2
 """Number of VMs that probe an endpoint. With two, reports continue while one of
@@ -164,7 +164,7 @@
 
 @attrs.define
 class _ReceivedReport:
-    news: ProbeNews
+    news: ProbeUpdate
     heard_s: float
 
 
@@ -196,7 +196,7 @@
 
     def record_local(
         self, report: EndpointReport, now: float, answered: bool = True
-    ) -> ProbeNews | None:
+    ) -> ProbeUpdate | None:
         """Records the result of a probe by the local VM.
 
         A report that differs little from the last one sent is sent again only
@@ -221,7 +221,7 @@
             self._failures.pop(key, None)
         if report is None:
             return None
-        news = ProbeNews(self._own_prober, report)
+        news = ProbeUpdate(self._own_prober, report)
         self._reports.setdefault(key, {})[self._own_prober] = _ReceivedReport(
             news, now
         )
@@ -234,7 +234,7 @@
         self._sent[key] = (report, now)
         return news
 
-    def record_peer(self, news: ProbeNews, now: float) -> bool:
+    def record_peer(self, news: ProbeUpdate, now: float) -> bool:
         """Records a peer's report; returns whether it was not yet known."""
         key = (news.report.service, news.report.endpoint)
         by_prober = self._reports.setdefault(key, {})
--- a/src/pollenmast/peers/_gossip.py
+++ b/src/pollenmast/peers/_gossip.py
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen
-class ProbeNews:
+class ProbeUpdate:
     """An endpoint's report, and the agent that probed it.
 
     Attributes:
@@ -90,7 +90,7 @@
     version: int = 0
     digest: bytes = b""
     members: tuple[Vm, ...] = ()
-    probes: tuple[ProbeNews, ...] = ()
+    probes: tuple[ProbeUpdate, ...] = ()
 
 
 # Fields are encoded by position; their names would take two thirds of a
@@ -171,8 +171,8 @@
     },
 )
 _CONVERTER.register_structure_hook(
-    ProbeNews,
-    lambda values, _: ProbeNews(
+    ProbeUpdate,
+    lambda values, _: ProbeUpdate(
         _read_number(values[0]), _read_report(values[1])
     ),
 )
@@ -183,7 +183,7 @@
     return 40 + len(vm.name) + len(vm.zone) + len(vm.address)
 
 
-def probe_size(news: ProbeNews) -> int:
+def probe_size(news: ProbeUpdate) -> int:
     """Returns an upper bound on the encoded size of a probe, in bytes."""
     return 38 + len(news.report.endpoint)
 
@@ -258,7 +258,7 @@
     )
 
 
-def _is_valid_probe(news: ProbeNews) -> bool:
+def _is_valid_probe(news: ProbeUpdate) -> bool:
     report = news.report
     numbers = (
         report.service,
--- a/tests/agent_gossip_test.py
+++ b/tests/agent_gossip_test.py
@@ -15,13 +15,13 @@
 from pollenmast.fleet import EndpointReport
 from pollenmast.manifest import ManifestKey
 from pollenmast.peers import _gossip
-from pollenmast.peers._gossip import Gossip, GossipType, ProbeNews
+from pollenmast.peers._gossip import Gossip, GossipType, ProbeUpdate
 from tests.agent_manifest_test import LOG, SETTINGS
 from tests.membership_group import vm
 
 PEER = vm(4)
 SOURCE = (PEER.address, PEER.gossip_port)
-PROBE_NEWS = ProbeNews(7, EndpointReport(1, "registry-1", 9, True))
+PROBE_NEWS = ProbeUpdate(7, EndpointReport(1, "registry-1", 9, True))
 PING = Gossip(GossipType.PING, 1, PEER, "vm-0", probes=(PROBE_NEWS,))
 
 
@@ -151,7 +151,7 @@
             for number in range(60):
                 name = f"e-{number}".ljust(length, "x")
                 report = attrs.evolve(PROBE_NEWS.report, endpoint=name)
-                loop.queue_report(ProbeNews(number, report))
+                loop.queue_report(ProbeUpdate(number, report))
                 member = long_vm(number + 10)
                 size = _gossip.member_size(member)
                 loop._members.add(member.name, member, size)
--- a/tests/decisions_probing_test.py
+++ b/tests/decisions_probing_test.py
@@ -11,7 +11,7 @@
 from pollenmast.decisions._probing import Reports
 from pollenmast.fleet import EndpointReport, VmState
 from pollenmast.manifest import Endpoint, Service, ServiceKind
-from pollenmast.peers._gossip import ProbeNews
+from pollenmast.peers._gossip import ProbeUpdate
 from tests.membership_group import ZONES, vm
 
 OWN, PEER = 1, 2
@@ -105,9 +105,9 @@
     def test_newest_wins(self):
         """A report that arrives after a newer one is ignored."""
         reports = _reports()
-        newer = ProbeNews(PEER, _report(sequence=13, running=2))
+        newer = ProbeUpdate(PEER, _report(sequence=13, running=2))
         self.assertTrue(reports.record_peer(newer, 0.0))
-        self.assertFalse(reports.record_peer(ProbeNews(PEER, REPORT), 0.0))
+        self.assertFalse(reports.record_peer(ProbeUpdate(PEER, REPORT), 0.0))
         self.assertEqual((newer.report,), reports.view(0.0))
 
     def test_one_lost_answer(self):
@@ -142,7 +142,7 @@
         its state four times a second, and its flows would be moved each time.
         """
         reports = _reports()
-        reports.record_peer(ProbeNews(PEER, REPORT), 0.0)
+        reports.record_peer(ProbeUpdate(PEER, REPORT), 0.0)
         for sequence in (12, 14):
             failed = _report(sequence=sequence, healthy=False)
             reports.record_local(failed, 0.1, answered=False)
@@ -151,7 +151,7 @@
     def test_report_of_silent_prober_expires(self):
         """The last report of a prober that is cut off or frozen expires."""
         reports = _reports()
-        reports.record_peer(ProbeNews(PEER, REPORT), 0.0)
+        reports.record_peer(ProbeUpdate(PEER, REPORT), 0.0)
         self.assertEqual((), reports.view(_probing.REPORT_LEASE_S + 0.1))
 
     def test_unchanged_report_is_sent_rarely(self):
@@ -167,13 +167,13 @@
         """After all agents restart, sequence numbers exceed earlier ones."""
         reports = _reports()
         self.assertEqual(11, reports.next_sequence(1, "registry-1"))
-        reports.record_peer(ProbeNews(PEER, _report(sequence=40)), 0.0)
+        reports.record_peer(ProbeUpdate(PEER, _report(sequence=40)), 0.0)
         self.assertEqual(41, reports.next_sequence(1, "registry-1"))
 
     def test_endpoints_not_in_manifest_are_removed(self):
         """Endpoints that the manifest no longer names use no memory."""
         reports = _reports()
-        reports.record_peer(ProbeNews(PEER, REPORT), 0.0)
+        reports.record_peer(ProbeUpdate(PEER, REPORT), 0.0)
         reports.keep_only(set())
         self.assertEqual((), reports.view(0.0))
 
--- a/tests/peers_gossip_test.py
+++ b/tests/peers_gossip_test.py
@@ -10,7 +10,7 @@
 from pollenmast.fleet import EndpointReport, VmState
 from pollenmast.peers import _gossip
 from pollenmast.peers._envelope import Opener, Sealer
-from pollenmast.peers._gossip import Gossip, GossipType, ProbeNews
+from pollenmast.peers._gossip import Gossip, GossipType, ProbeUpdate
 from pollenmast.peers._gossip_socket import GossipSocket
 from pollenmast.peers._kinds import MessageType
 from tests.membership_group import vm
@@ -25,7 +25,7 @@
     3,
     b"d" * 16,
     (attrs.evolve(vm(4), state=VmState.DEAD), vm(5)),
-    (ProbeNews(99, REPORT),),
+    (ProbeUpdate(99, REPORT),),
 )
 _FUZZ = settings(
     max_examples=300, derandomize=True, database=None, deadline=None
@@ -33,7 +33,7 @@
 
 
 def _changed_report(**changes) -> Gossip:
-    news = ProbeNews(99, attrs.evolve(REPORT, **changes))
+    news = ProbeUpdate(99, attrs.evolve(REPORT, **changes))
     return attrs.evolve(EXAMPLE, probes=(news,))
 
 
@@ -53,7 +53,7 @@
         one = attrs.evolve(EXAMPLE, members=(wide,), probes=())
         size = len(_gossip.encode(one)) - bare
         self.assertLessEqual(size, _gossip.member_size(wide))
-        news = ProbeNews(
+        news = ProbeUpdate(
             (1 << 32) - 1,
             attrs.evolve(
                 REPORT,
