--- a/bench/_capacity_control.py
+++ b/bench/_capacity_control.py
@@ -191,7 +191,7 @@
     for first in range(1, size, 8):
         news = tuple(_vm(n) for n in range(first, min(first + 8, size)))
         message = _gossip.Gossip(
-            _gossip.GossipType.NEWS, 1, news[0], members=news
+            _gossip.GossipType.UPDATE, 1, news[0], members=news
         )
         source = (news[0].address, news[0].gossip_port)
         membership.receive(message, source, 1000.0)
--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -197,7 +197,7 @@
 
     def _send_message(self, send: Send) -> None:
         bytes_left = self._budget.left(anyio.current_time())
-        if send.act is GossipType.NEWS and not bytes_left:
+        if send.act is GossipType.UPDATE and not bytes_left:
             # The same updates are sent with the next heartbeats. Without
             # this limit, a network cut of many VMs would cause a burst from
             # each of the others.
@@ -211,7 +211,7 @@
         own = node.membership.own
         fleet = len(node.membership.vms())
         members, probes = send.members, ()
-        if send.act in (GossipType.PING, GossipType.ACK, GossipType.NEWS):
+        if send.act in (GossipType.PING, GossipType.ACK, GossipType.UPDATE):
             room = min(bytes_left, _gossip.room(own, send.target, members))
             updates = self._members.pick(min(room, MAX_MEMBER_BYTES), fleet)
             members += updates
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -422,7 +422,7 @@
         live = [each.vm for each in self._members.live()]
         others = [vm for vm in live if vm.name not in names]
         return [
-            Send(gossip_address(vm), GossipType.NEWS, members=vms)
+            Send(gossip_address(vm), GossipType.UPDATE, members=vms)
             for vm in self._sample(others, constants.URGENT_FANOUT)
         ]
 
--- a/src/pollenmast/peers/_gossip.py
+++ b/src/pollenmast/peers/_gossip.py
@@ -44,7 +44,7 @@
     PING_REQUEST = 2
     """Requests an indirect probe: ping the target, which has not answered."""
 
-    NEWS = 3
+    UPDATE = 3
     """Carries updates and needs no answer."""
 
     SYNC_REQUEST = 4
--- a/tests/agent_gossip_test.py
+++ b/tests/agent_gossip_test.py
@@ -108,7 +108,7 @@
 
         async def script(loop, socket):
             push = Send(
-                SOURCE, GossipType.NEWS, members=tuple(map(vm, range(8)))
+                SOURCE, GossipType.UPDATE, members=tuple(map(vm, range(8)))
             )
             for _ in range(200):
                 loop.send([push])
--- a/tests/decisions_membership_test.py
+++ b/tests/decisions_membership_test.py
@@ -320,4 +320,4 @@
 
 
 def _message_from(node: Node, members: tuple[Vm, ...]) -> Gossip:
-    return Gossip(GossipType.NEWS, 0, node.membership.own, members=members)
+    return Gossip(GossipType.UPDATE, 0, node.membership.own, members=members)
