--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -212,7 +212,9 @@
         fleet = len(node.membership.vms())
         members, probes = send.members, ()
         if send.act in (GossipType.PING, GossipType.ACK, GossipType.UPDATE):
-            room = min(bytes_left, _gossip.room(own, send.target, members))
+            room = min(
+                bytes_left, _gossip.remaining_bytes(own, send.target, members)
+            )
             updates = self._members.pick(min(room, MAX_MEMBER_BYTES), fleet)
             members += updates
             room -= sum(map(_gossip.member_size, updates))
--- a/src/pollenmast/peers/_gossip.py
+++ b/src/pollenmast/peers/_gossip.py
@@ -188,7 +188,7 @@
     return 38 + len(news.report.endpoint)
 
 
-def room(sender: Vm, target: str, members: tuple[Vm, ...]) -> int:
+def remaining_bytes(sender: Vm, target: str, members: tuple[Vm, ...]) -> int:
     """Returns the bytes that remain for optional updates in a message.
 
     Args:
