--- a/src/pollenmast/peers/_envelope.py
+++ b/src/pollenmast/peers/_envelope.py
@@ -41,11 +41,11 @@
 
 
 @attrs.frozen
-class Opened:
+class OpenedEnvelope:
     """The content of an authenticated envelope.
 
     Attributes:
-        kind: Type of the body, as passed to `Sealer.seal`; see `Kind`.
+        kind: Type of the body, as passed to `Sealer.seal`; see `MessageType`.
         sender: `sender_id` of the sending VM's name.
         body: The payload.
     """
@@ -142,7 +142,9 @@
             self._keys.setdefault(_key_id(each), []).append(each)
         self._windows: dict[int, _Window] = {}
 
-    def open(self, data: bytes, now: float) -> Result[Opened, EnvelopeFault]:
+    def open(
+        self, data: bytes, now: float
+    ) -> Result[OpenedEnvelope, EnvelopeFault]:
         """Returns the verified content, or why the envelope is dropped.
 
         Args:
@@ -162,7 +164,7 @@
         fault = self._check_replay(sender, sequence, now)
         if fault is not None:
             return Err(fault)
-        return Ok(Opened(kind, sender, sealed[HEADER_BYTES:]))
+        return Ok(OpenedEnvelope(kind, sender, sealed[HEADER_BYTES:]))
 
     def _check_replay(
         self, sender: int, sequence: int, now: float
--- a/src/pollenmast/peers/_fetch.py
+++ b/src/pollenmast/peers/_fetch.py
@@ -16,7 +16,7 @@
 )
 from pollenmast.manifest import ManifestKey
 from pollenmast.peers import _nng
-from pollenmast.peers._envelope import Opened, Opener, Sealer
+from pollenmast.peers._envelope import OpenedEnvelope, Opener, Sealer
 from pollenmast.peers._kinds import MessageType
 
 MAX_MESSAGE_BYTES = (1 << 20) + 1024
@@ -141,7 +141,7 @@
 
 def _open_envelope(
     opener: Opener, data: bytes, counters: Counters
-) -> Opened | None:
+) -> OpenedEnvelope | None:
     opened = opener.open(data, anyio.current_time())
     if opened.is_err():
         counters.add(ENVELOPE_FAULTS, opened.unwrap_err())
@@ -152,7 +152,7 @@
     return opened.unwrap()
 
 
-def _decode_body(opened: Opened | None, cls: type, counters: Counters):
+def _decode_body(opened: OpenedEnvelope | None, cls: type, counters: Counters):
     if opened is None:
         return None
     try:
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -2,7 +2,7 @@
 
 from pollenmast import counters as c
 from pollenmast.decisions._fleet import Fleet
-from pollenmast.peers._envelope import Opened
+from pollenmast.peers._envelope import OpenedEnvelope
 from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     FlowRecord,
@@ -128,7 +128,7 @@
                 previous_relay, record_of(flow, RecordAction.CLOSE_OLD_PATH)
             )
 
-    def on_records(self, opened: Opened, now: float) -> None:
+    def on_records(self, opened: OpenedEnvelope, now: float) -> None:
         """Applies a batch of records and acknowledges it."""
         number, body = split_batch(opened.body)
         records = unpack_records(body)
@@ -221,7 +221,9 @@
             self._previous_relays.pop(flow, None)
             self._forwarder.release(flow, now)
 
-    def on_records_acknowledged(self, opened: Opened, now: float) -> None:
+    def on_records_acknowledged(
+        self, opened: OpenedEnvelope, now: float
+    ) -> None:
         """Handles a batch's acknowledgement; releases handed-over flows."""
         for record in self._outbox.pop_acknowledged(opened.body):
             if record.flags != RecordAction.TAKE_OVER:
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -25,7 +25,7 @@
 from pollenmast.decisions._fleet import Fleet
 from pollenmast.decisions._ownership import connection_id_hash
 from pollenmast.manifest import ServiceKind
-from pollenmast.peers._envelope import Opened
+from pollenmast.peers._envelope import OpenedEnvelope
 from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     MOST_RECORDS,
@@ -186,7 +186,7 @@
         )
         return True
 
-    def on_entries(self, opened: Opened, now: float) -> None:
+    def on_entries(self, opened: OpenedEnvelope, now: float) -> None:
         """Stores connection ids that another relay has published."""
         del now
         entries = unpack_connection_ids(opened.body)
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -15,7 +15,7 @@
 from pollenmast.decisions._fleet import Fleet
 from pollenmast.decisions._ownership import Member
 from pollenmast.decisions._token_bucket import TokenBucket
-from pollenmast.peers._envelope import Opened
+from pollenmast.peers._envelope import OpenedEnvelope
 from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     Forwarded,
@@ -199,7 +199,7 @@
         body = pack_forwarded(_forwarded(datagram, hops=datagram.hops + 1))
         self._peer_sender.send(vm, MessageType.FORWARD, body)
 
-    def on_forward(self, opened: Opened, now: float) -> None:
+    def on_forward(self, opened: OpenedEnvelope, now: float) -> None:
         """Handles a datagram that another relay forwarded."""
         # If an agent forwarded it in place of its relay, nothing may be sent
         # back to that VM. This VM may not know yet that the relay is gone.
@@ -208,7 +208,7 @@
         if datagram is not None:
             self._forwarder.on_datagram(datagram, now)
 
-    def on_ask(self, opened: Opened, now: float) -> None:
+    def on_ask(self, opened: OpenedEnvelope, now: float) -> None:
         """Forwards a queried datagram to its flow, or queries the next VM."""
         forwarded = self._unpack(opened)
         if forwarded is None:
@@ -265,14 +265,14 @@
             forwarded.requester, MessageType.FLOW_NOT_FOUND, body
         )
 
-    def on_find(self, opened: Opened, now: float) -> None:
+    def on_find(self, opened: OpenedEnvelope, now: float) -> None:
         """Answers a query for the connection id in a datagram."""
         del now
         forwarded = self._unpack(opened)
         if forwarded is not None:
             self._connection_ids.answer_query(forwarded)
 
-    def on_found(self, opened: Opened, now: float) -> None:
+    def on_found(self, opened: OpenedEnvelope, now: float) -> None:
         """Forwards a datagram whose endpoint another VM has found."""
         unpacked = unpack_found(opened.body)
         if unpacked.is_err():
@@ -296,7 +296,7 @@
         if flow is not None:
             self._forwarder.forward_to_upstream(flow, datagram.data, now)
 
-    def on_not_found(self, opened: Opened, now: float) -> None:
+    def on_not_found(self, opened: OpenedEnvelope, now: float) -> None:
         """Handles a datagram whose connection id no VM has stored."""
         datagram = self._read(self._unpack(opened), opened.sender)
         if datagram is None:
@@ -320,7 +320,7 @@
             listener is not None and not table.may_use_default(listener)
         )
 
-    def on_unknown(self, opened: Opened, now: float) -> None:
+    def on_unknown(self, opened: OpenedEnvelope, now: float) -> None:
         """Handles the return of a datagram whose flow no queried VM knows."""
         forwarded = self._unpack(opened)
         datagram = self._read(forwarded, opened.sender)
@@ -346,7 +346,7 @@
             listener, caller, forwarded.data, forwarded.hops, sender
         )
 
-    def _unpack(self, opened: Opened) -> Forwarded | None:
+    def _unpack(self, opened: OpenedEnvelope) -> Forwarded | None:
         unpacked = unpack_forwarded(opened.body)
         if unpacked.is_err():
             self._counters.add(c.ENVELOPE_FAULTS, unpacked.unwrap_err())
