--- a/bench/_capacity_relay.py
+++ b/bench/_capacity_relay.py
@@ -69,7 +69,7 @@
         start = time.process_time()
         for _ in range(_UPKEEP_TICKS):
             now += 0.02
-            core._maintenance._checks = False
+            core._maintenance._recomputing = False
             core._maintenance._changes_seen = core.fleet.changes
             core._maintenance._new_defaults = False
             core._maintenance.tick(now, int(now * 10))
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -77,7 +77,7 @@
         self._check_backups = False
         self._new_defaults = False
         self._check_defaults = False
-        self._checks = False
+        self._recomputing = False
         self._draining = False
 
     def on_manifest(self) -> None:
@@ -97,7 +97,7 @@
                 return
             self._next_pass = now + PASS_INTERVAL_S
             self._begin_pass()
-        size = CHECKED_FLOWS_PER_TICK if self._checks else FLOWS_PER_TICK
+        size = CHECKED_FLOWS_PER_TICK if self._recomputing else FLOWS_PER_TICK
         flows = self._pending[-size:]
         del self._pending[-size:]
         idle_since = tick - int(self._settings.idle_s * TICKS_PER_S)
@@ -107,7 +107,7 @@
                 flow.state is FlowState.ESTABLISHED
                 and not flow.unanswered
                 and not flow.off_default
-                and not self._checks
+                and not self._recomputing
                 and flow.heard > idle_since
             ):
                 continue
@@ -119,7 +119,7 @@
         self._changes_seen = self._fleet.changes
         self._check_defaults = self._new_defaults
         self._new_defaults = False
-        self._checks = (
+        self._recomputing = (
             self._check_backups or self._check_defaults or self._draining
         )
 
