--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -131,14 +131,14 @@
         last = max(flow.heard, flow.answered)
         if (
             last < idle_since
-            or self._unproved(flow, tick)
+            or self._guess_expired(flow, tick)
             or self._handover_expired(flow, tick)
         ):
             self._end(flow, now)
         elif flow.state in (FlowState.ESTABLISHED, FlowState.ADOPTED):
             self._maintain(flow, now, tick)
 
-    def _unproved(self, flow: Flow, tick: int) -> bool:
+    def _guess_expired(self, flow: Flow, tick: int) -> bool:
         """Returns whether a guessed flow got no answer in time."""
         waited = tick - flow.opened
         return flow.state is FlowState.UNCONFIRMED and waited > (
--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -295,9 +295,9 @@
         "guesses-stay",
         Invariant.BOUNDED,
         "a guessed flow without an answer is forgotten",
-        "`FlowMaintenance._unproved` is never true",
+        "`FlowMaintenance._guess_expired` is never true",
         _attribute(
-            FlowMaintenance, "_unproved", lambda self, flow, tick: False
+            FlowMaintenance, "_guess_expired", lambda self, flow, tick: False
         ),
         scenarios.flood,
     ),
