--- a/bench/_capacity_relay.py
+++ b/bench/_capacity_relay.py
@@ -71,7 +71,7 @@
             now += 0.02
             core._maintenance._recomputing = False
             core._maintenance._changes_seen = core.fleet.changes
-            core._maintenance._new_defaults = False
+            core._maintenance._defaults_changed = False
             core._maintenance.tick(now, int(now * 10))
         spent = time.process_time() - start
         points.append((size, spent / (_UPKEEP_TICKS * 0.02) * 100))
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -75,14 +75,14 @@
         self._next_pass = 0.0
         self._changes_seen = 0
         self._check_backups = False
-        self._new_defaults = False
+        self._defaults_changed = False
         self._check_defaults = False
         self._recomputing = False
         self._draining = False
 
     def on_manifest(self) -> None:
         """Makes the next pass recompute which flows are off their default."""
-        self._new_defaults = True
+        self._defaults_changed = True
 
     def drain(self) -> None:
         """Restarts the scan; each pass now hands flows over to their owners."""
@@ -117,8 +117,8 @@
         self._pending = self._table.all_flows()
         self._check_backups = self._changes_seen != self._fleet.changes
         self._changes_seen = self._fleet.changes
-        self._check_defaults = self._new_defaults
-        self._new_defaults = False
+        self._check_defaults = self._defaults_changed
+        self._defaults_changed = False
         self._recomputing = (
             self._check_backups or self._check_defaults or self._draining
         )
