--- a/src/pollenmast/relay/_flows.py
+++ b/src/pollenmast/relay/_flows.py
@@ -120,7 +120,7 @@
         opened: Tick of its first packet at this relay.
         heard: Tick of the caller's latest packet, or of the hand-over to
             another relay.
-        answered: Tick of the upstream's latest packet, or of the latest
+        answered_tick: Tick of the upstream's latest packet, or of the latest
             change of path.
         unanswered: Number of the caller's packets since the upstream's latest.
         backup: Number of the VM that stores its record, 0 for none.
@@ -128,7 +128,7 @@
     """
 
     __slots__ = (
-        "answered",
+        "answered_tick",
         "backup",
         "caller",
         "heard",
@@ -156,7 +156,7 @@
         self.state = state
         self.opened = tick
         self.heard = tick
-        self.answered = tick
+        self.answered_tick = tick
         self.unanswered = 0
         self.backup = 0
         self.off_default = False
--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -204,7 +204,7 @@
             continue
         if flow.state is not FlowState.ESTABLISHED:
             core.on_first_answer(flow, data, now)
-        flow.answered = tick
+        flow.answered_tick = tick
         flow.unanswered = 0
         flow.target.answered = tick
         try:
--- a/src/pollenmast/relay/_table.py
+++ b/src/pollenmast/relay/_table.py
@@ -220,7 +220,7 @@
         old_target.flows -= 1
         target.flows += 1
         flow.path, flow.target = path, target
-        flow.answered = tick
+        flow.answered_tick = tick
         flow.unanswered = 0
         return True
 
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -128,7 +128,7 @@
     ) -> None:
         if flow.path.flows.get(flow.target.address) is not flow:
             return
-        last = max(flow.heard, flow.answered)
+        last = max(flow.heard, flow.answered_tick)
         if (
             last < idle_since
             or self._guess_expired(flow, tick)
@@ -214,12 +214,12 @@
         """Returns whether the endpoint answered other flows after this one."""
         last = flow.target.answered
         fresh = tick - last < ENDPOINT_ALIVE_S * TICKS_PER_S
-        return fresh and last > flow.answered
+        return fresh and last > flow.answered_tick
 
     def _repair(self, flow: Flow, now: float, tick: int) -> None:
         silent = is_silent(
             flow.unanswered,
-            (tick - flow.answered) / TICKS_PER_S,
+            (tick - flow.answered_tick) / TICKS_PER_S,
             (tick - flow.heard) / TICKS_PER_S,
             self._endpoint_answers_others(flow, tick),
         )
--- a/standins/memory.py
+++ b/standins/memory.py
@@ -301,7 +301,7 @@
             return
         if flow.state is not FlowState.ESTABLISHED:
             core.on_first_answer(flow, data, self.now)
-        flow.answered = core.tick_now
+        flow.answered_tick = core.tick_now
         flow.unanswered = 0
         flow.target.answered = core.tick_now
         flow.listener.send(data, flow.caller)
--- a/tests/proof/_upstreams.py
+++ b/tests/proof/_upstreams.py
@@ -173,7 +173,7 @@
         world.responding_session = session
         if flow.state.name != "ESTABLISHED":
             core.on_first_answer(flow, data, world.now)
-        flow.answered = core.tick_now
+        flow.answered_tick = core.tick_now
         flow.unanswered = 0
         flow.target.answered = core.tick_now
         if flow.caller != session.flow.caller and self._may_stray(
