--- a/src/pollenmast/relay/_flows.py
+++ b/src/pollenmast/relay/_flows.py
@@ -50,13 +50,13 @@
         address: The IP address and port that its packets are sent to.
         serving: Whether the manifest allows new flows to it.
         flows: Number of flows that this relay forwards to it.
-        answered: Tick of its latest answer to any flow.
+        answered_tick: Tick of its latest answer to any flow.
         paths: Chooses the path of each flow to it.
     """
 
     __slots__ = (
         "address",
-        "answered",
+        "answered_tick",
         "flows",
         "idempotent",
         "name",
@@ -81,7 +81,7 @@
         self.serving = True
         self.idempotent = False
         self.flows = 0
-        self.answered = 0
+        self.answered_tick = 0
         self.paths = PathChooser(pool, address)
 
 
--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -206,7 +206,7 @@
             core.on_first_answer(flow, data, now)
         flow.answered_tick = tick
         flow.unanswered = 0
-        flow.target.answered = tick
+        flow.target.answered_tick = tick
         try:
             flow.listener.sock.sendto(data, flow.caller)
         except OSError:
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -212,7 +212,7 @@
 
     def _endpoint_answers_others(self, flow: Flow, tick: int) -> bool:
         """Returns whether the endpoint answered other flows after this one."""
-        last = flow.target.answered
+        last = flow.target.answered_tick
         fresh = tick - last < ENDPOINT_ALIVE_S * TICKS_PER_S
         return fresh and last > flow.answered_tick
 
--- a/standins/memory.py
+++ b/standins/memory.py
@@ -303,7 +303,7 @@
             core.on_first_answer(flow, data, self.now)
         flow.answered_tick = core.tick_now
         flow.unanswered = 0
-        flow.target.answered = core.tick_now
+        flow.target.answered_tick = core.tick_now
         flow.listener.send(data, flow.caller)
 
     def answers_to(self, tag: str) -> list[bytes]:
--- a/tests/proof/_upstreams.py
+++ b/tests/proof/_upstreams.py
@@ -175,7 +175,7 @@
             core.on_first_answer(flow, data, world.now)
         flow.answered_tick = core.tick_now
         flow.unanswered = 0
-        flow.target.answered = core.tick_now
+        flow.target.answered_tick = core.tick_now
         if flow.caller != session.flow.caller and self._may_stray(
             session, path
         ):
