--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -221,7 +221,7 @@
             opening = self._openings.find(flow.listener, flow.caller)
             if opening is not None:
                 self._openings.add_datagram(opening, data, early, now)
-        flow.heard = self.tick_now
+        flow.received_tick = self.tick_now
         flow.unanswered += 1
         flow.path.send(data, flow.target.address)
 
@@ -354,7 +354,7 @@
         self._connection_ids.publish(flow)
         self._dispatcher.on_flow_ended(target.service, target.name, now)
         self._table.release(flow)
-        flow.heard = self.tick_now
+        flow.received_tick = self.tick_now
 
     # Input from the agent and the clock.
 
--- a/src/pollenmast/relay/_flows.py
+++ b/src/pollenmast/relay/_flows.py
@@ -118,8 +118,8 @@
         path: The local port towards the endpoint.
         state: The flow's life-cycle state.
         opened: Tick of its first packet at this relay.
-        heard: Tick of the caller's latest packet, or of the hand-over to
-            another relay.
+        received_tick: Tick of the caller's latest packet, or of the hand-over
+            to another relay.
         answered_tick: Tick of the upstream's latest packet, or of the latest
             change of path.
         unanswered: Number of the caller's packets since the upstream's latest.
@@ -131,7 +131,7 @@
         "answered_tick",
         "backup",
         "caller",
-        "heard",
+        "received_tick",
         "listener",
         "off_default",
         "opened",
@@ -155,7 +155,7 @@
         self.path: Path | None = None
         self.state = state
         self.opened = tick
-        self.heard = tick
+        self.received_tick = tick
         self.answered_tick = tick
         self.unanswered = 0
         self.backup = 0
--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -178,7 +178,7 @@
         if flow is None or not data or data[0] & LONG_HEADER:
             core.on_caller(listener, data, caller, now)
             continue
-        flow.heard = tick
+        flow.received_tick = tick
         flow.unanswered += 1
         try:
             flow.path.sock.sendto(data, flow.target.address)
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -108,7 +108,7 @@
                 and not flow.unanswered
                 and not flow.off_default
                 and not self._recomputing
-                and flow.heard > idle_since
+                and flow.received_tick > idle_since
             ):
                 continue
             self._inspect(flow, now, tick, idle_since)
@@ -128,7 +128,7 @@
     ) -> None:
         if flow.path.flows.get(flow.target.address) is not flow:
             return
-        last = max(flow.heard, flow.answered_tick)
+        last = max(flow.received_tick, flow.answered_tick)
         if (
             last < idle_since
             or self._guess_expired(flow, tick)
@@ -153,7 +153,7 @@
         until it is silent would delay every planned stop. A caller that is
         still alive has sent its keep-alive to the new relay by now.
         """
-        waited = tick - flow.heard
+        waited = tick - flow.received_tick
         return (
             self._draining
             and flow.state is FlowState.HANDED_OVER
@@ -199,7 +199,7 @@
     def _replicate(self, flow: Flow) -> None:
         # The age counts up to the caller's latest packet. Only silence shows
         # that a flow has ended, and an ended flow needs no record.
-        age_s = (flow.heard - flow.opened) / TICKS_PER_S
+        age_s = (flow.received_tick - flow.opened) / TICKS_PER_S
         due = is_due(age_s, flow.off_default, self._settings.replicate_after_s)
         if not due and not self._check_backups:
             return
@@ -220,7 +220,7 @@
         silent = is_silent(
             flow.unanswered,
             (tick - flow.answered_tick) / TICKS_PER_S,
-            (tick - flow.heard) / TICKS_PER_S,
+            (tick - flow.received_tick) / TICKS_PER_S,
             self._endpoint_answers_others(flow, tick),
         )
         if not silent or not self._repath_budget.take(now):
