--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -131,9 +131,9 @@
         if self._draining and self._fleet.local not in self._fleet.owners:
             self._hand_over()
         for flow in list(self._unpublished):
-            if flow.received_tick - flow.opened >= self._publish_after:
+            if flow.received_tick - flow.opened_tick >= self._publish_after:
                 self.publish(flow)
-            elif tick - flow.opened > UNPUBLISHED_EXPIRY_TICKS:
+            elif tick - flow.opened_tick > UNPUBLISHED_EXPIRY_TICKS:
                 del self._unpublished[flow]
         self._send()
 
--- a/src/pollenmast/relay/_flows.py
+++ b/src/pollenmast/relay/_flows.py
@@ -117,7 +117,7 @@
         target: The endpoint.
         path: The local port towards the endpoint.
         state: The flow's life-cycle state.
-        opened: Tick of its first packet at this relay.
+        opened_tick: Tick of its first packet at this relay.
         received_tick: Tick of the caller's latest packet, or of the hand-over
             to another relay.
         answered_tick: Tick of the upstream's latest packet, or of the latest
@@ -134,7 +134,7 @@
         "received_tick",
         "listener",
         "off_default",
-        "opened",
+        "opened_tick",
         "path",
         "state",
         "target",
@@ -154,7 +154,7 @@
         self.target = target
         self.path: Path | None = None
         self.state = state
-        self.opened = tick
+        self.opened_tick = tick
         self.received_tick = tick
         self.answered_tick = tick
         self.unanswered = 0
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -140,7 +140,7 @@
 
     def _guess_expired(self, flow: Flow, tick: int) -> bool:
         """Returns whether a guessed flow got no answer in time."""
-        waited = tick - flow.opened
+        waited = tick - flow.opened_tick
         return flow.state is FlowState.UNCONFIRMED and waited > (
             GUESS_TIMEOUT_S * TICKS_PER_S
         )
@@ -199,7 +199,7 @@
     def _replicate(self, flow: Flow) -> None:
         # The age counts up to the caller's latest packet. Only silence shows
         # that a flow has ended, and an ended flow needs no record.
-        age_s = (flow.received_tick - flow.opened) / TICKS_PER_S
+        age_s = (flow.received_tick - flow.opened_tick) / TICKS_PER_S
         due = is_due(age_s, flow.off_default, self._settings.replicate_after_s)
         if not due and not self._check_backups:
             return
