--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -250,7 +250,7 @@
         )
 
     def _ask_next(self, forwarded: Forwarded) -> None:
-        if self._may_be_anothers(forwarded):
+        if self._may_be_for_previous_service(forwarded):
             self._counters.add(c.DROPS, c.DropReason.UNKNOWN_FLOW)
             return
         next_vm = forwarded.next_candidate
@@ -307,7 +307,7 @@
         else:
             self._forwarder.forward_to_upstream(flow, datagram.data, now)
 
-    def _may_be_anothers(self, forwarded: Forwarded) -> bool:
+    def _may_be_for_previous_service(self, forwarded: Forwarded) -> bool:
         """Returns whether a packet may be for the port's previous service.
 
         The VM that asks may have joined after the port was reassigned, and
--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -152,8 +152,12 @@
         "ask-answers-reused-port",
         Invariant.RIGHT_SERVICE,
         "a VM that knows a port as reused drops what nobody knows",
-        "`Routing._may_be_anothers` is never true",
-        _attribute(Routing, "_may_be_anothers", lambda self, forwarded: False),
+        "`Routing._may_be_for_previous_service` is never true",
+        _attribute(
+            Routing,
+            "_may_be_for_previous_service",
+            lambda self, forwarded: False,
+        ),
         scenarios.reused_port_and_joins,
     ),
     Mutation(
