--- a/bench/packet_path.py
+++ b/bench/packet_path.py
@@ -76,7 +76,7 @@
         for _ in range(_BATCH):
             caller.sendto(_PAYLOAD, to_relay)
         start = time.process_time()
-        while transport.pump_once(core):
+        while transport.poll_once(core):
             pass
         spent += time.process_time() - start
         _drain_socket(upstream)
@@ -91,7 +91,7 @@
         for _ in range(_BATCH):
             upstream.sendto(_PAYLOAD, to_path)
         start = time.process_time()
-        while transport.pump_once(core):
+        while transport.poll_once(core):
             pass
         spent += time.process_time() - start
         _drain_socket(caller)
--- a/src/pollenmast/relay/_program.py
+++ b/src/pollenmast/relay/_program.py
@@ -90,7 +90,7 @@
             async with anyio.create_task_group() as tasks:
                 for task in (self._tick, self._report, self._listen):
                     tasks.start_soon(task)
-                tasks.start_soon(self._transport.pump, self._core)
+                tasks.start_soon(self._transport.run, self._core)
                 scope = tasks.cancel_scope
                 tasks.start_soon(self._watch_signals, received, scope)
                 tasks.start_soon(self._watch_drain, scope)
--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -117,16 +117,16 @@
         """Sends a sealed envelope to another relay."""
         _send(self._peer_socket, data, address)
 
-    async def pump(self, core: RelayCore) -> None:
+    async def run(self, core: RelayCore) -> None:
         """Forwards packets until it is cancelled."""
         while True:
             await anyio.wait_readable(self._epoll.fileno())
             for _ in range(MAX_ROUNDS):
-                if not self.pump_once(core):
+                if not self.poll_once(core):
                     break
             await anyio.sleep(0)
 
-    def pump_once(self, core: RelayCore) -> bool:
+    def poll_once(self, core: RelayCore) -> bool:
         """Reads a batch from each readable socket; returns whether any was."""
         events = self._epoll.poll(0, MAX_EVENTS)
         now = anyio.current_time() if events else 0.0
