--- a/src/pollenmast/decisions/_silence.py
+++ b/src/pollenmast/decisions/_silence.py
@@ -21,7 +21,7 @@
 caller's probes doubles from about 0.3 s, so three probes have gone unanswered
 by 1.5 s."""
 
-NEXT_TRY_S = 5.0
+MOVE_INTERVAL_S = 5.0
 """Minimum time between two moves of the same flow, in seconds: one idle probe
 interval."""
 
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -10,7 +10,7 @@
 from pollenmast.decisions._replication import is_due
 from pollenmast.decisions._silence import (
     BURST,
-    NEXT_TRY_S,
+    MOVE_INTERVAL_S,
     PER_SECOND,
     SILENT_S,
     is_silent,
@@ -227,6 +227,6 @@
             return
         # The tick lies in the future, so that the flow counts as silent again
         # only after the retry interval.
-        until = tick + int((NEXT_TRY_S - SILENT_S) * TICKS_PER_S)
+        until = tick + int((MOVE_INTERVAL_S - SILENT_S) * TICKS_PER_S)
         if self._table.move(flow, flow.target, until, now, lost=True):
             self._counters.add(c.REPATHS, c.RepathReason.SILENT)
