--- a/src/pollenmast/decisions/_silence.py
+++ b/src/pollenmast/decisions/_silence.py
@@ -25,7 +25,7 @@
 """Minimum time between two moves of the same flow, in seconds: one idle probe
 interval."""
 
-PER_SECOND = 20.0
+MOVES_PER_S = 20.0
 BURST = 200.0
 """Moves per second and maximum burst of moves of one relay. If a firewall loses
 its whole state table, 2,000 flows are moved in about 90 s, the first 200 of
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -11,7 +11,7 @@
 from pollenmast.decisions._silence import (
     BURST,
     MOVE_INTERVAL_S,
-    PER_SECOND,
+    MOVES_PER_S,
     SILENT_S,
     is_silent,
 )
@@ -70,7 +70,7 @@
         self._record_exchange = record_exchange
         self._dispatcher = dispatcher
         self._counters = counters
-        self._repath_budget = TokenBucket(PER_SECOND, BURST)
+        self._repath_budget = TokenBucket(MOVES_PER_S, BURST)
         self._pending: list[Flow] = []
         self._next_pass = 0.0
         self._changes_seen = 0
