--- a/src/pollenmast/decisions/_silence.py
+++ b/src/pollenmast/decisions/_silence.py
@@ -26,7 +26,7 @@
 interval."""
 
 MOVES_PER_S = 20.0
-BURST = 200.0
+MOVE_BURST = 200.0
 """Moves per second and maximum burst of moves of one relay. If a firewall loses
 its whole state table, 2,000 flows are moved in about 90 s, the first 200 of
 them at once. The idle time-outs of callers are 60 s and more."""
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -9,7 +9,7 @@
 from pollenmast.decisions._fleet import Fleet
 from pollenmast.decisions._replication import is_due
 from pollenmast.decisions._silence import (
-    BURST,
+    MOVE_BURST,
     MOVE_INTERVAL_S,
     MOVES_PER_S,
     SILENT_S,
@@ -70,7 +70,7 @@
         self._record_exchange = record_exchange
         self._dispatcher = dispatcher
         self._counters = counters
-        self._repath_budget = TokenBucket(MOVES_PER_S, BURST)
+        self._repath_budget = TokenBucket(MOVES_PER_S, MOVE_BURST)
         self._pending: list[Flow] = []
         self._next_pass = 0.0
         self._changes_seen = 0
