--- a/bench/_load_switches.py
+++ b/bench/_load_switches.py
@@ -118,7 +118,13 @@
     Switch(
         "report correction",
         ("overload 5", "slow upstream"),
-        ((_request_capacity.RequestCapacity, "_settle", lambda *_: None),),
+        (
+            (
+                _request_capacity.RequestCapacity,
+                "_correct_debt",
+                lambda *_: None,
+            ),
+        ),
     ),
     Switch(
         "trust",
--- a/src/pollenmast/decisions/_request_capacity.py
+++ b/src/pollenmast/decisions/_request_capacity.py
@@ -138,7 +138,9 @@
             self._name, occupancy / self._target_occupancy, done, now
         )
         if verdict is Verdict.BELIEVED:
-            self._settle(drained - done * self._capacity_share.value, occupancy)
+            self._correct_debt(
+                drained - done * self._capacity_share.value, occupancy
+            )
 
     def has_room(self, now: float, share: float) -> bool:
         """Whether the debt is below this VM's share of the target occupancy."""
@@ -172,7 +174,7 @@
         alike = median_s / SIMILAR_RATIO <= own <= median_s * SIMILAR_RATIO
         self._assumed_service_time_s = median_s if alike else own
 
-    def _settle(self, missing: float, occupancy: int) -> None:
+    def _correct_debt(self, missing: float, occupancy: int) -> None:
         """Corrects the debt by the requests that actually finished.
 
         Args:
