--- a/bench/_load_switches.py
+++ b/bench/_load_switches.py
@@ -113,7 +113,7 @@
     Switch(
         "burst allowance",
         ("steady", "burst"),
-        ((_request_capacity, "BURST", 0.0),),
+        ((_request_capacity, "BURST_FLOWS", 0.0),),
     ),
     Switch(
         "report correction",
--- a/src/pollenmast/decisions/_request_capacity.py
+++ b/src/pollenmast/decisions/_request_capacity.py
@@ -32,7 +32,7 @@
 The queued requests keep its slots busy in that time.
 """
 
-BURST = 1.0
+BURST_FLOWS = 1.0
 """Flows beyond its share that a VM may place at once at an idle endpoint.
 
 Callers are distributed unevenly over the VMs. Without the burst a flow would
@@ -148,7 +148,7 @@
         limit = (
             self._target_occupancy * share * self._capacity_share.value - 0.5
         )
-        self._min_debt = min(0.0, limit - BURST)
+        self._min_debt = min(0.0, limit - BURST_FLOWS)
         return self._debt <= limit + self._limit_jitter
 
     def load(self, now: float) -> float:
