--- a/bench/_load_switches.py
+++ b/bench/_load_switches.py
@@ -31,7 +31,7 @@
         """Removes and returns the oldest flow, or None if empty."""
         return self.remove(next(iter(self._flows))) if len(self) else None
 
-    def give_up(self, newcomer, now: float):
+    def drop_one(self, newcomer, now: float):
         """Removes and returns the new flow."""
         return self.remove(newcomer.request.ticket)
 
--- a/src/pollenmast/decisions/_fairness.py
+++ b/src/pollenmast/decisions/_fairness.py
@@ -144,7 +144,7 @@
             self._remove(flow)
         return flow
 
-    def give_up(self, newcomer: HeldFlow, now: float) -> HeldFlow:
+    def drop_one(self, newcomer: HeldFlow, now: float) -> HeldFlow:
         """Removes and returns the flow to drop when too many are held.
 
         It is a flow of the newcomer's network unless another network has a
--- a/src/pollenmast/decisions/_service.py
+++ b/src/pollenmast/decisions/_service.py
@@ -289,7 +289,7 @@
             The refusal if the dropped flow is `newest`, otherwise None; the
             refusal of another flow is returned by the next `release`.
         """
-        dropped = self._queue.give_up(newest, now)
+        dropped = self._queue.drop_one(newest, now)
         if dropped is newest:
             full = len(self._queue) >= self._service.limits.held_flows
             reason = RefusalReason.HOLD_FULL if full else RefusalReason.BUSY
--- a/tests/decisions_fairness_test.py
+++ b/tests/decisions_fairness_test.py
@@ -71,7 +71,7 @@
         _push(queue, *[(n, "10.0.1.1") for n in range(8)])
         newcomer = _held(9, "10.0.2.1")
         queue.push(newcomer)
-        self.assertEqual(7, queue.give_up(newcomer, 0.0).request.ticket)
+        self.assertEqual(7, queue.drop_one(newcomer, 0.0).request.ticket)
 
     def test_newcomer_among_equals_is_dropped(self):
         """With one held flow for each caller, the newcomer is dropped.
@@ -83,7 +83,7 @@
         _push(queue, *[(n, f"10.0.{n}.1") for n in range(8)])
         newcomer = _held(9, "10.0.9.1")
         queue.push(newcomer)
-        self.assertIs(newcomer, queue.give_up(newcomer, 0.0))
+        self.assertIs(newcomer, queue.drop_one(newcomer, 0.0))
 
     def test_network_may_hold_half(self):
         """A heavy network leaves half of the queue to other networks."""
