--- a/bench/_load_switches.py
+++ b/bench/_load_switches.py
@@ -39,7 +39,7 @@
         """Returns True, as there is no limit per network."""
         return True
 
-    def of_caller(self, caller: str) -> int:
+    def count_held(self, caller: str) -> int:
         """Returns 0, so that no caller reaches its limit."""
         return 0
 
--- a/src/pollenmast/decisions/_fairness.py
+++ b/src/pollenmast/decisions/_fairness.py
@@ -95,7 +95,7 @@
     def __len__(self) -> int:
         return len(self._flows)
 
-    def of_caller(self, caller: str) -> int:
+    def count_held(self, caller: str) -> int:
         """Returns the number of held flows of a caller."""
         entry = self._networks.get(network_of(caller))
         return len(entry.callers.get(caller, ())) if entry else 0
