--- a/bench/_load_switches.py
+++ b/bench/_load_switches.py
@@ -129,7 +129,7 @@
     Switch(
         "trust",
         ("lying report", "frozen idle", "frozen full", "session lies"),
-        ((_trust.ReportTrust, "verdict", lambda *_: _trust.Verdict.BELIEVED),),
+        ((_trust.ReportTrust, "verdict", lambda *_: _trust.Verdict.TRUSTED),),
     ),
     Switch(
         "speed",
--- a/src/pollenmast/decisions/_capacity.py
+++ b/src/pollenmast/decisions/_capacity.py
@@ -95,7 +95,7 @@
         would attract all new sessions.
         """
         self._reported_at = now
-        if verdict is Verdict.BELIEVED:
+        if verdict is Verdict.TRUSTED:
             self._reported_connections = report.connections
         else:
             self._reported_connections = int(
--- a/src/pollenmast/decisions/_endpoint.py
+++ b/src/pollenmast/decisions/_endpoint.py
@@ -172,7 +172,7 @@
         if self.slow_start_share(now) < 1.0:
             return "slow start: it runs since a few seconds only"
         verdict = self.trust.verdict(now)
-        if verdict is not Verdict.BELIEVED:
+        if verdict is not Verdict.TRUSTED:
             return _VERDICT_TEXTS[verdict]
         if self.speed < 1.0:
             return "slower than the others"
--- a/src/pollenmast/decisions/_request_capacity.py
+++ b/src/pollenmast/decisions/_request_capacity.py
@@ -137,7 +137,7 @@
         self._capacity_share.on_report(
             self._name, occupancy / self._target_occupancy, done, now
         )
-        if verdict is Verdict.BELIEVED:
+        if verdict is Verdict.TRUSTED:
             self._correct_debt(
                 drained - done * self._capacity_share.value, occupancy
             )
--- a/src/pollenmast/decisions/_trust.py
+++ b/src/pollenmast/decisions/_trust.py
@@ -74,7 +74,7 @@
 class Verdict(enum.Enum):
     """How far a report can be trusted."""
 
-    BELIEVED = "believed"
+    TRUSTED = "believed"
     STALE = "stale"
     FROZEN = "frozen"
     """No figure changes although flows go there and slots are free."""
@@ -173,7 +173,7 @@
     def verdict(self, now: float) -> Verdict:
         """Returns how far the newest report can be trusted now."""
         if not self._samples:
-            return Verdict.BELIEVED
+            return Verdict.TRUSTED
         newest = self._samples[-1]
         if now - newest.at > STALE_S:
             return Verdict.STALE
@@ -182,7 +182,7 @@
             return Verdict.STUCK if full else Verdict.FROZEN
         if self._distrusted_until is not None and now < self._distrusted_until:
             return Verdict.HIDES
-        return Verdict.BELIEVED
+        return Verdict.TRUSTED
 
     def _measure(self) -> None:
         oldest, newest = self._samples[0], self._samples[-1]
--- a/tests/decisions_capacity_test.py
+++ b/tests/decisions_capacity_test.py
@@ -82,7 +82,7 @@
                 step, min(backlog, 2), max(backlog - 2, 0), finished
             )
             capacity.compare(capacity.service_time_s())
-            capacity.on_report(report, step / 2 + 0.5, Verdict.BELIEVED)
+            capacity.on_report(report, step / 2 + 0.5, Verdict.TRUSTED)
         self.assertLess(backlog, 14)
         self.assertLess(idle, 5)
 
@@ -93,15 +93,15 @@
         of the debt, the endpoint would stay closed for hours.
         """
         capacity = _capacity()
-        capacity.on_report(_report(1), 0.0, Verdict.BELIEVED)
-        capacity.on_report(_report(2, 2, 10**9), 0.5, Verdict.BELIEVED)
+        capacity.on_report(_report(1), 0.0, Verdict.TRUSTED)
+        capacity.on_report(_report(2, 2, 10**9), 0.5, Verdict.TRUSTED)
         wait = (MAX_DEBT_FACTOR * 6 + 1) * DEFAULT_SERVICE_TIME_S / 2
         self.assertTrue(capacity.has_room(0.5 + wait, 1.0))
 
     def test_distrusted_report_limits_rate(self):
         """An endpoint whose report hides work gets flows only at a low rate."""
         capacity = _capacity()
-        capacity.on_report(_report(1), 0.0, Verdict.BELIEVED)
+        capacity.on_report(_report(1), 0.0, Verdict.TRUSTED)
         capacity.on_report(_report(2, finished=1), 0.5, Verdict.HIDES)
         _fill(capacity, 0.5)
         placed = sum(_fill(capacity, 1.0 + n / 10) for n in range(100))
@@ -110,8 +110,8 @@
     def test_restarted_endpoint(self):
         """A restart resets the finished count, which does not close it."""
         capacity = _capacity()
-        capacity.on_report(_report(1, 1, 0, 10**6), 0.0, Verdict.BELIEVED)
-        capacity.on_report(_report(2, 0, 0, 3), 0.5, Verdict.BELIEVED)
+        capacity.on_report(_report(1, 1, 0, 10**6), 0.0, Verdict.TRUSTED)
+        capacity.on_report(_report(2, 0, 0, 3), 0.5, Verdict.TRUSTED)
         self.assertTrue(capacity.has_room(0.6, 1.0))
 
 
@@ -123,7 +123,7 @@
         capacities = [SessionCapacity(_ENDPOINT, _share(9)) for _ in range(9)]
         report = _report(1, connections=10)
         for capacity in capacities:
-            capacity.on_report(report, 0.0, Verdict.BELIEVED)
+            capacity.on_report(report, 0.0, Verdict.TRUSTED)
         placed = sum(_fill(capacity, 0.0) for capacity in capacities)
         self.assertLessEqual(placed, 90 + 9)
 
@@ -131,7 +131,7 @@
         """No session goes to an endpoint without a free connection."""
         capacity = SessionCapacity(_ENDPOINT, _share(1))
         full = _report(1, connections=100)
-        capacity.on_report(full, 0.0, Verdict.BELIEVED)
+        capacity.on_report(full, 0.0, Verdict.TRUSTED)
         self.assertFalse(capacity.has_room(0.0, 1.0))
 
     def test_sessions_without_reports(self):
@@ -141,7 +141,7 @@
         although sessions end, until every new session is refused.
         """
         capacity = SessionCapacity(_ENDPOINT, _share(2))
-        capacity.on_report(_report(1), 0.0, Verdict.BELIEVED)
+        capacity.on_report(_report(1), 0.0, Verdict.TRUSTED)
         for second in range(10, 3600):
             self.assertTrue(capacity.has_room(second, 1.0))
             capacity.on_placed(second)
--- a/tests/decisions_trust_test.py
+++ b/tests/decisions_trust_test.py
@@ -34,10 +34,10 @@
 
     @parameterized.expand(
         [
-            ("moves", {"running": 1, "rate": 5}, Verdict.BELIEVED),
+            ("moves", {"running": 1, "rate": 5}, Verdict.TRUSTED),
             ("frozen_idle", {"running": 0}, Verdict.FROZEN),
             ("frozen_full", {"running": 2, "queued": 4}, Verdict.STUCK),
-            ("nothing_sent", {"per_report": 0}, Verdict.BELIEVED),
+            ("nothing_sent", {"per_report": 0}, Verdict.TRUSTED),
             (
                 "fewer_sessions_than_this_vm_has",
                 {"connections": 3, "rate": 1, "sessions": 50},
@@ -46,7 +46,7 @@
             (
                 "sessions_that_ended_unnoticed",
                 {"connections": 30, "rate": 1, "sessions": 50},
-                Verdict.BELIEVED,
+                Verdict.TRUSTED,
             ),
         ]
     )
@@ -68,7 +68,7 @@
         """A slow endpoint that reports itself busy is trusted."""
         trust = _trust_after_reports(per_report=2, rate=4, running=2)
         trust.compare(median_ratio=10.0, median_busy=1.0, now=9.6)
-        self.assertEqual(Verdict.BELIEVED, trust.verdict(9.7))
+        self.assertEqual(Verdict.TRUSTED, trust.verdict(9.7))
 
     def test_all_endpoints_finish_little(self):
         """Endpoints that all finish little are trusted.
@@ -79,7 +79,7 @@
         """
         trust = _trust_after_reports(per_report=10, rate=1)
         trust.compare(median_ratio=0.1, median_busy=1.0, now=9.6)
-        self.assertEqual(Verdict.BELIEVED, trust.verdict(9.7))
+        self.assertEqual(Verdict.TRUSTED, trust.verdict(9.7))
 
     def test_stale(self):
         """The last report becomes stale when the probes stop."""
@@ -91,4 +91,4 @@
         trust = _trust_after_reports(rate=5, running=1)
         report = EndpointReport(1, "e", 99, True, running=1, finished=0)
         trust.on_report(report, 10.0, 0)
-        self.assertEqual(Verdict.BELIEVED, trust.verdict(10.1))
+        self.assertEqual(Verdict.TRUSTED, trust.verdict(10.1))
