--- a/bench/_load_switches.py
+++ b/bench/_load_switches.py
@@ -134,7 +134,7 @@
     Switch(
         "speed",
         ("slow upstream", "long among short", "lying report"),
-        ((_endpoint, "SLOW", math.inf),),
+        ((_endpoint, "SLOW_RATIO", math.inf),),
     ),
     Switch(
         "slow start",
--- a/src/pollenmast/decisions/_endpoint.py
+++ b/src/pollenmast/decisions/_endpoint.py
@@ -9,7 +9,7 @@
 from pollenmast.fleet import EndpointReport
 from pollenmast.manifest import Endpoint, EndpointState
 
-SLOW = 2.0
+SLOW_RATIO = 2.0
 """Service time, relative to the service's median, above which one is slow.
 
 A smaller difference may be chance. The share of a slow endpoint is reduced in
@@ -142,7 +142,7 @@
         """
         self.capacity.compare(median_s)
         service_time_s = self.capacity.service_time_s()
-        slow = service_time_s > SLOW * median_s > 0.0
+        slow = service_time_s > SLOW_RATIO * median_s > 0.0
         self.speed = max(median_s / service_time_s, MIN_SHARE) if slow else 1.0
         self.trust.compare(median_ratio, median_busy, now)
 
