--- a/bench/_load_switches.py
+++ b/bench/_load_switches.py
@@ -144,7 +144,7 @@
     Switch(
         "ejection",
         ("silent upstream",),
-        ((_evidence, "UNANSWERED_IN_A_ROW", math.inf),),
+        ((_evidence, "MAX_CONSECUTIVE_UNANSWERED", math.inf),),
     ),
     Switch(
         "retry",
--- a/src/pollenmast/decisions/_evidence.py
+++ b/src/pollenmast/decisions/_evidence.py
@@ -10,7 +10,7 @@
 wrong ejection corrects itself, and retrying a dead endpoint costs little.
 """
 
-UNANSWERED_IN_A_ROW = 3
+MAX_CONSECUTIVE_UNANSWERED = 3
 """Consecutive unanswered flows after which an endpoint is ejected.
 
 If one first flight in a hundred is lost, a healthy endpoint is ejected once
@@ -59,7 +59,7 @@
         if (
             self._is_recovering(now)
             or not self.is_ejected(now)
-            and (self._unanswered >= UNANSWERED_IN_A_ROW)
+            and (self._unanswered >= MAX_CONSECUTIVE_UNANSWERED)
         ):
             self._eject(now)
 
--- a/tests/decisions_evidence_test.py
+++ b/tests/decisions_evidence_test.py
@@ -7,16 +7,16 @@
 from pollenmast.decisions import _slow_start as slow_start
 from pollenmast.decisions._evidence import (
     BASE_EJECTION_S,
+    MAX_CONSECUTIVE_UNANSWERED,
     MAX_EJECTION_S,
     RECOVERY_S,
-    UNANSWERED_IN_A_ROW,
     PassiveHealthCheck,
 )
 
 
 def _ejected(now: float = 0.0) -> PassiveHealthCheck:
     health_check = PassiveHealthCheck()
-    for _ in range(UNANSWERED_IN_A_ROW):
+    for _ in range(MAX_CONSECUTIVE_UNANSWERED):
         health_check.on_unanswered(now)
     return health_check
 
