--- a/bench/_load_switches.py
+++ b/bench/_load_switches.py
@@ -92,12 +92,12 @@
     Switch(
         "hold",
         ("burst", "overload 2"),
-        ((_holding, "most_held", lambda *_: 0),),
+        ((_holding, "max_held", lambda *_: 0),),
     ),
     Switch(
         "bounded hold",
         ("burst", "overload 2", "overload 5"),
-        ((_holding, "most_held", lambda limits, _: limits.held_flows),),
+        ((_holding, "max_held", lambda limits, _: limits.held_flows),),
     ),
     Switch(
         "debt",
--- a/src/pollenmast/decisions/_holding.py
+++ b/src/pollenmast/decisions/_holding.py
@@ -23,7 +23,7 @@
 """
 
 
-def most_held(limits: Limits, rate: float) -> int:
+def max_held(limits: Limits, rate: float) -> int:
     """Returns the maximum number of held flows.
 
     Args:
--- a/src/pollenmast/decisions/_service.py
+++ b/src/pollenmast/decisions/_service.py
@@ -260,7 +260,7 @@
 
     def _hold(self, request: FlowRequest, now: float) -> Held | Refused:
         limits = self._service.limits
-        most = holding.most_held(limits, self._rate(now))
+        most = holding.max_held(limits, self._rate(now))
         held = self._queue.count_held(request.caller)
         if held >= limits.held_flows_per_caller:
             return self._refused(RefusalReason.CALLER_LIMIT, now)
--- a/tests/decisions_fairness_test.py
+++ b/tests/decisions_fairness_test.py
@@ -143,4 +143,4 @@
     )
     def test_most_held(self, _, rate, most):
         """The maximum follows the rate at which flows are placed."""
-        self.assertEqual(most, holding.most_held(Limits(), rate))
+        self.assertEqual(most, holding.max_held(Limits(), rate))
