--- a/src/pollenmast/decisions/_dispatcher.py
+++ b/src/pollenmast/decisions/_dispatcher.py
@@ -124,7 +124,7 @@
             )
         return service.retry(request, tried, now)
 
-    def adopt(self, service: int, endpoint: str) -> None:
+    def on_taken_over(self, service: int, endpoint: str) -> None:
         """Counts a flow that this relay took over from another relay."""
         record = self._record(service, endpoint)
         if record is not None:
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -342,7 +342,7 @@
         )
         if flow is not None:
             flow.off_default = state is FlowState.ADOPTED
-            self._dispatcher.adopt(target.service, target.name)
+            self._dispatcher.on_taken_over(target.service, target.name)
         return flow
 
     def release(self, flow: Flow, now: float) -> None:
--- a/tests/decisions_dispatcher_fuzz_test.py
+++ b/tests/decisions_dispatcher_fuzz_test.py
@@ -152,7 +152,7 @@
     @stateful.rule(service=_NUMBERS, endpoint=st.sampled_from(_NAMES))
     def adopt(self, service, endpoint):
         """Takes over a flow from another relay."""
-        self.dispatcher.adopt(service, endpoint)
+        self.dispatcher.on_taken_over(service, endpoint)
 
     @stateful.precondition(lambda self: self.held)
     @stateful.rule(data=st.data())
--- a/tests/decisions_dispatcher_test.py
+++ b/tests/decisions_dispatcher_test.py
@@ -157,7 +157,7 @@
     def test_new_manifest_keeps_state(self):
         """A new manifest keeps the state of the endpoints it still lists."""
         dispatcher = _dispatcher(_endpoint(1))
-        dispatcher.adopt(_SERVICE, "e1")
+        dispatcher.on_taken_over(_SERVICE, "e1")
         dispatcher.set_manifest(
             _manifest(_endpoint(1), _endpoint(2), version=2), 1.0
         )
