--- a/src/pollenmast/peers/_envelope.py
+++ b/src/pollenmast/peers/_envelope.py
@@ -28,7 +28,7 @@
 """Size of the replay window: how far an envelope's sequence number may be
 behind the newest from its sender and still be accepted."""
 
-MOST_SENDERS = 4096
+MAX_SENDERS = 4096
 """Limit on tracked senders; about three times the fleet size expected in two
 years."""
 
@@ -180,9 +180,9 @@
     def _add_sender(
         self, sender: int, sequence: int, now: float
     ) -> EnvelopeFault | None:
-        if len(self._windows) >= MOST_SENDERS:
+        if len(self._windows) >= MAX_SENDERS:
             self._drop_expired_senders(now)
-        if len(self._windows) >= MOST_SENDERS:
+        if len(self._windows) >= MAX_SENDERS:
             return EnvelopeFault.TOO_MANY_SENDERS
         self._windows[sender] = _Window(sequence, 1, now)
         return None
--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -309,8 +309,8 @@
         "senders-unbounded",
         Invariant.BOUNDED,
         "only so many senders of envelopes are remembered",
-        "`MOST_SENDERS` is as good as none",
-        _attribute(_envelope, "MOST_SENDERS", 1 << 60),
+        "`MAX_SENDERS` is as good as none",
+        _attribute(_envelope, "MAX_SENDERS", 1 << 60),
         scenarios.many_senders,
     ),
 )
--- a/tests/proof/_scenarios.py
+++ b/tests/proof/_scenarios.py
@@ -1,6 +1,6 @@
 """Short fixed runs of the rules, each of which exercises one invariant."""
 
-from pollenmast.peers._envelope import MOST_SENDERS, Opener, Sealer
+from pollenmast.peers._envelope import MAX_SENDERS, Opener, Sealer
 from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import FlowRecord, RecordAction, pack_records
 from standins import memory as fakes
@@ -320,10 +320,10 @@
 def many_senders() -> None:
     """Envelopes arrive from ever more senders that have the key."""
     opener = Opener(fakes.KEY)
-    for number in range(MOST_SENDERS + 50):
+    for number in range(MAX_SENDERS + 50):
         data = Sealer(f"vm-{number}", fakes.KEY).seal(MessageType.GOSSIP, b"")
         opener.open(data, 0.0)
-    if len(opener._windows) > MOST_SENDERS:
+    if len(opener._windows) > MAX_SENDERS:
         raise ViolationError(
             Invariant.BOUNDED, "the number of remembered senders is unbounded"
         )
