--- a/src/pollenmast/peers/_gossip.py
+++ b/src/pollenmast/peers/_gossip.py
@@ -14,7 +14,7 @@
 from pollenmast.counters import EnvelopeFault
 from pollenmast.fleet import EndpointReport, Vm, VmState
 
-MOST_BODY_BYTES = 1200
+MAX_BODY_BYTES = 1200
 """Limit on an encoded message. With its envelope it stays below 1,280 bytes,
 the minimum MTU of IPv6, so that no path fragments it."""
 
@@ -197,7 +197,7 @@
         members: Updates that the message must carry.
     """
     told = sum(map(member_size, members)) + member_size(sender)
-    return max(0, MOST_BODY_BYTES - _OVERHEAD_BYTES - len(target) - told)
+    return max(0, MAX_BODY_BYTES - _OVERHEAD_BYTES - len(target) - told)
 
 
 def encode(message: Gossip) -> bytes:
@@ -207,7 +207,7 @@
 
 def decode(data: bytes) -> Result[Gossip, EnvelopeFault]:
     """Returns the decoded and validated message, or why it is dropped."""
-    if len(data) > MOST_BODY_BYTES:
+    if len(data) > MAX_BODY_BYTES:
         return Err(EnvelopeFault.OVERSIZED)
     try:
         message = _CONVERTER.loads(data, Gossip)
--- a/tests/agent_gossip_test.py
+++ b/tests/agent_gossip_test.py
@@ -161,8 +161,8 @@
 
         sent, _, _ = _run(script)
         size = len(_gossip.encode(sent[0][0]))
-        self.assertLessEqual(size, _gossip.MOST_BODY_BYTES)
-        self.assertGreater(size, _gossip.MOST_BODY_BYTES / 2)
+        self.assertLessEqual(size, _gossip.MAX_BODY_BYTES)
+        self.assertGreater(size, _gossip.MAX_BODY_BYTES / 2)
 
     def test_full_page_fits(self):
         """A page of members with the longest names fits in one datagram."""
@@ -179,7 +179,7 @@
                 GossipType.SYNC, 0, page[0], after, 9, b"d" * 16, tuple(page)
             )
             size = len(_gossip.encode(message))
-            self.assertLessEqual(size, _gossip.MOST_BODY_BYTES)
+            self.assertLessEqual(size, _gossip.MAX_BODY_BYTES)
             if not after:
                 break
         self.assertEqual(40, len({each.name for each in seen}))
--- a/tests/peers_gossip_test.py
+++ b/tests/peers_gossip_test.py
@@ -112,7 +112,7 @@
 
     def test_oversized(self):
         """Input above the size limit is rejected before it is decoded."""
-        decoded = _gossip.decode(bytes(_gossip.MOST_BODY_BYTES + 1))
+        decoded = _gossip.decode(bytes(_gossip.MAX_BODY_BYTES + 1))
         self.assertEqual(EnvelopeFault.OVERSIZED, decoded.unwrap_err())
 
     @_FUZZ
