--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -17,7 +17,7 @@
 
 from pollenmast.counters import EnvelopeFault
 
-MOST_RECORDS = 64
+MAX_RECORDS_PER_MESSAGE = 64
 """Limit on the records of a message: 64 records of 15 bytes stay below a
 1,200-byte datagram."""
 
@@ -95,12 +95,12 @@
     records: list[FlowRecord] = []
     offset = 0
     try:
-        while offset < len(body) and len(records) <= MOST_RECORDS:
+        while offset < len(body) and len(records) <= MAX_RECORDS_PER_MESSAGE:
             record, offset = _unpack_record(body, offset)
             records.append(record)
     except (struct.error, ValueError):
         return Err(EnvelopeFault.MALFORMED)
-    if offset != len(body) or len(records) > MOST_RECORDS:
+    if offset != len(body) or len(records) > MAX_RECORDS_PER_MESSAGE:
         return Err(EnvelopeFault.MALFORMED)
     return Ok(records)
 
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -28,7 +28,7 @@
 from pollenmast.peers._envelope import OpenedEnvelope
 from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
-    MOST_RECORDS,
+    MAX_RECORDS_PER_MESSAGE,
     ConnectionId,
     Forwarded,
     LookupResult,
@@ -139,9 +139,9 @@
 
     def _send(self) -> None:
         for vm, entries in self._outgoing.items():
-            for start in range(0, len(entries), MOST_RECORDS):
+            for start in range(0, len(entries), MAX_RECORDS_PER_MESSAGE):
                 body = pack_connection_ids(
-                    entries[start : start + MOST_RECORDS]
+                    entries[start : start + MAX_RECORDS_PER_MESSAGE]
                 )
                 self._counters.add(c.CONTROL_BYTES, "replication", len(body))
                 self._peer_sender.send(vm, MessageType.CONNECTION_IDS, body)
--- a/src/pollenmast/relay/_outbox.py
+++ b/src/pollenmast/relay/_outbox.py
@@ -14,7 +14,11 @@
 from pollenmast.decisions._replication import BURST_S
 from pollenmast.decisions._token_bucket import TokenBucket
 from pollenmast.peers._envelope import HEADER_BYTES, MAC_BYTES
-from pollenmast.peers._records import MOST_RECORDS, FlowRecord, pack_records
+from pollenmast.peers._records import (
+    MAX_RECORDS_PER_MESSAGE,
+    FlowRecord,
+    pack_records,
+)
 
 RESEND_AFTER_S = 0.3
 """Time without an acknowledgement before a batch is sent again, in seconds.
@@ -110,8 +114,8 @@
         self._flushed_at = now
         for vm, queue in list(self._queues.items()):
             while queue and (urgent or self._budget.available(now) > 0):
-                self._send_batch(vm, queue[:MOST_RECORDS], now)
-                del queue[:MOST_RECORDS]
+                self._send_batch(vm, queue[:MAX_RECORDS_PER_MESSAGE], now)
+                del queue[:MAX_RECORDS_PER_MESSAGE]
             if not queue:
                 del self._queues[vm]
         return abandoned
--- a/tests/proof_parsers_test.py
+++ b/tests/proof_parsers_test.py
@@ -12,7 +12,7 @@
 from pollenmast.peers._envelope import MOST_BYTES, Opener, Sealer
 from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
-    MOST_RECORDS,
+    MAX_RECORDS_PER_MESSAGE,
     Forwarded,
     pack_forwarded,
     unpack_connection_ids,
@@ -158,7 +158,7 @@
         """Message bodies are parsed or rejected, within bounds."""
         records = unpack_records(body)
         if records.is_ok():
-            self.assertLessEqual(len(records.unwrap()), MOST_RECORDS)
+            self.assertLessEqual(len(records.unwrap()), MAX_RECORDS_PER_MESSAGE)
         for unpack in (unpack_forwarded, unpack_found, unpack_connection_ids):
             unpack(body)
 
