--- a/docs_tool/_manifest.py
+++ b/docs_tool/_manifest.py
@@ -3,7 +3,7 @@
 from docs_tool._markdown import HEAD, code, table
 from pollenmast.manifest import (
     MANIFEST,
-    MOST_BYTES,
+    MAX_BYTES,
     Field,
     Items,
     Object,
@@ -13,7 +13,7 @@
 # The manifest
 
 What an operator's pipeline publishes: every service, its endpoints, and what
-is intended for them. JSON in UTF-8, {MOST_BYTES:,} bytes at the most.
+is intended for them. JSON in UTF-8, {MAX_BYTES:,} bytes at the most.
 `pollenmast manifest schema` prints the JSON schema, `pollenmast manifest
 check FILE` checks a manifest as the fleet does, and `pollenmast manifest diff
 OLD NEW` tells what a release will move, drain, bring and take away.
--- a/src/pollenmast/cli/_manifest.py
+++ b/src/pollenmast/cli/_manifest.py
@@ -7,7 +7,7 @@
 from pollenmast.cli._exits import ExitCode
 from pollenmast.cli._output import json_text, print_error, print_output, table
 from pollenmast.manifest import (
-    MOST_BYTES,
+    MAX_BYTES,
     Difference,
     Effect,
     Manifest,
@@ -91,7 +91,7 @@
 def _read_or_exit(file: str) -> bytes:
     try:
         with open(file, "rb") as stream:
-            return stream.read(MOST_BYTES + 1)
+            return stream.read(MAX_BYTES + 1)
     except (OSError, ValueError) as error:
         reason = getattr(error, "strerror", None) or "no path"
         print_error(f"{file}: {reason}")
--- a/src/pollenmast/manifest/__init__.py
+++ b/src/pollenmast/manifest/__init__.py
@@ -14,7 +14,7 @@
 from pollenmast.manifest._shapes import Field, Items, Object
 from pollenmast.manifest._text import (
     MANIFEST,
-    MOST_BYTES,
+    MAX_BYTES,
     digest,
     parse,
     render,
@@ -23,7 +23,7 @@
 
 __all__ = [
     "MANIFEST",
-    "MOST_BYTES",
+    "MAX_BYTES",
     "MAX_FAULTS",
     "Difference",
     "Effect",
--- a/src/pollenmast/manifest/_text.py
+++ b/src/pollenmast/manifest/_text.py
@@ -18,7 +18,7 @@
 from pollenmast.manifest._rules import Address, Boolean, Choice, Integer, String
 from pollenmast.manifest._shapes import Field, Items, Object
 
-MOST_BYTES = 1_000_000
+MAX_BYTES = 1_000_000
 """Maximum size of a manifest; the platform's service stores no larger value."""
 
 MAX_VERSION = 2**53 - 1
@@ -163,8 +163,8 @@
         with any fault is rejected as a whole.
     """
     faults = FaultList()
-    if len(data) > MOST_BYTES:
-        faults.add("", f"{len(data)} bytes", f"{MOST_BYTES} bytes at the most")
+    if len(data) > MAX_BYTES:
+        faults.add("", f"{len(data)} bytes", f"{MAX_BYTES} bytes at the most")
         return Err(faults.faults)
     value = _decode_json(data, faults)
     if faults.faults:
@@ -180,7 +180,7 @@
     """Returns the canonical JSON text, which omits every default value.
 
     The canonical text is never longer than the text it was parsed from.
-    Otherwise a manifest just below `MOST_BYTES` would be rejected when one VM
+    Otherwise a manifest just below `MAX_BYTES` would be rejected when one VM
     sends it to another.
     """
     value = attrs.asdict(manifest, filter=_is_rendered)
--- a/tests/manifest_text_test.py
+++ b/tests/manifest_text_test.py
@@ -10,8 +10,8 @@
 
 from pollenmast import manifest
 from pollenmast.manifest import (
+    MAX_BYTES,
     MAX_FAULTS,
-    MOST_BYTES,
     Endpoint,
     Limits,
     Service,
@@ -199,7 +199,7 @@
             ("no_number", b'{"version": NaN}'),
             ("lone_surrogate", b'{"\\ud800": 1}'),
             ("key_twice", encode(example())[:-1] + b', "version": 4}'),
-            ("too_long", b" " * (MOST_BYTES + 1)),
+            ("too_long", b" " * (MAX_BYTES + 1)),
         ]
     )
     def test_hostile_text(self, _, data):
