--- a/docs_tool/_manifest.py
+++ b/docs_tool/_manifest.py
@@ -4,8 +4,8 @@
 from pollenmast.manifest import (
     MANIFEST,
     MAX_BYTES,
+    Array,
     Field,
-    Items,
     Object,
 )
 
@@ -88,7 +88,7 @@
     parts = [f"## {item.title.capitalize()}\n\n{table(heads, rows)}"]
     for field in item.fields:
         rule = field.rule
-        if isinstance(rule, Items):
+        if isinstance(rule, Array):
             parts.extend(_objects(rule.item))
         elif isinstance(rule, Object):
             parts.extend(_objects(rule))
@@ -97,7 +97,7 @@
 
 def _row(field: Field) -> tuple[object, ...]:
     allowed = field.rule.allowed
-    if isinstance(field.rule, Items):
+    if isinstance(field.rule, Array):
         allowed += "; unique: " + ", ".join(field.rule.unique)
     if field.required:
         default = "must be given"
--- a/src/pollenmast/manifest/__init__.py
+++ b/src/pollenmast/manifest/__init__.py
@@ -11,7 +11,7 @@
     Service,
     ServiceKind,
 )
-from pollenmast.manifest._shapes import Field, Items, Object
+from pollenmast.manifest._shapes import Array, Field, Object
 from pollenmast.manifest._text import (
     MANIFEST,
     MAX_BYTES,
@@ -25,12 +25,12 @@
     "MANIFEST",
     "MAX_BYTES",
     "MAX_FAULTS",
+    "Array",
     "Difference",
     "Effect",
     "Endpoint",
     "EndpointState",
     "Field",
-    "Items",
     "Limits",
     "Manifest",
     "ManifestFault",
--- a/src/pollenmast/manifest/_shapes.py
+++ b/src/pollenmast/manifest/_shapes.py
@@ -128,7 +128,7 @@
         return MISSING
 
 
-class Items(Rule):
+class Array(Rule):
     """A JSON array of 1 to `max_items` objects.
 
     Args:
--- a/src/pollenmast/manifest/_text.py
+++ b/src/pollenmast/manifest/_text.py
@@ -16,7 +16,7 @@
     ServiceKind,
 )
 from pollenmast.manifest._rules import Address, Boolean, Choice, Integer, String
-from pollenmast.manifest._shapes import Field, Items, Object
+from pollenmast.manifest._shapes import Array, Field, Object
 
 MAX_BYTES = 1_000_000
 """Maximum size of a manifest; the platform's service stores no larger value."""
@@ -113,7 +113,7 @@
             "Whether a request may run twice without harm.",
         ),
         Field(
-            "endpoints", Items(_ENDPOINT, 11_000, ("name",)), "The upstreams."
+            "endpoints", Array(_ENDPOINT, 11_000, ("name",)), "The upstreams."
         ),
         Field("limits", _LIMITS, "What the service may ask of one VM.", None),
         Field(
@@ -136,7 +136,7 @@
         ),
         Field(
             "services",
-            Items(_SERVICE, 2_500, ("name", "number", "port")),
+            Array(_SERVICE, 2_500, ("name", "number", "port")),
             "Every service.",
         ),
     ),
