--- a/docs_tool/_settings.py
+++ b/docs_tool/_settings.py
@@ -1,7 +1,7 @@
 """Generates docs/SETTINGS.md from the catalogue of settings keys."""
 
 from docs_tool._markdown import HEAD, code, table
-from pollenmast.settings import KEY_FILE_VARIABLE, KEYS, Key
+from pollenmast.settings import KEY_FILE_VARIABLE, KEYS, SettingKey
 
 _INTRODUCTION = f"""\
 # Settings
@@ -99,7 +99,7 @@
     return text + _PLATFORM + table(("Setting", "Meaning", "From"), fields)
 
 
-def _row(key: Key) -> tuple[object, ...]:
+def _row(key: SettingKey) -> tuple[object, ...]:
     default = code(key.default or None) or "none"
     if key.required:
         default = "must be given"
--- a/src/pollenmast/settings/__init__.py
+++ b/src/pollenmast/settings/__init__.py
@@ -1,7 +1,7 @@
 """Settings of a VM: data model, and loading from an INI file."""
 
 from pollenmast.settings._faults import SettingsFault
-from pollenmast.settings._keys import KEY_FILE_VARIABLE, KEYS, Key
+from pollenmast.settings._keys import KEY_FILE_VARIABLE, KEYS, SettingKey
 from pollenmast.settings._kinds import socket_address
 from pollenmast.settings._load import load
 from pollenmast.settings._model import (
@@ -18,9 +18,9 @@
     "KEY_FILE_VARIABLE",
     "AgentSettings",
     "FleetSettings",
-    "Key",
     "PlatformSettings",
     "RelaySettings",
+    "SettingKey",
     "Settings",
     "SettingsFault",
     "VmSettings",
--- a/src/pollenmast/settings/_keys.py
+++ b/src/pollenmast/settings/_keys.py
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class Key:
+class SettingKey:
     """One key of the settings file.
 
     Attributes:
@@ -52,19 +52,23 @@
 _AGENT_DEFAULTS = AgentSettings()
 
 
-def _relay_key(name: str, kind: Kind, meaning: str) -> Key:
-    return Key("relay", name, kind, meaning, getattr(_RELAY_DEFAULTS, name))
+def _relay_key(name: str, kind: Kind, meaning: str) -> SettingKey:
+    return SettingKey(
+        "relay", name, kind, meaning, getattr(_RELAY_DEFAULTS, name)
+    )
 
 
-def _agent_key(name: str, kind: Kind, meaning: str) -> Key:
-    return Key("agent", name, kind, meaning, getattr(_AGENT_DEFAULTS, name))
+def _agent_key(name: str, kind: Kind, meaning: str) -> SettingKey:
+    return SettingKey(
+        "agent", name, kind, meaning, getattr(_AGENT_DEFAULTS, name)
+    )
 
 
-KEYS: tuple[Key, ...] = (
-    Key(
+KEYS: tuple[SettingKey, ...] = (
+    SettingKey(
         "vm", "name", Name(), "This VM's name, unique in the fleet.", None, True
     ),
-    Key(
+    SettingKey(
         "vm",
         "availability_zone",
         Name(),
@@ -72,7 +76,7 @@
         None,
         True,
     ),
-    Key(
+    SettingKey(
         "vm",
         "address",
         Address(),
@@ -80,27 +84,27 @@
         None,
         True,
     ),
-    Key(
+    SettingKey(
         "fleet",
         "key_file",
         Path(),
         "File with the fleet's key, 64 hex digits. The environment variable "
         f"{KEY_FILE_VARIABLE} names it instead, and goes first.",
     ),
-    Key(
+    SettingKey(
         "fleet",
         "previous_key_file",
         Path(),
         "File with the key that is still accepted during a change of key.",
     ),
-    Key(
+    SettingKey(
         "fleet",
         "seeds",
         SocketAddresses(_MAX_SEEDS),
         "Gossip addresses of some VMs, for when the platform gives no list.",
         (),
     ),
-    Key(
+    SettingKey(
         "platform",
         "address",
         Address(),
@@ -108,7 +112,7 @@
         None,
         True,
     ),
-    Key("platform", "port", PORT, "Its TCP port.", None, True),
+    SettingKey("platform", "port", PORT, "Its TCP port.", None, True),
     _relay_key("peer_port", PORT, "UDP port for envelopes from other relays."),
     _relay_key(
         "link_port", PORT, "TCP port on which the relay listens for its agent."
--- a/src/pollenmast/settings/_load.py
+++ b/src/pollenmast/settings/_load.py
@@ -8,7 +8,7 @@
 
 from pollenmast.settings import _ini, _key_files
 from pollenmast.settings._faults import SettingsFault
-from pollenmast.settings._keys import KEY_FILE_VARIABLE, KEYS, Key
+from pollenmast.settings._keys import KEY_FILE_VARIABLE, KEYS, SettingKey
 from pollenmast.settings._model import (
     AgentSettings,
     FleetSettings,
@@ -124,7 +124,9 @@
                         ", ".join(known[section]),
                     )
 
-    def _read_key(self, key: Key, sections: dict[str, dict[str, str]]) -> None:
+    def _read_key(
+        self, key: SettingKey, sections: dict[str, dict[str, str]]
+    ) -> None:
         text = sections.get(key.section, {}).get(key.name)
         if text is None:
             self._values[key.section, key.name] = key.default
