--- a/docs_tool/_settings.py
+++ b/docs_tool/_settings.py
@@ -1,7 +1,7 @@
 """Generates docs/SETTINGS.md from the catalogue of settings keys."""
 
 from docs_tool._markdown import HEAD, code, table
-from pollenmast.settings import KEY_FILE_VARIABLE, KEYS, SettingKey
+from pollenmast.settings import KEY_FILE_VARIABLE, SETTING_KEYS, SettingKey
 
 _INTRODUCTION = f"""\
 # Settings
@@ -91,8 +91,8 @@
 def page() -> str:
     """Returns the text of the page."""
     text = HEAD + _INTRODUCTION
-    for section in dict.fromkeys(key.section for key in KEYS):
-        rows = [_row(key) for key in KEYS if key.section == section]
+    for section in dict.fromkeys(key.section for key in SETTING_KEYS):
+        rows = [_row(key) for key in SETTING_KEYS if key.section == section]
         heads = ("Key", "Meaning", "Allowed", "Default")
         text += f"## [{section}]\n\n{table(heads, rows)}\n"
     fields = [(code(name), words, code(key)) for name, words, key in _FIELDS]
--- a/src/pollenmast/settings/__init__.py
+++ b/src/pollenmast/settings/__init__.py
@@ -1,7 +1,11 @@
 """Settings of a VM: data model, and loading from an INI file."""
 
 from pollenmast.settings._faults import SettingsFault
-from pollenmast.settings._keys import KEY_FILE_VARIABLE, KEYS, SettingKey
+from pollenmast.settings._keys import (
+    KEY_FILE_VARIABLE,
+    SETTING_KEYS,
+    SettingKey,
+)
 from pollenmast.settings._kinds import socket_address
 from pollenmast.settings._load import load
 from pollenmast.settings._model import (
@@ -14,8 +18,8 @@
 )
 
 __all__ = [
-    "KEYS",
     "KEY_FILE_VARIABLE",
+    "SETTING_KEYS",
     "AgentSettings",
     "FleetSettings",
     "PlatformSettings",
--- a/src/pollenmast/settings/_keys.py
+++ b/src/pollenmast/settings/_keys.py
@@ -64,7 +64,7 @@
     )
 
 
-KEYS: tuple[SettingKey, ...] = (
+SETTING_KEYS: tuple[SettingKey, ...] = (
     SettingKey(
         "vm", "name", Name(), "This VM's name, unique in the fleet.", None, True
     ),
--- a/src/pollenmast/settings/_load.py
+++ b/src/pollenmast/settings/_load.py
@@ -8,7 +8,11 @@
 
 from pollenmast.settings import _ini, _key_files
 from pollenmast.settings._faults import SettingsFault
-from pollenmast.settings._keys import KEY_FILE_VARIABLE, KEYS, SettingKey
+from pollenmast.settings._keys import (
+    KEY_FILE_VARIABLE,
+    SETTING_KEYS,
+    SettingKey,
+)
 from pollenmast.settings._model import (
     AgentSettings,
     FleetSettings,
@@ -68,7 +72,7 @@
                 SettingsFault(self._file, **attrs.asdict(fault))
             )
         self._reject_unknown_keys(ini.sections)
-        for key in KEYS:
+        for key in SETTING_KEYS:
             self._read_key(key, ini.sections)
         self._reject_duplicate_ports()
         key = self._read_fleet_key()
@@ -106,7 +110,7 @@
 
     def _reject_unknown_keys(self, sections: dict[str, dict[str, str]]) -> None:
         known = {}
-        for key in KEYS:
+        for key in SETTING_KEYS:
             known.setdefault(key.section, []).append(key.name)
         for section, values in sections.items():
             if section not in known:
--- a/tests/settings_load_test.py
+++ b/tests/settings_load_test.py
@@ -8,7 +8,7 @@
 from parameterized import parameterized
 from testtools import TestCase
 
-from pollenmast.settings import KEY_FILE_VARIABLE, KEYS, Settings, load
+from pollenmast.settings import KEY_FILE_VARIABLE, SETTING_KEYS, Settings, load
 
 KEY = "07" * 32
 """Content of a fleet key file: 64 hex digits."""
@@ -177,7 +177,7 @@
     )
     | st.builds(
         "{} = {}".format,
-        st.sampled_from([key.name for key in KEYS]),
+        st.sampled_from([key.name for key in SETTING_KEYS]),
         st.text(max_size=8),
     )
     | st.text(max_size=8),
@@ -196,7 +196,7 @@
         self.assertTrue(loaded.err())
 
     @settings(max_examples=200, derandomize=True, deadline=None)
-    @given(st.sampled_from(KEYS), st.text(max_size=20))
+    @given(st.sampled_from(SETTING_KEYS), st.text(max_size=20))
     def test_values(self, key, value):
         """Any text as the value of any key is either accepted or rejected."""
         loaded = self.load(f"{TEXT}[{key.section}]\n{key.name} = {value}\n")
@@ -204,5 +204,5 @@
 
 
 def _section_values(values: object, section: str) -> tuple[object, ...]:
-    names = [key.name for key in KEYS if key.section == section]
+    names = [key.name for key in SETTING_KEYS if key.section == section]
     return tuple(getattr(values, name) for name in names)
