--- a/src/pollenmast/settings/_keys.py
+++ b/src/pollenmast/settings/_keys.py
@@ -6,11 +6,11 @@
     PORT,
     Address,
     Integer,
-    Kind,
     Name,
     Path,
     Seconds,
     SocketAddresses,
+    ValueType,
 )
 from pollenmast.settings._model import AgentSettings, RelaySettings
 
@@ -42,7 +42,7 @@
 
     section: str
     name: str
-    kind: Kind
+    kind: ValueType
     meaning: str
     default: object = None
     required: bool = False
@@ -52,13 +52,13 @@
 _AGENT_DEFAULTS = AgentSettings()
 
 
-def _relay_key(name: str, kind: Kind, meaning: str) -> SettingKey:
+def _relay_key(name: str, kind: ValueType, meaning: str) -> SettingKey:
     return SettingKey(
         "relay", name, kind, meaning, getattr(_RELAY_DEFAULTS, name)
     )
 
 
-def _agent_key(name: str, kind: Kind, meaning: str) -> SettingKey:
+def _agent_key(name: str, kind: ValueType, meaning: str) -> SettingKey:
     return SettingKey(
         "agent", name, kind, meaning, getattr(_AGENT_DEFAULTS, name)
     )
--- a/src/pollenmast/settings/_kinds.py
+++ b/src/pollenmast/settings/_kinds.py
@@ -9,7 +9,7 @@
 from pollenmast.settings import _key_files
 
 
-class Kind(abc.ABC):
+class ValueType(abc.ABC):
     """Base class: parses the value of a key from text and describes it."""
 
     @property
@@ -22,7 +22,7 @@
         """Returns the parsed value, or Err if the text is not allowed."""
 
 
-class Integer(Kind):
+class Integer(ValueType):
     """An integer between two inclusive bounds."""
 
     def __init__(
@@ -48,7 +48,7 @@
         )
 
 
-class Seconds(Kind):
+class Seconds(ValueType):
     """A duration in seconds between two inclusive bounds."""
 
     def __init__(self, minimum: float, maximum: float):
@@ -70,7 +70,7 @@
         )
 
 
-class Name(Kind):
+class Name(ValueType):
     """A name in the form used by the manifest and the platform."""
 
     @property
@@ -87,7 +87,7 @@
         return Ok(text) if re.fullmatch(pattern, text, re.ASCII) else Err(None)
 
 
-class Address(Kind):
+class Address(ValueType):
     """The IPv4 address of a single host."""
 
     @property
@@ -107,7 +107,7 @@
         return Ok(text)
 
 
-class SocketAddresses(Kind):
+class SocketAddresses(ValueType):
     """Comma-separated list of IP:PORT."""
 
     def __init__(self, max_count: int):
@@ -127,7 +127,7 @@
         return Ok(tuple(sockets))
 
 
-class Path(Kind):
+class Path(ValueType):
     """The path of a key file."""
 
     @property
