--- a/src/pollenmast/relay/_table.py
+++ b/src/pollenmast/relay/_table.py
@@ -180,7 +180,7 @@
         if self.full:
             return None
         flow = Flow(caller, listener, target, tick, state)
-        flow.path = target.paths.take(flow, now)
+        flow.path = target.paths.assign(flow, now)
         if flow.path is None:
             return None
         listener.flows[caller] = flow
@@ -213,7 +213,7 @@
             Whether a new path was free.
         """
         old_path, old_target = flow.path, flow.target
-        path = target.paths.take(flow, now)
+        path = target.paths.assign(flow, now)
         if path is None:
             return False
         old_target.paths.give_back(old_path, now, lost)
--- a/src/pollenmast/upstreams/_paths.py
+++ b/src/pollenmast/upstreams/_paths.py
@@ -109,7 +109,7 @@
         )
         self._lost: collections.deque[tuple[float, Path]] = collections.deque()
 
-    def take(self, flow: _Flow, now: float) -> Path | None:
+    def assign(self, flow: _Flow, now: float) -> Path | None:
         """Assigns a path to a new flow.
 
         If no other path is available, the one that was released longest ago is
