--- a/src/pollenmast/relay/_table.py
+++ b/src/pollenmast/relay/_table.py
@@ -216,7 +216,7 @@
         path = target.paths.assign(flow, now)
         if path is None:
             return False
-        old_target.paths.give_back(old_path, now, lost)
+        old_target.paths.release(old_path, now, lost)
         old_target.flows -= 1
         target.flows += 1
         flow.path, flow.target = path, target
@@ -249,7 +249,7 @@
         key = (flow.listener.service.port, *flow.caller)
         if self._moved.get(key) is flow:
             del self._moved[key]
-        flow.target.paths.give_back(flow.path, now)
+        flow.target.paths.release(flow.path, now)
         flow.target.flows -= 1
         self._flows -= 1
 
--- a/src/pollenmast/upstreams/_paths.py
+++ b/src/pollenmast/upstreams/_paths.py
@@ -133,7 +133,7 @@
             path.flows[self._upstream] = flow
         return path
 
-    def give_back(self, path: Path, now: float, lost: bool = False) -> None:
+    def release(self, path: Path, now: float, lost: bool = False) -> None:
         """Releases a path after its flow has ended or moved to another path.
 
         Args:
