--- a/src/pollenmast/upstreams/_paths.py
+++ b/src/pollenmast/upstreams/_paths.py
@@ -123,7 +123,7 @@
             A path that carries no other flow to this endpoint, or None if none
             is available.
         """
-        path = self._rested(now)
+        path = self._take_cooled_down(now)
         if path is None:
             path = self._pool.path(self._next_index)
             self._next_index += path is not None
@@ -146,7 +146,7 @@
         resting = self._lost if lost else self._resting
         resting.append((now, path))
 
-    def _rested(self, now: float) -> Path | None:
+    def _take_cooled_down(self, now: float) -> Path | None:
         if self._resting and now - self._resting[0][0] >= REST_S:
             return self._resting.popleft()[1]
         if self._lost and now - self._lost[0][0] >= LOST_REST_S:
