--- a/src/pollenmast/upstreams/_paths.py
+++ b/src/pollenmast/upstreams/_paths.py
@@ -16,7 +16,7 @@
 an endpoint, so that new flows never have to wait for a port that is kept out of
 use after the end of its flow."""
 
-REST_S = 10.0
+PORT_COOLDOWN_S = 10.0
 """Seconds before a port is reused for the same endpoint. Datagrams of the ended
 flow may still be in flight and would reach the new caller, who would discard
 them but count them against the path."""
@@ -147,7 +147,7 @@
         resting.append((now, path))
 
     def _take_cooled_down(self, now: float) -> Path | None:
-        if self._resting and now - self._resting[0][0] >= REST_S:
+        if self._resting and now - self._resting[0][0] >= PORT_COOLDOWN_S:
             return self._resting.popleft()[1]
         if self._lost and now - self._lost[0][0] >= LOST_REST_S:
             return self._lost.popleft()[1]
