--- a/src/pollenmast/upstreams/_paths.py
+++ b/src/pollenmast/upstreams/_paths.py
@@ -21,7 +21,7 @@
 flow may still be in flight and would reach the new caller, who would discard
 them but count them against the path."""
 
-LOST_REST_S = 600.0
+SILENT_PORT_COOLDOWN_S = 600.0
 """Seconds before a port is reused for the same endpoint after its flow stopped
 getting replies. A device on the way may have lost the state of this path and
 may keep dropping its datagrams, so that the next flow would hang as well.
@@ -149,6 +149,6 @@
     def _take_cooled_down(self, now: float) -> Path | None:
         if self._resting and now - self._resting[0][0] >= PORT_COOLDOWN_S:
             return self._resting.popleft()[1]
-        if self._lost and now - self._lost[0][0] >= LOST_REST_S:
+        if self._lost and now - self._lost[0][0] >= SILENT_PORT_COOLDOWN_S:
             return self._lost.popleft()[1]
         return None
