--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -106,7 +106,7 @@
         """Opens a local port towards upstreams.
 
         Raises:
-            OSError: The system has no more sockets. `MOST_PATHS`, and the
+            OSError: The system has no more sockets. `MAX_PATHS`, and the
                 file limit that the program raises at start, prevent this.
         """
         path = _SocketPath(udp_socket(self._address, 0))
--- a/src/pollenmast/upstreams/_paths.py
+++ b/src/pollenmast/upstreams/_paths.py
@@ -11,7 +11,7 @@
 import collections
 from typing import Generic, TypeVar
 
-MOST_PATHS = 4096
+MAX_PATHS = 4096
 """Limit of local ports of one relay. It is twice the number of connections of
 an endpoint, so that new flows never have to wait for a port that is kept out of
 use after the end of its flow."""
@@ -80,7 +80,7 @@
             The path, or None if no more paths can be opened.
         """
         while index >= len(self._paths):
-            if len(self._paths) >= MOST_PATHS:
+            if len(self._paths) >= MAX_PATHS:
                 return None
             try:
                 self._paths.append(self._open_path())
