--- a/bench/packet_path.py
+++ b/bench/packet_path.py
@@ -12,7 +12,7 @@
 from aioquic.quic.connection import QuicConnection
 
 from bench import _relay
-from pollenmast.callers import read_packet, refusal
+from pollenmast.callers import parse_packet, refusal
 from pollenmast.events import EventLog
 from pollenmast.relay._flows import FlowState, Listener
 from pollenmast.relay._sockets import SocketTransport
@@ -194,7 +194,7 @@
         core.on_caller(listener, initial, caller, 102.0)
     spent = time.process_time() - start
     opened = sum(target.flows for target in core.table.targets)
-    packet = read_packet(initial).unwrap()
+    packet = parse_packet(initial).unwrap()
     start = time.process_time()
     for _ in range(2_000):
         refusal(packet, 1500)
--- a/src/pollenmast/agent/_refusing.py
+++ b/src/pollenmast/agent/_refusing.py
@@ -4,7 +4,7 @@
 
 from pollenmast.callers import (
     PacketType,
-    read_packet,
+    parse_packet,
     refusal,
     unfit,
     without_early_data,
@@ -28,7 +28,7 @@
     Returns:
         The refusal, or the reason to drop the datagram instead.
     """
-    packet = read_packet(data)
+    packet = parse_packet(data)
     if packet.is_err():
         return packet
     kind = packet.unwrap().type
--- a/src/pollenmast/callers/__init__.py
+++ b/src/pollenmast/callers/__init__.py
@@ -5,7 +5,7 @@
     MIN_INITIAL_BYTES,
     Packet,
     PacketType,
-    read_packet,
+    parse_packet,
     unfit,
     without_early_data,
 )
@@ -17,7 +17,7 @@
     "MIN_INITIAL_BYTES",
     "Packet",
     "PacketType",
-    "read_packet",
+    "parse_packet",
     "refusal",
     "unfit",
     "without_early_data",
--- a/src/pollenmast/callers/_packets.py
+++ b/src/pollenmast/callers/_packets.py
@@ -76,7 +76,7 @@
     end: int = 0
 
 
-def read_packet(data: bytes, start: int = 0) -> Result[Packet, DropReason]:
+def parse_packet(data: bytes, start: int = 0) -> Result[Packet, DropReason]:
     """Parses one packet of a datagram.
 
     Args:
@@ -173,7 +173,7 @@
     start = 0
     overwritten = 0
     while start < len(data) and data[start] & LONG_HEADER:
-        packet = read_packet(data, start)
+        packet = parse_packet(data, start)
         if packet.is_err():
             break
         end = packet.unwrap().end
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -10,7 +10,7 @@
 from pollenmast import manifest as manifests
 from pollenmast.callers import (
     LONG_HEADER,
-    read_packet,
+    parse_packet,
     unfit,
     without_early_data,
 )
@@ -195,7 +195,7 @@
             The datagram, or None if it is not a valid packet and was dropped
             and counted.
         """
-        packet = read_packet(data)
+        packet = parse_packet(data)
         if packet.is_err():
             self.counters.add(c.DROPS, packet.unwrap_err())
             return None
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -21,7 +21,7 @@
 import struct
 
 from pollenmast import counters as c
-from pollenmast.callers import PacketType, read_packet
+from pollenmast.callers import PacketType, parse_packet
 from pollenmast.decisions._fleet import Fleet
 from pollenmast.decisions._ownership import connection_id_hash
 from pollenmast.manifest import ServiceKind
@@ -96,7 +96,7 @@
         """Reads the connection id in an endpoint's first answer."""
         if flow.listener.service.kind is not ServiceKind.SESSION:
             return
-        packet = read_packet(data)
+        packet = parse_packet(data)
         if packet.is_err() or packet.unwrap().type is PacketType.SHORT:
             return
         cid = packet.unwrap().source_cid
--- a/tests/agent_standby_test.py
+++ b/tests/agent_standby_test.py
@@ -8,7 +8,7 @@
 from pollenmast import counters as c
 from pollenmast.agent._node import Node, new_node
 from pollenmast.agent._standby import Standby
-from pollenmast.callers import PacketType, read_packet
+from pollenmast.callers import PacketType, parse_packet
 from pollenmast.decisions._members import ChangeReason
 from pollenmast.fleet import Vm
 from pollenmast.manifest import parse
@@ -196,7 +196,7 @@
         async def script(env):
             await env.activate()
             env.send(initial("c1"))
-            answer = read_packet(await _receive(env.caller)).unwrap()
+            answer = parse_packet(await _receive(env.caller)).unwrap()
             self.assertEqual(PacketType.INITIAL, answer.type)
 
         node = _run(script, alone=True)
--- a/tests/proof/_traffic.py
+++ b/tests/proof/_traffic.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from pollenmast.callers import read_packet
+from pollenmast.callers import parse_packet
 
 _PACKET = re.compile(rb"pk:([^;]*);(\d+);([^;]*);")
 _INITIAL_BYTES = 1200
@@ -90,7 +90,7 @@
 
 def refused_session(data: bytes) -> str:
     """Returns the session that a relay's refusal is addressed to."""
-    return read_packet(data).unwrap().destination_cid.decode().rstrip("-")
+    return parse_packet(data).unwrap().destination_cid.decode().rstrip("-")
 
 
 def read(data: bytes) -> list[PacketContent]:
--- a/tests/proof_parsers_test.py
+++ b/tests/proof_parsers_test.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from pollenmast import manifest as manifests
-from pollenmast.callers import LONG_HEADER, read_packet, without_early_data
+from pollenmast.callers import LONG_HEADER, parse_packet, without_early_data
 from pollenmast.peers import _codec, _gossip
 from pollenmast.peers._envelope import MOST_BYTES, Opener, Sealer
 from pollenmast.peers._kinds import MessageType
@@ -72,7 +72,7 @@
     @given(_datagrams)
     def test_read(self, data):
         """Reading a datagram never raises, and its packet ends within it."""
-        packet = read_packet(data)
+        packet = parse_packet(data)
         if packet.is_ok():
             self.assertLessEqual(packet.unwrap().end, len(data))
         stripped, _ = without_early_data(data)
@@ -109,8 +109,8 @@
         """No length of a datagram from 0 to 65,507 bytes makes one raise."""
         long, short = bytes([LONG_HEADER]) * MOST_BYTES, bytes(MOST_BYTES)
         for size in range(0, MOST_BYTES + 1, 7):
-            read_packet(long[:size])
-            read_packet(short[:size])
+            parse_packet(long[:size])
+            parse_packet(short[:size])
 
 
 class EnvelopeTest(TestCase):
--- a/tests/relay_core_test.py
+++ b/tests/relay_core_test.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from pollenmast import counters as c
-from pollenmast.callers import PacketType, read_packet
+from pollenmast.callers import PacketType, parse_packet
 from pollenmast.relay._core import RelayCore
 from standins.memory import (
     BARCODES,
@@ -142,7 +142,7 @@
         net.open("c1")
         net.advance(6.0)
         (answer,) = net.answers_to("c1")
-        self.assertEqual(PacketType.INITIAL, read_packet(answer).unwrap().type)
+        self.assertEqual(PacketType.INITIAL, parse_packet(answer).unwrap().type)
         self.assertLess(len(answer), 1200)
         self.assertEqual({}, net.sessions)
 
