--- a/src/pollenmast/agent/_refusing.py
+++ b/src/pollenmast/agent/_refusing.py
@@ -4,9 +4,9 @@
 
 from pollenmast.callers import (
     PacketType,
+    find_drop_reason,
     parse_packet,
     refusal,
-    unfit,
     without_early_data,
 )
 from pollenmast.counters import DropReason
@@ -32,7 +32,7 @@
     if packet.is_err():
         return packet
     kind = packet.unwrap().type
-    reason = unfit(kind, len(data))
+    reason = find_drop_reason(kind, len(data))
     if reason is not None:
         return Err(reason)
     _, early_data = without_early_data(data)
--- a/src/pollenmast/callers/__init__.py
+++ b/src/pollenmast/callers/__init__.py
@@ -5,8 +5,8 @@
     MIN_INITIAL_BYTES,
     Packet,
     PacketType,
+    find_drop_reason,
     parse_packet,
-    unfit,
     without_early_data,
 )
 from pollenmast.callers._refusal import CONNECTION_REFUSED, refusal
@@ -17,8 +17,8 @@
     "MIN_INITIAL_BYTES",
     "Packet",
     "PacketType",
+    "find_drop_reason",
     "parse_packet",
     "refusal",
-    "unfit",
     "without_early_data",
 ]
--- a/src/pollenmast/callers/_packets.py
+++ b/src/pollenmast/callers/_packets.py
@@ -142,7 +142,7 @@
     return data[offset : offset + length]
 
 
-def unfit(packet_type: PacketType, size: int) -> DropReason | None:
+def find_drop_reason(packet_type: PacketType, size: int) -> DropReason | None:
     """Returns why a datagram cannot open or continue a flow, None if it can.
 
     Args:
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -10,8 +10,8 @@
 from pollenmast import manifest as manifests
 from pollenmast.callers import (
     LONG_HEADER,
+    find_drop_reason,
     parse_packet,
-    unfit,
     without_early_data,
 )
 from pollenmast.decisions import Dispatcher
@@ -199,7 +199,7 @@
         if packet.is_err():
             self.counters.add(c.DROPS, packet.unwrap_err())
             return None
-        reason = unfit(packet.unwrap().type, len(data))
+        reason = find_drop_reason(packet.unwrap().type, len(data))
         if reason is not None:
             self.counters.add(c.DROPS, reason)
             return None
