--- a/src/pollenmast/agent/_refusing.py
+++ b/src/pollenmast/agent/_refusing.py
@@ -7,7 +7,7 @@
     find_drop_reason,
     parse_packet,
     refusal,
-    without_early_data,
+    zero_early_data,
 )
 from pollenmast.counters import DropReason
 
@@ -35,7 +35,7 @@
     reason = find_drop_reason(kind, len(data))
     if reason is not None:
         return Err(reason)
-    _, early_data = without_early_data(data)
+    _, early_data = zero_early_data(data)
     if kind is not PacketType.INITIAL or early_data:
         return Err(DropReason.NO_OWNER)
     return Ok(refusal(packet.unwrap(), retry_after_ms))
--- a/src/pollenmast/callers/__init__.py
+++ b/src/pollenmast/callers/__init__.py
@@ -7,7 +7,7 @@
     PacketType,
     find_drop_reason,
     parse_packet,
-    without_early_data,
+    zero_early_data,
 )
 from pollenmast.callers._refusal import CONNECTION_REFUSED, refusal
 
@@ -20,5 +20,5 @@
     "find_drop_reason",
     "parse_packet",
     "refusal",
-    "without_early_data",
+    "zero_early_data",
 ]
--- a/src/pollenmast/callers/_packets.py
+++ b/src/pollenmast/callers/_packets.py
@@ -158,7 +158,7 @@
     return None
 
 
-def without_early_data(data: bytes) -> tuple[bytes, int]:
+def zero_early_data(data: bytes) -> tuple[bytes, int]:
     """Overwrites the 0-RTT packets of a datagram with zeros.
 
     A 0-RTT packet can carry a request before the handshake and can be
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -12,7 +12,7 @@
     LONG_HEADER,
     find_drop_reason,
     parse_packet,
-    without_early_data,
+    zero_early_data,
 )
 from pollenmast.decisions import Dispatcher
 from pollenmast.decisions._fleet import Fleet
@@ -229,7 +229,7 @@
         self, idempotent: bool, data: bytes
     ) -> tuple[bytes, bool]:
         """Returns what may be forwarded, and whether it contains 0-RTT."""
-        stripped, found = without_early_data(data)
+        stripped, found = zero_early_data(data)
         if not found:
             return data, False
         if idempotent:
--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -207,8 +207,8 @@
         "early-data",
         Invariant.ONCE,
         "0-RTT does not pass to a service that is not idempotent",
-        "`without_early_data` finds none",
-        _attribute(_core, "without_early_data", lambda data: (data, 0)),
+        "`zero_early_data` finds none",
+        _attribute(_core, "zero_early_data", lambda data: (data, 0)),
         scenarios.early_data_retried,
     ),
     Mutation(
--- a/tests/proof_parsers_test.py
+++ b/tests/proof_parsers_test.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from pollenmast import manifest as manifests
-from pollenmast.callers import LONG_HEADER, parse_packet, without_early_data
+from pollenmast.callers import LONG_HEADER, parse_packet, zero_early_data
 from pollenmast.peers import _codec, _gossip
 from pollenmast.peers._envelope import MOST_BYTES, Opener, Sealer
 from pollenmast.peers._kinds import MessageType
@@ -75,15 +75,15 @@
         packet = parse_packet(data)
         if packet.is_ok():
             self.assertLessEqual(packet.unwrap().end, len(data))
-        stripped, _ = without_early_data(data)
+        stripped, _ = zero_early_data(data)
         self.assertEqual(len(data), len(stripped))
 
     @_FIXED
     @given(_datagrams)
     def test_without_early_data(self, data):
         """A datagram stripped of 0-RTT contains no 0-RTT that can be found."""
-        stripped, _ = without_early_data(data)
-        self.assertEqual(0, without_early_data(stripped)[1])
+        stripped, _ = zero_early_data(data)
+        self.assertEqual(0, zero_early_data(stripped)[1])
 
     @settings(_FIXED, max_examples=25)
     @given(st.lists(st.tuples(_datagrams, st.integers(1, 9)), max_size=40))
