--- a/bench/packet_path.py
+++ b/bench/packet_path.py
@@ -12,7 +12,7 @@
 from aioquic.quic.connection import QuicConnection
 
 from bench import _relay
-from pollenmast.callers import parse_packet, refusal
+from pollenmast.callers import encode_refusal, parse_packet
 from pollenmast.events import EventLog
 from pollenmast.relay._flows import FlowState, Listener
 from pollenmast.relay._sockets import SocketTransport
@@ -197,14 +197,14 @@
     packet = parse_packet(initial).unwrap()
     start = time.process_time()
     for _ in range(2_000):
-        refusal(packet, 1500)
+        encode_refusal(packet, 1500)
     refused = time.process_time() - start
     return {
         "opened": opened,
         "offered": _NEW_FLOWS,
         "flows_per_s": _NEW_FLOWS / spent,
         "refusal_us": refused / 2_000 * 1e6,
-        "refusal_bytes": len(refusal(packet, 1500)),
+        "refusal_bytes": len(encode_refusal(packet, 1500)),
     }
 
 
--- a/src/pollenmast/agent/_refusing.py
+++ b/src/pollenmast/agent/_refusing.py
@@ -4,9 +4,9 @@
 
 from pollenmast.callers import (
     PacketType,
+    encode_refusal,
     find_drop_reason,
     parse_packet,
-    refusal,
     zero_early_data,
 )
 from pollenmast.counters import DropReason
@@ -38,4 +38,4 @@
     _, early_data = zero_early_data(data)
     if kind is not PacketType.INITIAL or early_data:
         return Err(DropReason.NO_OWNER)
-    return Ok(refusal(packet.unwrap(), retry_after_ms))
+    return Ok(encode_refusal(packet.unwrap(), retry_after_ms))
--- a/src/pollenmast/callers/__init__.py
+++ b/src/pollenmast/callers/__init__.py
@@ -9,7 +9,7 @@
     parse_packet,
     zero_early_data,
 )
-from pollenmast.callers._refusal import CONNECTION_REFUSED, refusal
+from pollenmast.callers._refusal import CONNECTION_REFUSED, encode_refusal
 
 __all__ = [
     "CONNECTION_REFUSED",
@@ -17,8 +17,8 @@
     "MIN_INITIAL_BYTES",
     "Packet",
     "PacketType",
+    "encode_refusal",
     "find_drop_reason",
     "parse_packet",
-    "refusal",
     "zero_early_data",
 ]
--- a/src/pollenmast/callers/_refusal.py
+++ b/src/pollenmast/callers/_refusal.py
@@ -30,7 +30,7 @@
 _REFUSAL_CAPACITY_BYTES = 512
 
 
-def refusal(packet: Packet, retry_after_ms: int) -> bytes:
+def encode_refusal(packet: Packet, retry_after_ms: int) -> bytes:
     """Returns the datagram that refuses the flow which an Initial would open.
 
     Args:
--- a/src/pollenmast/relay/_openings.py
+++ b/src/pollenmast/relay/_openings.py
@@ -8,7 +8,7 @@
 import attrs
 
 from pollenmast import counters as c
-from pollenmast.callers import Packet, refusal
+from pollenmast.callers import Packet, encode_refusal
 from pollenmast.decisions import (
     Dispatcher,
     FlowRequest,
@@ -180,7 +180,7 @@
     ) -> None:
         """Refuses a new flow, as this relay drains and knows no other VM."""
         self._counters.add(c.REFUSALS, c.RefusalReason.DRAINING)
-        data = refusal(datagram.packet, retry_after_ms)
+        data = encode_refusal(datagram.packet, retry_after_ms)
         datagram.listener.send(data, datagram.caller)
 
     def on_answered(self, flow: Flow, now: float) -> None:
@@ -273,7 +273,7 @@
     def _refuse(self, opening: Opening, refused: Refused) -> None:
         self._forget(opening)
         self._counters.add(c.REFUSALS, refused.reason)
-        data = refusal(opening.packet, refused.retry_after_ms)
+        data = encode_refusal(opening.packet, refused.retry_after_ms)
         opening.listener.send(data, opening.caller)
         self._log_decision(
             opening,
