--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -72,7 +72,7 @@
     return path
 
 
-def _give_back_shared(self, path, now):
+def _release_shared(self, path, now):
     del now
     path.flows.pop(self._upstream, None)
 
@@ -164,10 +164,10 @@
         "shared-path",
         Invariant.WHOLE_ANSWER,
         "each flow to one endpoint has a local port of its own",
-        "`PathChooser.take` gives all of them one",
+        "`PathChooser.assign` gives all of them one",
         lambda: _both(
-            mock.patch.object(PathChooser, "take", _shared_path),
-            mock.patch.object(PathChooser, "give_back", _give_back_shared),
+            mock.patch.object(PathChooser, "assign", _shared_path),
+            mock.patch.object(PathChooser, "release", _release_shared),
         ),
         scenarios.late_answers,
     ),
@@ -175,8 +175,8 @@
         "no-rest",
         Invariant.WHOLE_ANSWER,
         "a port rests before it is used again for the same endpoint",
-        "`PathChooser._rested` gives it at once",
-        _attribute(PathChooser, "_rested", _path_without_rest),
+        "`PathChooser._take_cooled_down` gives it at once",
+        _attribute(PathChooser, "_take_cooled_down", _path_without_rest),
         scenarios.answer_after_retry,
     ),
     Mutation(
