--- a/bench/program_faults.py
+++ b/bench/program_faults.py
@@ -55,7 +55,7 @@
 
 
 def _opened_after_detection(flow: _records.FlowRecord, began: float) -> bool:
-    opened_after = flow.opened_tick > began + _ledger.DETECT_S
+    opened_after = flow.opened > began + _ledger.DETECT_S
     return opened_after and flow.service == fleet.BARCODES.name
 
 
