--- a/bench/_capacity_relay.py
+++ b/bench/_capacity_relay.py
@@ -8,7 +8,7 @@
 from pollenmast import counters as c
 from pollenmast.decisions._ownership import flow_hash
 from pollenmast.peers._envelope import Opener, Sealer
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     ConnectionId,
     FlowRecord,
@@ -39,7 +39,9 @@
     points = []
     for size in _FLOW_SIZES:
         tracemalloc.start()
-        core = _relay.core(packet_path._NullWire(), _relay.manifest(200), 100.0)
+        core = _relay.core(
+            packet_path._NullTransport(), _relay.manifest(200), 100.0
+        )
         before = tracemalloc.get_traced_memory()[0]
         _fill_table(core, size)
         held = tracemalloc.get_traced_memory()[0] - before
@@ -59,16 +61,18 @@
     """Returns the CPU share of the periodic scan over the flow table."""
     points = []
     for size in _FLOW_SIZES:
-        core = _relay.core(packet_path._NullWire(), _relay.manifest(200), 100.0)
+        core = _relay.core(
+            packet_path._NullTransport(), _relay.manifest(200), 100.0
+        )
         _fill_table(core, size)
         now = 100.0
         start = time.process_time()
         for _ in range(_UPKEEP_TICKS):
             now += 0.02
-            core._upkeep._checks = False
-            core._upkeep._changes_seen = core.fleet.changes
-            core._upkeep._new_defaults = False
-            core._upkeep.tick(now, int(now * 10))
+            core._maintenance._recomputing = False
+            core._maintenance._changes_seen = core.fleet.changes
+            core._maintenance._defaults_changed = False
+            core._maintenance.tick(now, int(now * 10))
         spent = time.process_time() - start
         points.append((size, spent / (_UPKEEP_TICKS * 0.02) * 100))
     return Slope(
@@ -108,7 +112,9 @@
             start = time.process_time()
             for _ in range(_MESSAGES):
                 flow_hash(1, "10.0.0.1", 4000)
-                data = sealer.seal(Kind.FORWARD, pack_forwarded(forwarded))
+                data = sealer.seal(
+                    MessageType.FORWARD, pack_forwarded(forwarded)
+                )
                 unpack_forwarded(opener.open(data, 0.0).unwrap().body)
             best = min(best, time.process_time() - start)
         points.append((size, best / _MESSAGES * 1e6))
@@ -128,8 +134,8 @@
     for count in _BATCH_SIZES:
         record = FlowRecord(1, "10.0.0.1", 4000, 7)
         body = b"\0\0\0\1" + pack_records([record] * count)
-        sent = len(sealer.seal(Kind.RECORDS, body)) + _UDP_BYTES
-        ack = len(sealer.seal(Kind.RECORDS_TAKEN, body[:4])) + _UDP_BYTES
+        sent = len(sealer.seal(MessageType.RECORDS, body)) + _UDP_BYTES
+        ack = len(sealer.seal(MessageType.RECORDS_ACK, body[:4])) + _UDP_BYTES
         points.append((count, sent + ack))
     return Slope("a batch of records", "B", "records", tuple(points), at_size)
 
@@ -140,7 +146,7 @@
     points = []
     for count in _BATCH_SIZES:
         body = pack_connection_ids([ConnectionId(1, 2, 3)] * count)
-        sealed = sealer.seal(Kind.CONNECTION_IDS, body)
+        sealed = sealer.seal(MessageType.CONNECTION_IDS, body)
         points.append((count, len(sealed) + _UDP_BYTES))
     return Slope(
         "a batch of connection ids", "B", "ids", tuple(points), at_size
--- a/bench/_load_switches.py
+++ b/bench/_load_switches.py
@@ -31,7 +31,7 @@
         """Removes and returns the oldest flow, or None if empty."""
         return self.remove(next(iter(self._flows))) if len(self) else None
 
-    def give_up(self, newcomer, now: float):
+    def drop_one(self, newcomer, now: float):
         """Removes and returns the new flow."""
         return self.remove(newcomer.request.ticket)
 
@@ -39,7 +39,7 @@
         """Returns True, as there is no limit per network."""
         return True
 
-    def of_caller(self, caller: str) -> int:
+    def count_held(self, caller: str) -> int:
         """Returns 0, so that no caller reaches its limit."""
         return 0
 
@@ -92,12 +92,12 @@
     Switch(
         "hold",
         ("burst", "overload 2"),
-        ((_holding, "most_held", lambda *_: 0),),
+        ((_holding, "max_held", lambda *_: 0),),
     ),
     Switch(
         "bounded hold",
         ("burst", "overload 2", "overload 5"),
-        ((_holding, "most_held", lambda limits, _: limits.held_flows),),
+        ((_holding, "max_held", lambda limits, _: limits.held_flows),),
     ),
     Switch(
         "debt",
@@ -113,22 +113,28 @@
     Switch(
         "burst allowance",
         ("steady", "burst"),
-        ((_request_capacity, "BURST", 0.0),),
+        ((_request_capacity, "BURST_FLOWS", 0.0),),
     ),
     Switch(
         "report correction",
         ("overload 5", "slow upstream"),
-        ((_request_capacity.RequestCapacity, "_settle", lambda *_: None),),
+        (
+            (
+                _request_capacity.RequestCapacity,
+                "_correct_debt",
+                lambda *_: None,
+            ),
+        ),
     ),
     Switch(
         "trust",
         ("lying report", "frozen idle", "frozen full", "session lies"),
-        ((_trust.ReportTrust, "verdict", lambda *_: _trust.Verdict.BELIEVED),),
+        ((_trust.ReportTrust, "verdict", lambda *_: _trust.Verdict.TRUSTED),),
     ),
     Switch(
         "speed",
         ("slow upstream", "long among short", "lying report"),
-        ((_endpoint, "SLOW", math.inf),),
+        ((_endpoint, "SLOW_RATIO", math.inf),),
     ),
     Switch(
         "slow start",
@@ -138,7 +144,7 @@
     Switch(
         "ejection",
         ("silent upstream",),
-        ((_evidence, "UNANSWERED_IN_A_ROW", math.inf),),
+        ((_evidence, "MAX_CONSECUTIVE_UNANSWERED", math.inf),),
     ),
     Switch(
         "retry",
--- a/docs_tool/_manifest.py
+++ b/docs_tool/_manifest.py
@@ -3,9 +3,9 @@
 from docs_tool._markdown import HEAD, code, table
 from pollenmast.manifest import (
     MANIFEST,
-    MOST_BYTES,
+    MAX_BYTES,
+    Array,
     Field,
-    Items,
     Object,
 )
 
@@ -13,7 +13,7 @@
 # The manifest
 
 What an operator's pipeline publishes: every service, its endpoints, and what
-is intended for them. JSON in UTF-8, {MOST_BYTES:,} bytes at the most.
+is intended for them. JSON in UTF-8, {MAX_BYTES:,} bytes at the most.
 `pollenmast manifest schema` prints the JSON schema, `pollenmast manifest
 check FILE` checks a manifest as the fleet does, and `pollenmast manifest diff
 OLD NEW` tells what a release will move, drain, bring and take away.
@@ -88,7 +88,7 @@
     parts = [f"## {item.title.capitalize()}\n\n{table(heads, rows)}"]
     for field in item.fields:
         rule = field.rule
-        if isinstance(rule, Items):
+        if isinstance(rule, Array):
             parts.extend(_objects(rule.item))
         elif isinstance(rule, Object):
             parts.extend(_objects(rule))
@@ -97,7 +97,7 @@
 
 def _row(field: Field) -> tuple[object, ...]:
     allowed = field.rule.allowed
-    if isinstance(field.rule, Items):
+    if isinstance(field.rule, Array):
         allowed += "; unique: " + ", ".join(field.rule.unique)
     if field.required:
         default = "must be given"
--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -15,11 +15,11 @@
     Dissemination,
 )
 from pollenmast.decisions._heartbeats import Send
-from pollenmast.decisions._members import Change, Why
+from pollenmast.decisions._members import Change, ChangeReason
 from pollenmast.fleet import Vm, VmState
 from pollenmast.manifest import ManifestKey
 from pollenmast.peers import _gossip
-from pollenmast.peers._gossip import Act, Gossip, ProbeNews
+from pollenmast.peers._gossip import Gossip, GossipType, ProbeUpdate
 from pollenmast.peers._gossip_socket import GossipSocket
 
 GOSSIP_BYTES_PER_S = 2_300
@@ -53,8 +53,8 @@
     VmState.ALIVE: events.VM_UPDATED,
 }
 _REASON_EVENTS = {
-    Why.JOINED: events.VM_JOINED,
-    Why.RETURNED: events.VM_RETURNED,
+    ChangeReason.JOINED: events.VM_JOINED,
+    ChangeReason.RETURNED: events.VM_RETURNED,
 }
 
 NewerManifestCallback = Callable[[ManifestKey, Vm], None]
@@ -85,7 +85,7 @@
         self._socket = socket
         self._on_newer_manifest = on_newer_manifest
         self._members: Dissemination[Vm] = Dissemination()
-        self._probes: Dissemination[ProbeNews] = Dissemination(
+        self._probes: Dissemination[ProbeUpdate] = Dissemination(
             PROBE_SENDS_PER_LOG
         )
         now = anyio.current_time()
@@ -104,12 +104,12 @@
         changed = self._queue_changes()
         for send in sends:
             self._send_message(send)
-        if changed or any(send.act is Act.PING for send in sends):
+        if changed or any(send.act is GossipType.PING for send in sends):
             # The next deadline may now be earlier than the one that `_tick`
             # waits for.
             self._rescheduled.set()
 
-    def queue_report(self, news: ProbeNews) -> None:
+    def queue_report(self, news: ProbeUpdate) -> None:
         """Queues an endpoint's report for the peers.
 
         A report that an endpoint is down or leaving must reach every VM,
@@ -142,7 +142,7 @@
                 for news in new_reports:
                     self.queue_report(news)
 
-    def _apply_updates(self, message: Gossip, now: float) -> list[ProbeNews]:
+    def _apply_updates(self, message: Gossip, now: float) -> list[ProbeUpdate]:
         """Applies the updates in a message.
 
         Returns:
@@ -150,12 +150,12 @@
         """
         reports = self._node.reports
         new_reports = [
-            news for news in message.probes if reports.heard(news, now)
+            news for news in message.probes if reports.record_peer(news, now)
         ]
         if new_reports:
             self._node.notify_changed()
         key = ManifestKey(message.version, message.digest.hex())
-        if self._node.acceptance.wants(key):
+        if self._node.acceptance.should_fetch(key):
             self._on_newer_manifest(key, message.sender)
         return new_reports
 
@@ -168,7 +168,7 @@
         membership = self._node.membership
         changes = membership.take_changes()
         for change in changes:
-            update = membership.told(change.vm.name)
+            update = membership.latest_update(change.vm.name)
             self._members.add(update.name, update, _gossip.member_size(update))
             self._log_change(change)
         if membership.fresh != self._was_fresh:
@@ -197,7 +197,7 @@
 
     def _send_message(self, send: Send) -> None:
         bytes_left = self._budget.left(anyio.current_time())
-        if send.act is Act.NEWS and not bytes_left:
+        if send.act is GossipType.UPDATE and not bytes_left:
             # The same updates are sent with the next heartbeats. Without
             # this limit, a network cut of many VMs would cause a burst from
             # each of the others.
@@ -211,8 +211,10 @@
         own = node.membership.own
         fleet = len(node.membership.vms())
         members, probes = send.members, ()
-        if send.act in (Act.PING, Act.ACK, Act.NEWS):
-            room = min(bytes_left, _gossip.room(own, send.target, members))
+        if send.act in (GossipType.PING, GossipType.ACK, GossipType.UPDATE):
+            room = min(
+                bytes_left, _gossip.remaining_bytes(own, send.target, members)
+            )
             updates = self._members.pick(min(room, MAX_MEMBER_BYTES), fleet)
             members += updates
             room -= sum(map(_gossip.member_size, updates))
--- a/src/pollenmast/agent/_probe_loop.py
+++ b/src/pollenmast/agent/_probe_loop.py
@@ -110,13 +110,13 @@
         reports = self._node.reports
         sequence = reports.next_sequence(number, name)
         report = _report(number, name, sequence, load)
-        news = reports.own(report, anyio.current_time(), load.is_ok())
+        news = reports.record_local(report, anyio.current_time(), load.is_ok())
         if news is not None:
             self._gossip.queue_report(news)
             if self._log_health_change(news.report):
                 # An endpoint that leaves must get no new work after a few
                 # seconds, and heartbeats may take longer to reach every VM.
-                self._gossip.send(self._node.membership.push())
+                self._gossip.send(self._node.membership.push_messages())
         self._node.notify_changed()
 
     def _log_health_change(self, report: EndpointReport) -> bool:
--- a/src/pollenmast/agent/_refusing.py
+++ b/src/pollenmast/agent/_refusing.py
@@ -4,10 +4,10 @@
 
 from pollenmast.callers import (
     PacketType,
-    read_packet,
-    refusal,
-    unfit,
-    without_early_data,
+    encode_refusal,
+    find_drop_reason,
+    parse_packet,
+    zero_early_data,
 )
 from pollenmast.counters import DropReason
 
@@ -28,14 +28,14 @@
     Returns:
         The refusal, or the reason to drop the datagram instead.
     """
-    packet = read_packet(data)
+    packet = parse_packet(data)
     if packet.is_err():
         return packet
     kind = packet.unwrap().type
-    reason = unfit(kind, len(data))
+    reason = find_drop_reason(kind, len(data))
     if reason is not None:
         return Err(reason)
-    _, early_data = without_early_data(data)
+    _, early_data = zero_early_data(data)
     if kind is not PacketType.INITIAL or early_data:
         return Err(DropReason.NO_OWNER)
-    return Ok(refusal(packet.unwrap(), retry_after_ms))
+    return Ok(encode_refusal(packet.unwrap(), retry_after_ms))
--- a/src/pollenmast/callers/__init__.py
+++ b/src/pollenmast/callers/__init__.py
@@ -5,11 +5,11 @@
     MIN_INITIAL_BYTES,
     Packet,
     PacketType,
-    read_packet,
-    unfit,
-    without_early_data,
+    find_drop_reason,
+    parse_packet,
+    zero_early_data,
 )
-from pollenmast.callers._refusal import CONNECTION_REFUSED, refusal
+from pollenmast.callers._refusal import CONNECTION_REFUSED, encode_refusal
 
 __all__ = [
     "CONNECTION_REFUSED",
@@ -17,8 +17,8 @@
     "MIN_INITIAL_BYTES",
     "Packet",
     "PacketType",
-    "read_packet",
-    "refusal",
-    "unfit",
-    "without_early_data",
+    "encode_refusal",
+    "find_drop_reason",
+    "parse_packet",
+    "zero_early_data",
 ]
--- a/src/pollenmast/callers/_packets.py
+++ b/src/pollenmast/callers/_packets.py
@@ -76,7 +76,7 @@
     end: int = 0
 
 
-def read_packet(data: bytes, start: int = 0) -> Result[Packet, DropReason]:
+def parse_packet(data: bytes, start: int = 0) -> Result[Packet, DropReason]:
     """Parses one packet of a datagram.
 
     Args:
@@ -142,7 +142,7 @@
     return data[offset : offset + length]
 
 
-def unfit(packet_type: PacketType, size: int) -> DropReason | None:
+def find_drop_reason(packet_type: PacketType, size: int) -> DropReason | None:
     """Returns why a datagram cannot open or continue a flow, None if it can.
 
     Args:
@@ -158,7 +158,7 @@
     return None
 
 
-def without_early_data(data: bytes) -> tuple[bytes, int]:
+def zero_early_data(data: bytes) -> tuple[bytes, int]:
     """Overwrites the 0-RTT packets of a datagram with zeros.
 
     A 0-RTT packet can carry a request before the handshake and can be
@@ -173,7 +173,7 @@
     start = 0
     overwritten = 0
     while start < len(data) and data[start] & LONG_HEADER:
-        packet = read_packet(data, start)
+        packet = parse_packet(data, start)
         if packet.is_err():
             break
         end = packet.unwrap().end
--- a/src/pollenmast/decisions/_fairness.py
+++ b/src/pollenmast/decisions/_fairness.py
@@ -95,7 +95,7 @@
     def __len__(self) -> int:
         return len(self._flows)
 
-    def of_caller(self, caller: str) -> int:
+    def count_held(self, caller: str) -> int:
         """Returns the number of held flows of a caller."""
         entry = self._networks.get(network_of(caller))
         return len(entry.callers.get(caller, ())) if entry else 0
@@ -144,7 +144,7 @@
             self._remove(flow)
         return flow
 
-    def give_up(self, newcomer: HeldFlow, now: float) -> HeldFlow:
+    def drop_one(self, newcomer: HeldFlow, now: float) -> HeldFlow:
         """Removes and returns the flow to drop when too many are held.
 
         It is a flow of the newcomer's network unless another network has a
--- a/src/pollenmast/decisions/_fleet.py
+++ b/src/pollenmast/decisions/_fleet.py
@@ -18,7 +18,7 @@
     """The VMs by number, and the hash rings of flow owners and holders."""
 
     def __init__(self, name: str, zone: str):
-        self._me = Member(sender_id(name), name, zone)
+        self._local = Member(sender_id(name), name, zone)
         self._vms: dict[int, Vm] = {}
         self._standbys: dict[int, int] | None = None
         self._owners = Ring()
@@ -27,9 +27,9 @@
         self._changes = 0
 
     @property
-    def me(self) -> Member:
+    def local(self) -> Member:
         """The local VM."""
-        return self._me
+        return self._local
 
     @property
     def changed_at(self) -> float:
@@ -61,7 +61,7 @@
         self._changes += 1
         return True
 
-    def note_absence(self, now: float) -> None:
+    def record_absence(self, now: float) -> None:
         """Records that other VMs may have opened flows that this VM owns.
 
         They must be asked, as after a change of owners.
@@ -72,7 +72,7 @@
         """Returns the VM with this number, or None if it is dead or unknown."""
         return self._vms.get(number)
 
-    def vm_behind(self, sender: int) -> int:
+    def sending_vm(self, sender: int) -> int:
         """Returns the number of the VM that sent an envelope.
 
         An agent that sends on behalf of its relay uses a number of its own.
@@ -88,7 +88,7 @@
             }
         return self._standbys.get(sender, sender)
 
-    def carries(self, number: int) -> bool:
+    def has_relay(self, number: int) -> bool:
         """Returns whether packets can be sent to the relay of a VM."""
         vm = self._vms.get(number)
         return vm is not None and vm.relay_up
@@ -100,41 +100,41 @@
     def successor(self, key: int) -> Member | None:
         """Returns the VM that would own a flow without the local VM."""
         for member in self._owners.preference_list(key, 2):
-            if member.number != self._me.number:
+            if member.number != self._local.number:
                 return member
         return None
 
     def owns(self, key: int) -> bool:
         """Returns whether the local VM owns the flow with hash `key`."""
         owner = self._owners.owner(key)
-        return owner is not None and owner.number == self._me.number
+        return owner is not None and owner.number == self._local.number
 
     def backup(self, key: int) -> int:
         """Returns the number of the VM that backs up the flow, or 0.
 
         The local VM holds the flow, and its backup stores the flow's record.
         """
-        member = self._owners.backup(key, self._me)
+        member = self._owners.backup(key, self._local)
         return member.number if member else 0
 
-    def keepers(self, key: int) -> list[int]:
+    def connection_id_holders(self, key: int) -> list[int]:
         """Returns the VMs that store the connection id with hash `key`."""
         members = self._owners.preference_list(key, CONNECTION_ID_REPLICAS)
         return [member.number for member in members]
 
-    def asked(self, key: int, but: int = 0) -> list[int]:
+    def lookup_targets(self, key: int, excluded: int = 0) -> list[int]:
         """Returns the VMs to ask about a flow, the most likely holder first.
 
         Args:
             key: The flow's hash.
-            but: Number of a VM to exclude, or 0.
+            excluded: Number of a VM to exclude, or 0.
         """
         candidates = [*self._holders.preference_list(key, LOOKUP_TARGETS + 2)]
-        backup = self._owners.backup(key, self._me)
+        backup = self._owners.backup(key, self._local)
         if backup is not None:
             candidates.insert(1, backup)
         numbers = dict.fromkeys(member.number for member in candidates)
-        for number in (self._me.number, but):
+        for number in (self._local.number, excluded):
             numbers.pop(number, None)
         return list(numbers)[:LOOKUP_TARGETS]
 
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -28,15 +28,15 @@
 from pollenmast.decisions._join_candidates import JoinCandidates
 from pollenmast.decisions._members import (
     Change,
+    ChangeReason,
     Member,
     Members,
-    Why,
     fit_into_budget,
 )
 from pollenmast.decisions._membership_times import Times
 from pollenmast.fleet import Vm, VmState
 from pollenmast.manifest import ManifestKey
-from pollenmast.peers._gossip import Act, Gossip
+from pollenmast.peers._gossip import Gossip, GossipType
 
 
 class Membership:
@@ -134,14 +134,14 @@
     def set_relay_up(self, up: bool) -> None:
         """Announces whether the local relay answers its agent."""
         if up != self._own.relay_up:
-            self._update_own(relay_up=up, why=Why.UPDATED)
+            self._update_own(relay_up=up, why=ChangeReason.UPDATED)
 
     def leave(self) -> None:
         """Announces a planned shutdown of the local VM."""
         if self._own.state is VmState.ALIVE:
-            self._update_own(state=VmState.LEAVING, why=Why.LEAVES)
+            self._update_own(state=VmState.LEAVING, why=ChangeReason.LEAVES)
 
-    def gone(self) -> list[Send]:
+    def announce_stop(self) -> list[Send]:
         """Announces that the local VM stops now.
 
         Peers then need not detect its failure.
@@ -149,23 +149,23 @@
         self._own = attrs.evolve(self._own, state=VmState.DEAD)
         return self._push((self._own,))
 
-    def stay(self) -> None:
+    def cancel_leave(self) -> None:
         """Cancels a planned shutdown, because the relay was replaced."""
         if self._own.state is VmState.LEAVING:
-            self._update_own(state=VmState.ALIVE, why=Why.UPDATED)
+            self._update_own(state=VmState.ALIVE, why=ChangeReason.UPDATED)
 
     def set_in_force(self, key: ManifestKey) -> None:
         """Sets the key of the manifest in force on the local VM."""
         self._in_force = key
 
-    def stale(self, now: float) -> list[Send]:
+    def start_refresh(self, now: float) -> list[Send]:
         """Starts a refresh, because the view appears to be stale."""
         self._freshness.start_refresh(now)
         return self._ping_for_refresh(now)
 
     # Events.
 
-    def look(self, now: float) -> list[Send]:
+    def check_for_pause(self, now: float) -> list[Send]:
         """Checks for a pause of the process before the view is used.
 
         This may be the first code to run after a pause. Without the check, a
@@ -173,7 +173,7 @@
         """
         return self._detect_pause(now)
 
-    def introduce(self, listed: Iterable[Vm], now: float) -> list[Send]:
+    def update_listed(self, listed: Iterable[Vm], now: float) -> list[Send]:
         """Takes the platform's list of VMs and pings those not yet known.
 
         Dead members that are missing from the list are removed later.
@@ -210,15 +210,15 @@
             return []
         sends = self._detect_pause(now)
         sender = message.sender
-        self._merge(sender, now, Why.TOLD)
+        self._merge(sender, now, ChangeReason.TOLD)
         for vm in message.members:
-            self._merge(vm, now, Why.TOLD)
+            self._merge(vm, now, ChangeReason.TOLD)
         member = self._members.get(sender.name)
         if member is not None:
             member.heard_s = now
         if self._freshness.record_message(now):
             # The network partition may have lasted hours: refresh first.
-            sends += self.stale(now)
+            sends += self.start_refresh(now)
         sends += self._handle_message(message, source, now)
         self._freshness.end_refresh(self._in_force, now)
         return sends + self._push_urgent()
@@ -228,7 +228,7 @@
     def _suspect(self, member: Member, now: float) -> list[Send]:
         """Marks a member as suspect and notifies it, so that it can refute."""
         suspect = attrs.evolve(member.vm, state=VmState.SUSPECT)
-        self._merge(suspect, now, Why.NO_ACK)
+        self._merge(suspect, now, ChangeReason.NO_ACK)
         return [self._heartbeats.ping(member.vm, now)]
 
     def _expire_suspicions(self, now: float) -> None:
@@ -239,7 +239,7 @@
                 and now - since >= self._times.suspicion_timeout
             ):
                 dead = attrs.evolve(member.vm, state=VmState.DEAD)
-                self._merge(dead, now, Why.SUSPICION_OVER)
+                self._merge(dead, now, ChangeReason.SUSPICION_OVER)
 
     # Message handlers.
 
@@ -247,15 +247,15 @@
         self, message: Gossip, source: Address, now: float
     ) -> list[Send]:
         match message.act:
-            case Act.PING:
+            case GossipType.PING:
                 return self._receive_ping(message, source)
-            case Act.ACK:
+            case GossipType.ACK:
                 return self._receive_ack(message)
-            case Act.PING_REQUEST:
+            case GossipType.PING_REQUEST:
                 return self._receive_ping_request(message, source, now)
-            case Act.SYNC_REQUEST:
+            case GossipType.SYNC_REQUEST:
                 return [self._page_reply(message, source)]
-            case Act.SYNC:
+            case GossipType.SYNC:
                 return self._receive_page(message)
         return []
 
@@ -266,7 +266,7 @@
             return []
         members = self._heartbeats.update_for(message.sender.name)
         own = self._own.name
-        return [Send(source, Act.ACK, message.sequence, own, members)]
+        return [Send(source, GossipType.ACK, message.sequence, own, members)]
 
     def _receive_ack(self, message: Gossip) -> list[Send]:
         ping = self._heartbeats.take_answered(message.sequence)
@@ -277,7 +277,9 @@
             to, sequence = ping.requester
             member = self._members.get(ping.target)
             members = (member.vm,) if member else ()
-            sends.append(Send(to, Act.ACK, sequence, ping.target, members))
+            sends.append(
+                Send(to, GossipType.ACK, sequence, ping.target, members)
+            )
         if self._syncs_left:
             sends.append(self._request_page(message.sender, ""))
             self._syncs_left -= 1
@@ -313,11 +315,13 @@
 
     def _request_page(self, vm: Vm, after: str) -> Send:
         number = self._freshness.refresh_number
-        return Send(gossip_address(vm), Act.SYNC_REQUEST, number, after)
+        return Send(gossip_address(vm), GossipType.SYNC_REQUEST, number, after)
 
     def _page_reply(self, message: Gossip, source: Address) -> Send:
         page, last = self._members.page(message.target, constants.PAGE_BYTES)
-        return Send(source, Act.SYNC, message.sequence, last, tuple(page))
+        return Send(
+            source, GossipType.SYNC, message.sequence, last, tuple(page)
+        )
 
     def _receive_page(self, message: Gossip) -> list[Send]:
         # An answer to an earlier refresh: it waited in the socket buffer
@@ -332,7 +336,7 @@
 
     # Updates of the view.
 
-    def _merge(self, vm: Vm, now: float, why: Why) -> None:
+    def _merge(self, vm: Vm, now: float, why: ChangeReason) -> None:
         if vm.name == self._own.name:
             self._merge_own(vm, now)
             return
@@ -340,9 +344,9 @@
         if change is None:
             return
         self._record_change(change)
-        if change.why is Why.JOINED:
+        if change.why is ChangeReason.JOINED:
             self._heartbeats.add_member(vm.name)
-        if change.why is Why.RETURNED:
+        if change.why is ChangeReason.RETURNED:
             self._heartbeats.retry_dead_soon(now)
 
     def _merge_own(self, vm: Vm, now: float) -> None:
@@ -356,13 +360,13 @@
         if not current or not wrong or own.state is VmState.DEAD:
             return
         self._own = attrs.evolve(own, incarnation=vm.incarnation)
-        self._update_own(why=Why.REFUTED)
+        self._update_own(why=ChangeReason.REFUTED)
         if vm.state is VmState.DEAD:
             # The others continued without this VM, so its view is stale.
             self._freshness.start_refresh(now)
             self._syncs_left = constants.REFRESH_SYNCS
 
-    def _update_own(self, why: Why, **changed: object) -> None:
+    def _update_own(self, why: ChangeReason, **changed: object) -> None:
         before = self._own.state
         changed["incarnation"] = self._own.incarnation + 1
         self._own = attrs.evolve(self._own, **changed)
@@ -406,9 +410,9 @@
 
     def _record_change(self, change: Change) -> None:
         self._changes.append(change)
-        self._urgent[change.vm.name] = self.told(change.vm.name)
+        self._urgent[change.vm.name] = self.latest_update(change.vm.name)
 
-    def told(self, name: str) -> Vm:
+    def latest_update(self, name: str) -> Vm:
         """Returns the latest state of a VM, as announced to peers."""
         member = self._members.get(name)
         return member.vm if member else self._own
@@ -418,11 +422,11 @@
         live = [each.vm for each in self._members.live()]
         others = [vm for vm in live if vm.name not in names]
         return [
-            Send(gossip_address(vm), Act.NEWS, members=vms)
+            Send(gossip_address(vm), GossipType.UPDATE, members=vms)
             for vm in self._sample(others, constants.URGENT_FANOUT)
         ]
 
-    def push(self) -> list[Send]:
+    def push_messages(self) -> list[Send]:
         """Returns messages to a few random members for urgent updates.
 
         The messages are empty; the sender adds the updates.
--- a/src/pollenmast/decisions/_request_capacity.py
+++ b/src/pollenmast/decisions/_request_capacity.py
@@ -32,7 +32,7 @@
 The queued requests keep its slots busy in that time.
 """
 
-BURST = 1.0
+BURST_FLOWS = 1.0
 """Flows beyond its share that a VM may place at once at an idle endpoint.
 
 Callers are distributed unevenly over the VMs. Without the burst a flow would
@@ -137,8 +137,10 @@
         self._capacity_share.on_report(
             self._name, occupancy / self._target_occupancy, done, now
         )
-        if verdict is Verdict.BELIEVED:
-            self._settle(drained - done * self._capacity_share.value, occupancy)
+        if verdict is Verdict.TRUSTED:
+            self._correct_debt(
+                drained - done * self._capacity_share.value, occupancy
+            )
 
     def has_room(self, now: float, share: float) -> bool:
         """Whether the debt is below this VM's share of the target occupancy."""
@@ -146,7 +148,7 @@
         limit = (
             self._target_occupancy * share * self._capacity_share.value - 0.5
         )
-        self._min_debt = min(0.0, limit - BURST)
+        self._min_debt = min(0.0, limit - BURST_FLOWS)
         return self._debt <= limit + self._limit_jitter
 
     def load(self, now: float) -> float:
@@ -172,7 +174,7 @@
         alike = median_s / SIMILAR_RATIO <= own <= median_s * SIMILAR_RATIO
         self._assumed_service_time_s = median_s if alike else own
 
-    def _settle(self, missing: float, occupancy: int) -> None:
+    def _correct_debt(self, missing: float, occupancy: int) -> None:
         """Corrects the debt by the requests that actually finished.
 
         Args:
--- a/src/pollenmast/decisions/_service.py
+++ b/src/pollenmast/decisions/_service.py
@@ -260,8 +260,8 @@
 
     def _hold(self, request: FlowRequest, now: float) -> Held | Refused:
         limits = self._service.limits
-        most = holding.most_held(limits, self._rate(now))
-        held = self._queue.of_caller(request.caller)
+        most = holding.max_held(limits, self._rate(now))
+        held = self._queue.count_held(request.caller)
         if held >= limits.held_flows_per_caller:
             return self._refused(RefusalReason.CALLER_LIMIT, now)
         if not self._queue.may_hold(request.caller, most):
@@ -289,7 +289,7 @@
             The refusal if the dropped flow is `newest`, otherwise None; the
             refusal of another flow is returned by the next `release`.
         """
-        dropped = self._queue.give_up(newest, now)
+        dropped = self._queue.drop_one(newest, now)
         if dropped is newest:
             full = len(self._queue) >= self._service.limits.held_flows
             reason = RefusalReason.HOLD_FULL if full else RefusalReason.BUSY
--- a/src/pollenmast/decisions/_silence.py
+++ b/src/pollenmast/decisions/_silence.py
@@ -21,12 +21,12 @@
 caller's probes doubles from about 0.3 s, so three probes have gone unanswered
 by 1.5 s."""
 
-NEXT_TRY_S = 5.0
+MOVE_INTERVAL_S = 5.0
 """Minimum time between two moves of the same flow, in seconds: one idle probe
 interval."""
 
-PER_SECOND = 20.0
-BURST = 200.0
+MOVES_PER_S = 20.0
+MOVE_BURST = 200.0
 """Moves per second and maximum burst of moves of one relay. If a firewall loses
 its whole state table, 2,000 flows are moved in about 90 s, the first 200 of
 them at once. The idle time-outs of callers are 60 s and more."""
--- a/src/pollenmast/manifest/__init__.py
+++ b/src/pollenmast/manifest/__init__.py
@@ -11,10 +11,10 @@
     Service,
     ServiceKind,
 )
-from pollenmast.manifest._shapes import Field, Items, Object
+from pollenmast.manifest._shapes import Array, Field, Object
 from pollenmast.manifest._text import (
     MANIFEST,
-    MOST_BYTES,
+    MAX_BYTES,
     digest,
     parse,
     render,
@@ -23,14 +23,14 @@
 
 __all__ = [
     "MANIFEST",
-    "MOST_BYTES",
+    "MAX_BYTES",
     "MAX_FAULTS",
+    "Array",
     "Difference",
     "Effect",
     "Endpoint",
     "EndpointState",
     "Field",
-    "Items",
     "Limits",
     "Manifest",
     "ManifestFault",
--- a/src/pollenmast/peers/_envelope.py
+++ b/src/pollenmast/peers/_envelope.py
@@ -28,7 +28,7 @@
 """Size of the replay window: how far an envelope's sequence number may be
 behind the newest from its sender and still be accepted."""
 
-MOST_SENDERS = 4096
+MAX_SENDERS = 4096
 """Limit on tracked senders; about three times the fleet size expected in two
 years."""
 
@@ -41,11 +41,11 @@
 
 
 @attrs.frozen
-class Opened:
+class OpenedEnvelope:
     """The content of an authenticated envelope.
 
     Attributes:
-        kind: Type of the body, as passed to `Sealer.seal`; see `Kind`.
+        kind: Type of the body, as passed to `Sealer.seal`; see `MessageType`.
         sender: `sender_id` of the sending VM's name.
         body: The payload.
     """
@@ -142,7 +142,9 @@
             self._keys.setdefault(_key_id(each), []).append(each)
         self._windows: dict[int, _Window] = {}
 
-    def open(self, data: bytes, now: float) -> Result[Opened, EnvelopeFault]:
+    def open(
+        self, data: bytes, now: float
+    ) -> Result[OpenedEnvelope, EnvelopeFault]:
         """Returns the verified content, or why the envelope is dropped.
 
         Args:
@@ -162,7 +164,7 @@
         fault = self._check_replay(sender, sequence, now)
         if fault is not None:
             return Err(fault)
-        return Ok(Opened(kind, sender, sealed[HEADER_BYTES:]))
+        return Ok(OpenedEnvelope(kind, sender, sealed[HEADER_BYTES:]))
 
     def _check_replay(
         self, sender: int, sequence: int, now: float
@@ -178,9 +180,9 @@
     def _add_sender(
         self, sender: int, sequence: int, now: float
     ) -> EnvelopeFault | None:
-        if len(self._windows) >= MOST_SENDERS:
+        if len(self._windows) >= MAX_SENDERS:
             self._drop_expired_senders(now)
-        if len(self._windows) >= MOST_SENDERS:
+        if len(self._windows) >= MAX_SENDERS:
             return EnvelopeFault.TOO_MANY_SENDERS
         self._windows[sender] = _Window(sequence, 1, now)
         return None
--- a/src/pollenmast/peers/_gossip.py
+++ b/src/pollenmast/peers/_gossip.py
@@ -14,7 +14,7 @@
 from pollenmast.counters import EnvelopeFault
 from pollenmast.fleet import EndpointReport, Vm, VmState
 
-MOST_BODY_BYTES = 1200
+MAX_BODY_BYTES = 1200
 """Limit on an encoded message. With its envelope it stays below 1,280 bytes,
 the minimum MTU of IPv6, so that no path fragments it."""
 
@@ -32,7 +32,7 @@
 """Upper bound on the bytes of a message's numbers, digest and framing."""
 
 
-class Act(enum.IntEnum):
+class GossipType(enum.IntEnum):
     """The type of a gossip message."""
 
     PING = 0
@@ -44,7 +44,7 @@
     PING_REQUEST = 2
     """Requests an indirect probe: ping the target, which has not answered."""
 
-    NEWS = 3
+    UPDATE = 3
     """Carries updates and needs no answer."""
 
     SYNC_REQUEST = 4
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen
-class ProbeNews:
+class ProbeUpdate:
     """An endpoint's report, and the agent that probed it.
 
     Attributes:
@@ -76,21 +76,21 @@
         act: The type of the message.
         sequence: Number that matches a response to its request.
         sender: The sending VM's own entry.
-        target: Name of the VM that the message concerns; see `Act`.
+        target: Name of the VM that the message concerns; see `GossipType`.
         version: Version of the manifest in force at the sender.
         digest: Digest of that manifest, empty if there is none.
         members: Updates of VMs.
         probes: Updates of endpoints.
     """
 
-    act: Act
+    act: GossipType
     sequence: int
     sender: Vm
     target: str = ""
     version: int = 0
     digest: bytes = b""
     members: tuple[Vm, ...] = ()
-    probes: tuple[ProbeNews, ...] = ()
+    probes: tuple[ProbeUpdate, ...] = ()
 
 
 # Fields are encoded by position; their names would take two thirds of a
@@ -171,8 +171,8 @@
     },
 )
 _CONVERTER.register_structure_hook(
-    ProbeNews,
-    lambda values, _: ProbeNews(
+    ProbeUpdate,
+    lambda values, _: ProbeUpdate(
         _read_number(values[0]), _read_report(values[1])
     ),
 )
@@ -183,12 +183,12 @@
     return 40 + len(vm.name) + len(vm.zone) + len(vm.address)
 
 
-def probe_size(news: ProbeNews) -> int:
+def probe_size(news: ProbeUpdate) -> int:
     """Returns an upper bound on the encoded size of a probe, in bytes."""
     return 38 + len(news.report.endpoint)
 
 
-def room(sender: Vm, target: str, members: tuple[Vm, ...]) -> int:
+def remaining_bytes(sender: Vm, target: str, members: tuple[Vm, ...]) -> int:
     """Returns the bytes that remain for optional updates in a message.
 
     Args:
@@ -197,7 +197,7 @@
         members: Updates that the message must carry.
     """
     told = sum(map(member_size, members)) + member_size(sender)
-    return max(0, MOST_BODY_BYTES - _OVERHEAD_BYTES - len(target) - told)
+    return max(0, MAX_BODY_BYTES - _OVERHEAD_BYTES - len(target) - told)
 
 
 def encode(message: Gossip) -> bytes:
@@ -207,7 +207,7 @@
 
 def decode(data: bytes) -> Result[Gossip, EnvelopeFault]:
     """Returns the decoded and validated message, or why it is dropped."""
-    if len(data) > MOST_BODY_BYTES:
+    if len(data) > MAX_BODY_BYTES:
         return Err(EnvelopeFault.OVERSIZED)
     try:
         message = _CONVERTER.loads(data, Gossip)
@@ -258,7 +258,7 @@
     )
 
 
-def _is_valid_probe(news: ProbeNews) -> bool:
+def _is_valid_probe(news: ProbeUpdate) -> bool:
     report = news.report
     numbers = (
         report.service,
--- a/src/pollenmast/peers/_kinds.py
+++ b/src/pollenmast/peers/_kinds.py
@@ -3,7 +3,7 @@
 import enum
 
 
-class Kind(enum.IntEnum):
+class MessageType(enum.IntEnum):
     """The type of an envelope's body.
 
     All ports share one number space, so that an envelope captured on one port
@@ -23,29 +23,30 @@
     """Relay to relay: a caller's datagram, forwarded to its flow's owner or
     holder."""
 
-    ASK = 11
+    FLOW_LOOKUP = 11
     """Relay to relay: a datagram whose flow the sender does not know; the
     receiver handles it if it knows the flow."""
 
-    UNKNOWN = 12
-    """Relay to relay: returns the datagram of an ASK; its flow is unknown."""
+    FLOW_NOT_FOUND = 12
+    """Relay to relay: returns the datagram of a FLOW_LOOKUP; its flow is
+    unknown."""
 
     RECORDS = 13
-    """Relay to relay: a batch of flow records; see `RecordFlag`."""
+    """Relay to relay: a batch of flow records; see `RecordAction`."""
 
-    RECORDS_TAKEN = 14
+    RECORDS_ACK = 14
     """Relay to relay: acknowledges a batch of RECORDS."""
 
-    FOUND = 15
-    """Relay to relay: returns the datagram of an ASK or FIND, with the endpoint
-    of its flow."""
+    LOOKUP_RESULT = 15
+    """Relay to relay: returns the datagram of a FLOW_LOOKUP or
+    CONNECTION_ID_LOOKUP, with the endpoint of its flow."""
 
     CONNECTION_IDS = 16
     """Relay to relay: connection IDs and their endpoints, to store."""
 
-    FIND = 17
+    CONNECTION_ID_LOOKUP = 17
     """Relay to relay: a datagram whose connection ID the receiver looks up."""
 
-    NOT_FOUND = 18
-    """Relay to relay: returns the datagram of a FIND; its connection ID is
-    unknown."""
+    CONNECTION_ID_NOT_FOUND = 18
+    """Relay to relay: returns the datagram of a CONNECTION_ID_LOOKUP; its
+    connection ID is unknown."""
--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -17,7 +17,7 @@
 
 from pollenmast.counters import EnvelopeFault
 
-MOST_RECORDS = 64
+MAX_RECORDS_PER_MESSAGE = 64
 """Limit on the records of a message: 64 records of 15 bytes stay below a
 1,200-byte datagram."""
 
@@ -42,7 +42,7 @@
         ip: The caller's IP address.
         port: The caller's UDP port.
         endpoint: `endpoint_id` of the endpoint.
-        flags: One of the values of `RecordFlag`.
+        flags: One of the values of `RecordAction`.
     """
 
     service_port: int
@@ -57,22 +57,22 @@
         return (self.service_port, self.ip, self.port)
 
 
-class RecordFlag:
+class RecordAction:
     """The action that a record requests of its receiver."""
 
-    KEEP = 0
+    REPLICATE = 0
     """Store the record as a replica; the sender carries the flow."""
 
-    TAKE = 1
+    TAKE_OVER = 1
     """Take over the flow from the sender."""
 
-    FORGET = 2
+    DELETE = 2
     """Delete the replica; the flow has ended."""
 
     RELEASE = 3
     """Stop carrying the flow; the sender carries and owns it."""
 
-    CARRIED = 4
+    CLOSE_OLD_PATH = 4
     """Close the old path of a flow that was taken over; the upstream's answers
     now pass through the sender."""
 
@@ -95,12 +95,12 @@
     records: list[FlowRecord] = []
     offset = 0
     try:
-        while offset < len(body) and len(records) <= MOST_RECORDS:
+        while offset < len(body) and len(records) <= MAX_RECORDS_PER_MESSAGE:
             record, offset = _unpack_record(body, offset)
             records.append(record)
     except (struct.error, ValueError):
         return Err(EnvelopeFault.MALFORMED)
-    if offset != len(body) or len(records) > MOST_RECORDS:
+    if offset != len(body) or len(records) > MAX_RECORDS_PER_MESSAGE:
         return Err(EnvelopeFault.MALFORMED)
     return Ok(records)
 
@@ -140,9 +140,9 @@
         port: The caller's UDP port.
         hops: How many times the datagram has been forwarded.
         data: The datagram's payload.
-        asker: Number of the VM that looks up the flow, or 0.
-        next_asked: Number of the VM to ask next if the receiver does not know
-            the flow, or 0.
+        requester: Number of the VM that looks up the flow, or 0.
+        next_candidate: Number of the VM to ask next if the receiver does not
+            know the flow, or 0.
     """
 
     service_port: int
@@ -150,18 +150,18 @@
     port: int
     hops: int
     data: bytes
-    asker: int = 0
-    next_asked: int = 0
+    requester: int = 0
+    next_candidate: int = 0
 
 
 def pack_forwarded(forwarded: Forwarded) -> bytes:
-    """Returns the body of a FORWARD, ASK, UNKNOWN, FIND or NOT_FOUND."""
+    """Returns the body of a FORWARD, a lookup or its negative answer."""
     ip = pack_ip(forwarded.ip)
     fixed = _FORWARD.pack(
         forwarded.service_port,
         forwarded.hops,
-        forwarded.asker,
-        forwarded.next_asked,
+        forwarded.requester,
+        forwarded.next_candidate,
     )
     return b"".join(
         (
@@ -177,7 +177,7 @@
 def unpack_forwarded(body: bytes) -> Result[Forwarded, EnvelopeFault]:
     """Returns the datagram of a body, or why the body is dropped."""
     try:
-        service, hops, asker, next_asked = _FORWARD.unpack_from(body)
+        service, hops, requester, next_candidate = _FORWARD.unpack_from(body)
         offset = _FORWARD.size
         length = body[offset]
         offset += 1
@@ -187,11 +187,13 @@
     except (struct.error, ValueError, IndexError):
         return Err(EnvelopeFault.MALFORMED)
     data = body[offset + _PORT.size :]
-    return Ok(Forwarded(service, ip, port, hops, data, asker, next_asked))
+    return Ok(
+        Forwarded(service, ip, port, hops, data, requester, next_candidate)
+    )
 
 
 @attrs.frozen
-class Found:
+class LookupResult:
     """A datagram that is returned with the endpoint of its flow.
 
     Attributes:
@@ -206,19 +208,21 @@
     forwarded: Forwarded
 
 
-def pack_found(found: Found) -> bytes:
-    """Returns the body of a FOUND envelope."""
+def pack_found(found: LookupResult) -> bytes:
+    """Returns the body of a LOOKUP_RESULT envelope."""
     fixed = _FOUND.pack(found.endpoint, found.caller_moved)
     return fixed + pack_forwarded(found.forwarded)
 
 
-def unpack_found(body: bytes) -> Result[Found, EnvelopeFault]:
-    """Returns the content of a FOUND body, or why the body is dropped."""
+def unpack_found(body: bytes) -> Result[LookupResult, EnvelopeFault]:
+    """Returns the content of a LOOKUP_RESULT, or why it is dropped."""
     if len(body) < _FOUND.size:
         return Err(EnvelopeFault.MALFORMED)
     endpoint, caller_moved = _FOUND.unpack_from(body)
     forwarded = unpack_forwarded(body[_FOUND.size :])
-    return forwarded.map(lambda each: Found(endpoint, bool(caller_moved), each))
+    return forwarded.map(
+        lambda each: LookupResult(endpoint, bool(caller_moved), each)
+    )
 
 
 @attrs.frozen
--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -1,7 +1,7 @@
 """The relay's logic without I/O.
 
 Datagrams and the current time are passed in; datagrams go out through a
-`Wire`. This lets tests run whole fleets of relays in memory.
+`Transport`. This lets tests run whole fleets of relays in memory.
 """
 
 import random
@@ -10,18 +10,18 @@
 from pollenmast import manifest as manifests
 from pollenmast.callers import (
     LONG_HEADER,
-    read_packet,
-    unfit,
-    without_early_data,
+    find_drop_reason,
+    parse_packet,
+    zero_early_data,
 )
 from pollenmast.decisions import Dispatcher
 from pollenmast.decisions._fleet import Fleet
 from pollenmast.peers import _messages as messages
 from pollenmast.peers._envelope import Opener, Sealer
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import endpoint_id
-from pollenmast.relay._custody import Custody
-from pollenmast.relay._directory import Directory
+from pollenmast.relay._custody import RecordExchange
+from pollenmast.relay._directory import ConnectionIdDirectory
 from pollenmast.relay._endpoint_loads import EndpointLoads
 from pollenmast.relay._flows import TICKS_PER_S, Flow, FlowState, Listener
 from pollenmast.relay._forwarder import FlowForwarder, IncomingDatagram
@@ -30,8 +30,8 @@
 from pollenmast.relay._peer_sender import PeerSender
 from pollenmast.relay._readiness import Readiness
 from pollenmast.relay._routing import Routing
-from pollenmast.relay._table import FlowTable, Wire
-from pollenmast.relay._upkeep import Upkeep
+from pollenmast.relay._table import FlowTable, Transport
+from pollenmast.relay._upkeep import FlowMaintenance
 from pollenmast.settings import Settings
 
 DRAINING_RETRY_AFTER_MS = 500
@@ -47,14 +47,14 @@
     def __init__(
         self,
         settings: Settings,
-        wire: Wire,
+        transport: Transport,
         rng: random.Random,
         now: float,
     ):
         self.tick_now = int(now * TICKS_PER_S)
         self.counters = c.Counters()
         self._fleet = Fleet(settings.vm.name, settings.vm.zone)
-        self._table = FlowTable(wire, settings.relay.most_flows)
+        self._table = FlowTable(transport, settings.relay.most_flows)
         self._dispatcher = Dispatcher(settings.vm.zone, rng)
         self._history = History()
         self._openings = Openings(
@@ -63,29 +63,29 @@
         key = settings.fleet.key
         self._opener = Opener(key, settings.fleet.previous_key)
         peer_sender = PeerSender(
-            self._fleet, wire, Sealer(settings.vm.name, key), self.counters
+            self._fleet, transport, Sealer(settings.vm.name, key), self.counters
         )
         age_s = settings.relay.replicate_after_s
         budget = settings.relay.replication_bytes_per_s
-        self._custody = Custody(
+        self._record_exchange = RecordExchange(
             self._fleet, self, peer_sender, budget, self.counters
         )
-        self._directory = Directory(
+        self._connection_ids = ConnectionIdDirectory(
             self._fleet, self, peer_sender, age_s, self.counters
         )
         self._routing = Routing(
             self._fleet,
             self,
-            self._custody,
-            self._directory,
+            self._record_exchange,
+            self._connection_ids,
             peer_sender,
             self.counters,
         )
-        self._upkeep = Upkeep(
+        self._maintenance = FlowMaintenance(
             settings.relay,
             self._table,
             self._fleet,
-            self._custody,
+            self._record_exchange,
             self._dispatcher,
             self.counters,
         )
@@ -94,15 +94,17 @@
         self._loads = EndpointLoads(self._table, self._dispatcher)
         self._draining = False
         self._handlers = {
-            Kind.FORWARD: self._routing.on_forward,
-            Kind.ASK: self._routing.on_ask,
-            Kind.UNKNOWN: self._routing.on_unknown,
-            Kind.FIND: self._routing.on_find,
-            Kind.FOUND: self._routing.on_found,
-            Kind.NOT_FOUND: self._routing.on_not_found,
-            Kind.CONNECTION_IDS: self._directory.on_entries,
-            Kind.RECORDS: self._custody.on_records,
-            Kind.RECORDS_TAKEN: self._custody.on_records_acknowledged,
+            MessageType.FORWARD: self._routing.on_forward,
+            MessageType.FLOW_LOOKUP: self._routing.on_ask,
+            MessageType.FLOW_NOT_FOUND: self._routing.on_unknown,
+            MessageType.CONNECTION_ID_LOOKUP: self._routing.on_find,
+            MessageType.LOOKUP_RESULT: self._routing.on_found,
+            MessageType.CONNECTION_ID_NOT_FOUND: self._routing.on_not_found,
+            MessageType.CONNECTION_IDS: self._connection_ids.on_entries,
+            MessageType.RECORDS: self._record_exchange.on_records,
+            MessageType.RECORDS_ACK: (
+                self._record_exchange.on_records_acknowledged
+            ),
         }
 
     @property
@@ -116,14 +118,14 @@
         return self._fleet
 
     @property
-    def custody(self) -> Custody:
+    def record_exchange(self) -> RecordExchange:
         """The flow records exchanged with other relays."""
-        return self._custody
+        return self._record_exchange
 
     @property
-    def directory(self) -> Directory:
+    def connection_ids(self) -> ConnectionIdDirectory:
         """The connection ids stored on this VM."""
-        return self._directory
+        return self._connection_ids
 
     @property
     def openings(self) -> Openings:
@@ -140,7 +142,7 @@
         return (
             self._draining
             and self._table.flows == 0
-            and self._custody.outbox.idle
+            and self._record_exchange.outbox.idle
         )
 
     # Datagrams from callers.
@@ -193,11 +195,11 @@
             The datagram, or None if it is not a valid packet and was dropped
             and counted.
         """
-        packet = read_packet(data)
+        packet = parse_packet(data)
         if packet.is_err():
             self.counters.add(c.DROPS, packet.unwrap_err())
             return None
-        reason = unfit(packet.unwrap().type, len(data))
+        reason = find_drop_reason(packet.unwrap().type, len(data))
         if reason is not None:
             self.counters.add(c.DROPS, reason)
             return None
@@ -219,7 +221,7 @@
             opening = self._openings.find(flow.listener, flow.caller)
             if opening is not None:
                 self._openings.add_datagram(opening, data, early, now)
-        flow.heard = self.tick_now
+        flow.received_tick = self.tick_now
         flow.unanswered += 1
         flow.path.send(data, flow.target.address)
 
@@ -227,7 +229,7 @@
         self, idempotent: bool, data: bytes
     ) -> tuple[bytes, bool]:
         """Returns what may be forwarded, and whether it contains 0-RTT."""
-        stripped, found = without_early_data(data)
+        stripped, found = zero_early_data(data)
         if not found:
             return data, False
         if idempotent:
@@ -241,12 +243,12 @@
         """Handles the first datagram from the upstream on this path."""
         if flow.state is FlowState.OPENING:
             self._openings.on_answered(flow, now)
-            self._directory.read_connection_id(flow, data)
-        elif flow.state in (FlowState.ADOPTED, FlowState.GUESSED):
-            self._custody.release_previous_relay(flow)
-        if flow.state is not FlowState.MOVED:
-            flow.state = FlowState.CARRIED
-            self._custody.replicate_to_owner(flow)
+            self._connection_ids.read_connection_id(flow, data)
+        elif flow.state in (FlowState.ADOPTED, FlowState.UNCONFIRMED):
+            self._record_exchange.release_previous_relay(flow)
+        if flow.state is not FlowState.HANDED_OVER:
+            flow.state = FlowState.ESTABLISHED
+            self._record_exchange.replicate_to_owner(flow)
 
     def on_peer(self, data: bytes, now: float) -> None:
         """Handles a sealed envelope from another relay."""
@@ -256,12 +258,12 @@
             return
         envelope = opened.unwrap()
         handler = self._handlers.get(envelope.kind)
-        if handler is None or envelope.sender == self._fleet.me.number:
+        if handler is None or envelope.sender == self._fleet.local.number:
             self.counters.add(c.ENVELOPE_FAULTS, c.EnvelopeFault.MALFORMED)
             return
         handler(envelope, now)
 
-    # The interface used by routing, custody and directory.
+    # The interface used by routing, record exchange and directory.
 
     def open(self, datagram: IncomingDatagram, now: float) -> None:
         """Places, holds or refuses a new flow."""
@@ -283,18 +285,20 @@
             return
         self.counters.add(c.DROPS, c.DropReason.NO_OWNER)
 
-    def guess(self, datagram: IncomingDatagram, now: float) -> None:
+    def forward_to_default(
+        self, datagram: IncomingDatagram, now: float
+    ) -> None:
         """Forwards an unknown flow in progress to its default endpoint."""
         number = datagram.listener.service.number
         name = self._dispatcher.default_endpoint(number, datagram.key)
-        if name is None or not self._table.may_guess(datagram.listener):
+        if name is None or not self._table.may_use_default(datagram.listener):
             self.counters.add(c.DROPS, c.DropReason.UNKNOWN_FLOW)
             return
         flow = self._adopt(
             datagram.listener,
             datagram.caller,
             endpoint_id(number, name),
-            FlowState.GUESSED,
+            FlowState.UNCONFIRMED,
             now,
         )
         if flow is None:
@@ -338,19 +342,19 @@
         )
         if flow is not None:
             flow.off_default = state is FlowState.ADOPTED
-            self._dispatcher.adopt(target.service, target.name)
+            self._dispatcher.on_taken_over(target.service, target.name)
         return flow
 
-    def let_go(self, flow: Flow, now: float) -> None:
+    def release(self, flow: Flow, now: float) -> None:
         """Leaves a flow to another relay.
 
         Late answers on the old path are still forwarded to the caller.
         """
         target = flow.target
-        self._directory.publish(flow)
+        self._connection_ids.publish(flow)
         self._dispatcher.on_flow_ended(target.service, target.name, now)
-        self._table.let_go(flow)
-        flow.heard = self.tick_now
+        self._table.release(flow)
+        flow.received_tick = self.tick_now
 
     # Input from the agent and the clock.
 
@@ -367,7 +371,7 @@
             # While this relay's view was stale, other VMs may have opened
             # flows that it owns. Opened a second time here, these flows could
             # reach an endpoint without their handshake state and hang.
-            self._fleet.note_absence(now)
+            self._fleet.record_absence(now)
 
     def _take_manifest(self, data: bytes, now: float) -> None:
         parsed = manifests.parse(data)
@@ -380,7 +384,7 @@
             return
         self._manifest = manifest
         self._dispatcher.set_manifest(manifest, now)
-        self._upkeep.on_manifest()
+        self._maintenance.on_manifest()
         self.counters.add(c.MANIFESTS, c.ManifestOutcome.ACCEPTED)
         self._table.set_manifest(manifest, now)
 
@@ -388,17 +392,17 @@
         """Starts a drain: opens no new flows and hands over all others."""
         if not self._draining:
             self._draining = True
-            self._upkeep.drain()
-            self._directory.drain()
+            self._maintenance.drain()
+            self._connection_ids.drain()
 
     def tick(self, now: float) -> None:
         """Runs all timed work; called every 20 ms."""
         self._readiness.on_tick(now)
         self.tick_now = int(now * TICKS_PER_S)
         self._openings.tick(now)
-        self._upkeep.tick(now, self.tick_now)
-        self._custody.tick(now, urgent=self._draining)
-        self._directory.tick(self.tick_now)
+        self._maintenance.tick(now, self.tick_now)
+        self._record_exchange.tick(now, urgent=self._draining)
+        self._connection_ids.tick(self.tick_now)
 
     def report(self, now: float) -> messages.RelayReport:
         """Returns the report that is sent to the agent twice a second."""
@@ -411,7 +415,7 @@
             drained=self.drained(),
             flows=self._table.flows - self._table.moved,
             held=self._openings.held,
-            replicas=len(self._custody.replicas),
+            replicas=len(self._record_exchange.replicas),
             counters=tuple(
                 messages.CounterValue(*item) for item in self.counters.items()
             ),
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -2,11 +2,11 @@
 
 from pollenmast import counters as c
 from pollenmast.decisions._fleet import Fleet
-from pollenmast.peers._envelope import Opened
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._envelope import OpenedEnvelope
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     FlowRecord,
-    RecordFlag,
+    RecordAction,
     unpack_records,
 )
 from pollenmast.relay._flows import Flow, FlowState
@@ -26,7 +26,7 @@
 """
 
 
-class Custody:
+class RecordExchange:
     """The flow records that this relay stores, sends and takes over."""
 
     def __init__(
@@ -63,11 +63,11 @@
             flow: The flow.
             backup: Number of the VM to store the record, 0 for none.
         """
-        if flow.backup and self._fleet.carries(flow.backup):
-            self._outbox.add(flow.backup, record_of(flow, RecordFlag.FORGET))
+        if flow.backup and self._fleet.has_relay(flow.backup):
+            self._outbox.add(flow.backup, record_of(flow, RecordAction.DELETE))
         flow.backup = backup
         if backup:
-            self._outbox.add(backup, record_of(flow, RecordFlag.KEEP))
+            self._outbox.add(backup, record_of(flow, RecordAction.REPLICATE))
 
     def replicate_to_owner(self, flow: Flow) -> None:
         """Sends the record of a flow owned by another VM to that VM.
@@ -80,21 +80,21 @@
         if not self._fleet.owns(flow.key):
             self.replicate(flow, self._fleet.backup(flow.key))
 
-    def replicate_to_asker(self, flow: Flow, asker: int) -> None:
+    def replicate_to_requester(self, flow: Flow, requester: int) -> None:
         """Stores the record on a VM that asked for it, so that it asks once."""
-        if flow.backup != asker and asker:
-            self.replicate(flow, asker)
+        if flow.backup != requester and requester:
+            self.replicate(flow, requester)
 
     def delete_record(self, flow: Flow) -> None:
         """Deletes the record of an ended flow from its backup VM."""
         self._previous_relays.pop(flow, None)
         if flow.backup:
-            self._outbox.add(flow.backup, record_of(flow, RecordFlag.FORGET))
+            self._outbox.add(flow.backup, record_of(flow, RecordAction.DELETE))
             flow.backup = 0
 
     def hand_over(self, flow: Flow, owner: int) -> None:
         """Asks the new owner to take over the flow, unless already asked."""
-        record = record_of(flow, RecordFlag.TAKE)
+        record = record_of(flow, RecordAction.TAKE_OVER)
         if self._handover_targets.get(record.key) == owner:
             return
         if self._outbox.add(owner, record):
@@ -111,13 +111,13 @@
         """
         undelivered: list[FlowRecord] = []
         for vm in self._outbox.destinations():
-            if not self._fleet.carries(vm):
+            if not self._fleet.has_relay(vm):
                 undelivered.extend(self._outbox.drop_vm(vm))
         undelivered.extend(self._outbox.flush(now, urgent))
         for record in undelivered:
             self._handover_targets.pop(record.key, None)
             flow = self._flow(record)
-            if flow is not None and record.flags == RecordFlag.KEEP:
+            if flow is not None and record.flags == RecordAction.REPLICATE:
                 flow.backup = 0
 
     def release_previous_relay(self, flow: Flow) -> None:
@@ -125,10 +125,10 @@
         previous_relay = self._previous_relays.pop(flow, None)
         if previous_relay is not None:
             self._outbox.add(
-                previous_relay, record_of(flow, RecordFlag.CARRIED)
+                previous_relay, record_of(flow, RecordAction.CLOSE_OLD_PATH)
             )
 
-    def on_records(self, opened: Opened, now: float) -> None:
+    def on_records(self, opened: OpenedEnvelope, now: float) -> None:
         """Applies a batch of records and acknowledges it."""
         number, body = split_batch(opened.body)
         records = unpack_records(body)
@@ -140,21 +140,21 @@
         self._counters.add(
             c.CONTROL_BYTES, "replication", ACKNOWLEDGEMENT_BYTES
         )
-        self._peer_sender.send(opened.sender, Kind.RECORDS_TAKEN, number)
+        self._peer_sender.send(opened.sender, MessageType.RECORDS_ACK, number)
 
     def _apply_record(
         self, record: FlowRecord, sender: int, now: float
     ) -> None:
         flow = self._discard_guess(self._flow(record), now)
-        if record.flags == RecordFlag.FORGET:
+        if record.flags == RecordAction.DELETE:
             self._replicas.forget(record, sender)
-        elif record.flags == RecordFlag.RELEASE:
+        elif record.flags == RecordAction.RELEASE:
             self._release(flow, record, sender, now)
-        elif record.flags == RecordFlag.CARRIED:
+        elif record.flags == RecordAction.CLOSE_OLD_PATH:
             self._forwarder.table.end_moved(record, now)
         elif flow is not None:
             self._resolve_second_holder(flow, record, sender, now)
-        elif record.flags == RecordFlag.TAKE:
+        elif record.flags == RecordAction.TAKE_OVER:
             self._take_over(record, sender, now)
         else:
             self._replicas.keep(record, sender)
@@ -168,7 +168,7 @@
         Returns:
             The flow, or None if there is none or it was only guessed.
         """
-        if flow is not None and flow.state is FlowState.GUESSED:
+        if flow is not None and flow.state is FlowState.UNCONFIRMED:
             self._forwarder.table.end(flow, now)
             return None
         return flow
@@ -191,7 +191,7 @@
     def _add_previous_relay(self, flow: Flow, sender: int) -> None:
         if len(self._previous_relays) < MAX_PREVIOUS_RELAYS:
             self._previous_relays[flow] = sender
-        if flow.state is FlowState.CARRIED:
+        if flow.state is FlowState.ESTABLISHED:
             self.release_previous_relay(flow)
 
     def _resolve_second_holder(
@@ -204,14 +204,14 @@
         them and the caller would see stalls. The flow's owner keeps it; the
         other relay still forwards late answers until its path is silent.
         """
-        if record.flags == RecordFlag.TAKE:
+        if record.flags == RecordAction.TAKE_OVER:
             self._add_previous_relay(flow, sender)
             return
         owner = self._fleet.owner(flow.key)
         if owner is not None and owner.number == sender:
             self._release(flow, record, sender, now)
             return
-        self._outbox.add(sender, record_of(flow, RecordFlag.RELEASE))
+        self._outbox.add(sender, record_of(flow, RecordAction.RELEASE))
 
     def _release(
         self, flow: Flow | None, record: FlowRecord, sender: int, now: float
@@ -219,12 +219,14 @@
         self._replicas.keep(record, sender)
         if flow is not None:
             self._previous_relays.pop(flow, None)
-            self._forwarder.let_go(flow, now)
+            self._forwarder.release(flow, now)
 
-    def on_records_acknowledged(self, opened: Opened, now: float) -> None:
+    def on_records_acknowledged(
+        self, opened: OpenedEnvelope, now: float
+    ) -> None:
         """Handles a batch's acknowledgement; releases handed-over flows."""
         for record in self._outbox.pop_acknowledged(opened.body):
-            if record.flags != RecordFlag.TAKE:
+            if record.flags != RecordAction.TAKE_OVER:
                 continue
             self._handover_targets.pop(record.key, None)
             flow = self._flow(record)
@@ -239,7 +241,7 @@
         return listener.flows.get((record.ip, record.port))
 
     def _send_records(self, vm: int, body: bytes) -> None:
-        self._peer_sender.send(vm, Kind.RECORDS, body)
+        self._peer_sender.send(vm, MessageType.RECORDS, body)
 
 
 def record_of(flow: Flow, flag: int) -> FlowRecord:
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -21,17 +21,17 @@
 import struct
 
 from pollenmast import counters as c
-from pollenmast.callers import PacketType, read_packet
+from pollenmast.callers import PacketType, parse_packet
 from pollenmast.decisions._fleet import Fleet
 from pollenmast.decisions._ownership import connection_id_hash
 from pollenmast.manifest import ServiceKind
-from pollenmast.peers._envelope import Opened
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._envelope import OpenedEnvelope
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
-    MOST_RECORDS,
+    MAX_RECORDS_PER_MESSAGE,
     ConnectionId,
     Forwarded,
-    Found,
+    LookupResult,
     pack_connection_ids,
     pack_forwarded,
     pack_found,
@@ -67,7 +67,7 @@
 _CID = struct.Struct("!Q")
 
 
-class Directory:
+class ConnectionIdDirectory:
     """The connection ids stored on this VM, and the lookup of others."""
 
     def __init__(
@@ -96,7 +96,7 @@
         """Reads the connection id in an endpoint's first answer."""
         if flow.listener.service.kind is not ServiceKind.SESSION:
             return
-        packet = read_packet(data)
+        packet = parse_packet(data)
         if packet.is_err() or packet.unwrap().type is PacketType.SHORT:
             return
         cid = packet.unwrap().source_cid
@@ -128,23 +128,23 @@
         if tick - self._last_scan < SCAN_INTERVAL_TICKS:
             return
         self._last_scan = tick
-        if self._draining and self._fleet.me not in self._fleet.owners:
+        if self._draining and self._fleet.local not in self._fleet.owners:
             self._hand_over()
         for flow in list(self._unpublished):
-            if flow.heard - flow.opened >= self._publish_after:
+            if flow.received_tick - flow.opened_tick >= self._publish_after:
                 self.publish(flow)
-            elif tick - flow.opened > UNPUBLISHED_EXPIRY_TICKS:
+            elif tick - flow.opened_tick > UNPUBLISHED_EXPIRY_TICKS:
                 del self._unpublished[flow]
         self._send()
 
     def _send(self) -> None:
         for vm, entries in self._outgoing.items():
-            for start in range(0, len(entries), MOST_RECORDS):
+            for start in range(0, len(entries), MAX_RECORDS_PER_MESSAGE):
                 body = pack_connection_ids(
-                    entries[start : start + MOST_RECORDS]
+                    entries[start : start + MAX_RECORDS_PER_MESSAGE]
                 )
                 self._counters.add(c.CONTROL_BYTES, "replication", len(body))
-                self._peer_sender.send(vm, Kind.CONNECTION_IDS, body)
+                self._peer_sender.send(vm, MessageType.CONNECTION_IDS, body)
         self._outgoing = {}
 
     def search(self, datagram: IncomingDatagram, now: float) -> bool:
@@ -165,7 +165,7 @@
         endpoint = self._entries.get((service_port, cid))
         if endpoint is not None:
             return self._adopt_moved_caller(datagram, endpoint, now)
-        asked = self._remote_keepers(service_port, cid)
+        asked = self._remote_holders(service_port, cid)
         if not asked:
             return False
         ip, port = datagram.caller
@@ -175,14 +175,18 @@
             port,
             1,
             datagram.data,
-            self._fleet.me.number,
+            self._fleet.local.number,
             asked[1] if len(asked) > 1 else 0,
         )
         self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
-        self._peer_sender.send(asked[0], Kind.FIND, pack_forwarded(forwarded))
+        self._peer_sender.send(
+            asked[0],
+            MessageType.CONNECTION_ID_LOOKUP,
+            pack_forwarded(forwarded),
+        )
         return True
 
-    def on_entries(self, opened: Opened, now: float) -> None:
+    def on_entries(self, opened: OpenedEnvelope, now: float) -> None:
         """Stores connection ids that another relay has published."""
         del now
         entries = unpack_connection_ids(opened.body)
@@ -196,11 +200,13 @@
         """Answers a query for a connection id, or forwards it."""
         cid = _read_cid(forwarded.data)
         endpoint = self._entries.get((forwarded.service_port, cid))
-        next_vm = forwarded.next_asked
+        next_vm = forwarded.next_candidate
         if endpoint is not None:
-            found = pack_found(Found(endpoint, True, forwarded))
-            self._peer_sender.send(forwarded.asker, Kind.FOUND, found)
-        elif next_vm and self._fleet.carries(next_vm):
+            found = pack_found(LookupResult(endpoint, True, forwarded))
+            self._peer_sender.send(
+                forwarded.requester, MessageType.LOOKUP_RESULT, found
+            )
+        elif next_vm and self._fleet.has_relay(next_vm):
             body = pack_forwarded(
                 Forwarded(
                     forwarded.service_port,
@@ -208,13 +214,17 @@
                     forwarded.port,
                     forwarded.hops,
                     forwarded.data,
-                    forwarded.asker,
+                    forwarded.requester,
                 )
             )
-            self._peer_sender.send(next_vm, Kind.FIND, body)
+            self._peer_sender.send(
+                next_vm, MessageType.CONNECTION_ID_LOOKUP, body
+            )
         else:
             body = pack_forwarded(forwarded)
-            self._peer_sender.send(forwarded.asker, Kind.NOT_FOUND, body)
+            self._peer_sender.send(
+                forwarded.requester, MessageType.CONNECTION_ID_NOT_FOUND, body
+            )
 
     def _adopt_moved_caller(
         self, datagram: IncomingDatagram, endpoint: int, now: float
@@ -233,11 +243,11 @@
 
     def _distribute(self, entry: ConnectionId) -> None:
         key = connection_id_hash(entry.service_port, entry.cid)
-        for keeper in self._fleet.keepers(key):
-            if keeper == self._fleet.me.number:
+        for holder in self._fleet.connection_id_holders(key):
+            if holder == self._fleet.local.number:
                 self._store(entry)
             else:
-                self._outgoing.setdefault(keeper, []).append(entry)
+                self._outgoing.setdefault(holder, []).append(entry)
 
     def _store(self, entry: ConnectionId) -> None:
         key = (entry.service_port, entry.cid)
@@ -245,9 +255,13 @@
             del self._entries[next(iter(self._entries))]
         self._entries[key] = entry.endpoint
 
-    def _remote_keepers(self, service_port: int, cid: int) -> list[int]:
-        keepers = self._fleet.keepers(connection_id_hash(service_port, cid))
-        return [number for number in keepers if number != self._fleet.me.number]
+    def _remote_holders(self, service_port: int, cid: int) -> list[int]:
+        holders = self._fleet.connection_id_holders(
+            connection_id_hash(service_port, cid)
+        )
+        return [
+            number for number in holders if number != self._fleet.local.number
+        ]
 
 
 def _cid_of(datagram: IncomingDatagram) -> int | None:
--- a/src/pollenmast/relay/_flows.py
+++ b/src/pollenmast/relay/_flows.py
@@ -26,16 +26,16 @@
     OPENING = 0
     """Its first packets were sent; the upstream has not answered yet."""
 
-    CARRIED = 1
+    ESTABLISHED = 1
     """The upstream has answered."""
 
     ADOPTED = 2
     """Taken over; the upstream has not answered on the new path yet."""
 
-    MOVED = 3
+    HANDED_OVER = 3
     """Another relay forwards it; this one forwards only late answers."""
 
-    GUESSED = 4
+    UNCONFIRMED = 4
     """Known to no VM; tried at the default endpoint of its key."""
 
 
@@ -50,13 +50,13 @@
         address: The IP address and port that its packets are sent to.
         serving: Whether the manifest allows new flows to it.
         flows: Number of flows that this relay forwards to it.
-        answered: Tick of its latest answer to any flow.
+        answered_tick: Tick of its latest answer to any flow.
         paths: Chooses the path of each flow to it.
     """
 
     __slots__ = (
         "address",
-        "answered",
+        "answered_tick",
         "flows",
         "idempotent",
         "name",
@@ -81,7 +81,7 @@
         self.serving = True
         self.idempotent = False
         self.flows = 0
-        self.answered = 0
+        self.answered_tick = 0
         self.paths = PathChooser(pool, address)
 
 
@@ -117,10 +117,10 @@
         target: The endpoint.
         path: The local port towards the endpoint.
         state: The flow's life-cycle state.
-        opened: Tick of its first packet at this relay.
-        heard: Tick of the caller's latest packet, or of the hand-over to
-            another relay.
-        answered: Tick of the upstream's latest packet, or of the latest
+        opened_tick: Tick of its first packet at this relay.
+        received_tick: Tick of the caller's latest packet, or of the hand-over
+            to another relay.
+        answered_tick: Tick of the upstream's latest packet, or of the latest
             change of path.
         unanswered: Number of the caller's packets since the upstream's latest.
         backup: Number of the VM that stores its record, 0 for none.
@@ -128,13 +128,13 @@
     """
 
     __slots__ = (
-        "answered",
+        "answered_tick",
         "backup",
         "caller",
-        "heard",
+        "received_tick",
         "listener",
         "off_default",
-        "opened",
+        "opened_tick",
         "path",
         "state",
         "target",
@@ -154,9 +154,9 @@
         self.target = target
         self.path: Path | None = None
         self.state = state
-        self.opened = tick
-        self.heard = tick
-        self.answered = tick
+        self.opened_tick = tick
+        self.received_tick = tick
+        self.answered_tick = tick
         self.unanswered = 0
         self.backup = 0
         self.off_default = False
--- a/src/pollenmast/relay/_forwarder.py
+++ b/src/pollenmast/relay/_forwarder.py
@@ -1,4 +1,4 @@
-"""The interface of the relay core that routing and custody depend on."""
+"""The interface of the relay core used by routing and record exchange."""
 
 import abc
 
@@ -90,7 +90,9 @@
         """Places, holds or refuses a new flow."""
 
     @abc.abstractmethod
-    def guess(self, datagram: IncomingDatagram, now: float) -> None:
+    def forward_to_default(
+        self, datagram: IncomingDatagram, now: float
+    ) -> None:
         """Forwards an unknown flow in progress to its default endpoint."""
 
     @abc.abstractmethod
@@ -109,7 +111,7 @@
         """Takes over a flow; returns None if it cannot be forwarded here."""
 
     @abc.abstractmethod
-    def let_go(self, flow: Flow, now: float) -> None:
+    def release(self, flow: Flow, now: float) -> None:
         """Leaves a flow to another relay.
 
         Late answers on the old path are still forwarded to the caller.
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -15,18 +15,18 @@
 from pollenmast.decisions._fleet import Fleet
 from pollenmast.decisions._ownership import Member
 from pollenmast.decisions._token_bucket import TokenBucket
-from pollenmast.peers._envelope import Opened
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._envelope import OpenedEnvelope
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
     Forwarded,
-    Found,
+    LookupResult,
     pack_forwarded,
     pack_found,
     unpack_forwarded,
     unpack_found,
 )
-from pollenmast.relay._custody import Custody
-from pollenmast.relay._directory import Directory
+from pollenmast.relay._custody import RecordExchange
+from pollenmast.relay._directory import ConnectionIdDirectory
 from pollenmast.relay._forwarder import FlowForwarder, IncomingDatagram
 from pollenmast.relay._peer_sender import PeerSender
 from pollenmast.relay._replicas import Replica
@@ -65,22 +65,22 @@
         self,
         fleet: Fleet,
         forwarder: FlowForwarder,
-        custody: Custody,
-        directory: Directory,
+        record_exchange: RecordExchange,
+        connection_ids: ConnectionIdDirectory,
         peer_sender: PeerSender,
         counters: c.Counters,
     ):
         self._fleet = fleet
         self._forwarder = forwarder
-        self._custody = custody
-        self._directory = directory
+        self._record_exchange = record_exchange
+        self._connection_ids = connection_ids
         self._query_budget = TokenBucket(QUERIES_PER_S, QUERIES_PER_S)
         self._peer_sender = peer_sender
         self._counters = counters
 
     def route(self, datagram: IncomingDatagram, now: float) -> None:
         """Sends a datagram to its flow's relay, or handles it here."""
-        replica = self._custody.replicas.find(
+        replica = self._record_exchange.replicas.find(
             datagram.listener.service.port, datagram.caller
         )
         if replica is not None and self._route_by_replica(
@@ -92,7 +92,7 @@
             self._forwarder.on_no_owner(datagram, now)
         elif self._owned_but_not_ready(owner, datagram, now):
             self._forward_to_successor(datagram, now)
-        elif owner.number in (self._fleet.me.number, datagram.previous_hop):
+        elif owner.number in (self._fleet.local.number, datagram.previous_hop):
             self._handle_as_owner(datagram, now)
         else:
             self._forward(owner.number, datagram, c.ForwardReason.OWNER)
@@ -101,7 +101,7 @@
         self, owner: Member, datagram: IncomingDatagram, now: float
     ) -> bool:
         """Returns whether this VM owns a new flow but may not open it."""
-        own = owner.number == self._fleet.me.number
+        own = owner.number == self._fleet.local.number
         return own and datagram.is_initial and not self._forwarder.ready(now)
 
     def _forward_to_successor(
@@ -127,7 +127,7 @@
         self, replica: Replica, datagram: IncomingDatagram, now: float
     ) -> bool:
         """Forwards a datagram to its holder, or adopts a dead holder's flow."""
-        if self._fleet.carries(replica.holder):
+        if self._fleet.has_relay(replica.holder):
             if replica.holder == datagram.previous_hop:
                 return False
             self._forward(replica.holder, datagram, c.ForwardReason.HOLDER)
@@ -149,7 +149,7 @@
         if flow is None:
             return False
         port = datagram.listener.service.port
-        self._custody.replicas.drop(port, datagram.caller)
+        self._record_exchange.replicas.drop(port, datagram.caller)
         self._forwarder.forward_to_upstream(flow, datagram.data, now)
         return True
 
@@ -160,7 +160,9 @@
             return
         # The VM that forwarded the packet is not queried: it does not know the
         # flow, or has no relay.
-        asked = self._fleet.asked(datagram.key, but=datagram.previous_hop)
+        asked = self._fleet.lookup_targets(
+            datagram.key, excluded=datagram.previous_hop
+        )
         if asked and not self._query_budget.take(now):
             self._counters.add(c.DROPS, c.DropReason.UNKNOWN_FLOW)
             return
@@ -170,11 +172,13 @@
         forwarded = _forwarded(
             datagram,
             hops=1,
-            asker=self._fleet.me.number,
-            next_asked=asked[1] if len(asked) > 1 else 0,
+            requester=self._fleet.local.number,
+            next_candidate=asked[1] if len(asked) > 1 else 0,
         )
         self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
-        self._peer_sender.send(asked[0], Kind.ASK, pack_forwarded(forwarded))
+        self._peer_sender.send(
+            asked[0], MessageType.FLOW_LOOKUP, pack_forwarded(forwarded)
+        )
 
     def _handle_unknown_flow(
         self, datagram: IncomingDatagram, now: float
@@ -182,8 +186,8 @@
         """Handles a flow known to no VM, being new or lost with its holder."""
         if datagram.is_initial:
             self._forwarder.open(datagram, now)
-        elif not self._directory.search(datagram, now):
-            self._forwarder.guess(datagram, now)
+        elif not self._connection_ids.search(datagram, now):
+            self._forwarder.forward_to_default(datagram, now)
 
     def _forward(
         self, vm: int, datagram: IncomingDatagram, reason: c.ForwardReason
@@ -193,18 +197,18 @@
             return
         self._counters.add(c.FORWARDS, reason)
         body = pack_forwarded(_forwarded(datagram, hops=datagram.hops + 1))
-        self._peer_sender.send(vm, Kind.FORWARD, body)
+        self._peer_sender.send(vm, MessageType.FORWARD, body)
 
-    def on_forward(self, opened: Opened, now: float) -> None:
+    def on_forward(self, opened: OpenedEnvelope, now: float) -> None:
         """Handles a datagram that another relay forwarded."""
         # If an agent forwarded it in place of its relay, nothing may be sent
         # back to that VM. This VM may not know yet that the relay is gone.
-        previous_hop = self._fleet.vm_behind(opened.sender)
+        previous_hop = self._fleet.sending_vm(opened.sender)
         datagram = self._read(self._unpack(opened), previous_hop)
         if datagram is not None:
             self._forwarder.on_datagram(datagram, now)
 
-    def on_ask(self, opened: Opened, now: float) -> None:
+    def on_ask(self, opened: OpenedEnvelope, now: float) -> None:
         """Forwards a queried datagram to its flow, or queries the next VM."""
         forwarded = self._unpack(opened)
         if forwarded is None:
@@ -214,9 +218,13 @@
         flow = listener.flows.get(caller) if listener else None
         if flow is not None:
             self._forwarder.forward_to_upstream(flow, forwarded.data, now)
-            self._custody.replicate_to_asker(flow, forwarded.asker)
+            self._record_exchange.replicate_to_requester(
+                flow, forwarded.requester
+            )
             return
-        replica = self._custody.replicas.find(forwarded.service_port, caller)
+        replica = self._record_exchange.replicas.find(
+            forwarded.service_port, caller
+        )
         if replica is not None:
             self._answer_from_replica(replica, forwarded)
             return
@@ -226,39 +234,45 @@
         self, replica: Replica, forwarded: Forwarded
     ) -> None:
         # A holder that queries has lost the flow: its relay was restarted.
-        lost = replica.holder == forwarded.asker
-        if self._fleet.carries(replica.holder) and not lost:
-            passed = attrs.evolve(forwarded, asker=0, next_asked=0, hops=2)
+        lost = replica.holder == forwarded.requester
+        if self._fleet.has_relay(replica.holder) and not lost:
+            passed = attrs.evolve(
+                forwarded, requester=0, next_candidate=0, hops=2
+            )
             self._counters.add(c.FORWARDS, c.ForwardReason.HOLDER)
             body = pack_forwarded(passed)
-            self._peer_sender.send(replica.holder, Kind.FORWARD, body)
+            self._peer_sender.send(replica.holder, MessageType.FORWARD, body)
             return
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
-        found = pack_found(Found(replica.endpoint, False, forwarded))
-        self._peer_sender.send(forwarded.asker, Kind.FOUND, found)
+        found = pack_found(LookupResult(replica.endpoint, False, forwarded))
+        self._peer_sender.send(
+            forwarded.requester, MessageType.LOOKUP_RESULT, found
+        )
 
     def _ask_next(self, forwarded: Forwarded) -> None:
-        if self._may_be_anothers(forwarded):
+        if self._may_be_for_previous_service(forwarded):
             self._counters.add(c.DROPS, c.DropReason.UNKNOWN_FLOW)
             return
-        next_vm = forwarded.next_asked
-        if next_vm and self._fleet.carries(next_vm):
+        next_vm = forwarded.next_candidate
+        if next_vm and self._fleet.has_relay(next_vm):
             self._counters.add(c.FORWARDS, c.ForwardReason.ASK)
-            body = pack_forwarded(attrs.evolve(forwarded, next_asked=0))
-            self._peer_sender.send(next_vm, Kind.ASK, body)
+            body = pack_forwarded(attrs.evolve(forwarded, next_candidate=0))
+            self._peer_sender.send(next_vm, MessageType.FLOW_LOOKUP, body)
             return
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
         body = pack_forwarded(forwarded)
-        self._peer_sender.send(forwarded.asker, Kind.UNKNOWN, body)
+        self._peer_sender.send(
+            forwarded.requester, MessageType.FLOW_NOT_FOUND, body
+        )
 
-    def on_find(self, opened: Opened, now: float) -> None:
+    def on_find(self, opened: OpenedEnvelope, now: float) -> None:
         """Answers a query for the connection id in a datagram."""
         del now
         forwarded = self._unpack(opened)
         if forwarded is not None:
-            self._directory.answer_query(forwarded)
+            self._connection_ids.answer_query(forwarded)
 
-    def on_found(self, opened: Opened, now: float) -> None:
+    def on_found(self, opened: OpenedEnvelope, now: float) -> None:
         """Forwards a datagram whose endpoint another VM has found."""
         unpacked = unpack_found(opened.body)
         if unpacked.is_err():
@@ -282,18 +296,18 @@
         if flow is not None:
             self._forwarder.forward_to_upstream(flow, datagram.data, now)
 
-    def on_not_found(self, opened: Opened, now: float) -> None:
+    def on_not_found(self, opened: OpenedEnvelope, now: float) -> None:
         """Handles a datagram whose connection id no VM has stored."""
         datagram = self._read(self._unpack(opened), opened.sender)
         if datagram is None:
             return
         flow = datagram.listener.flows.get(datagram.caller)
         if flow is None:
-            self._forwarder.guess(datagram, now)
+            self._forwarder.forward_to_default(datagram, now)
         else:
             self._forwarder.forward_to_upstream(flow, datagram.data, now)
 
-    def _may_be_anothers(self, forwarded: Forwarded) -> bool:
+    def _may_be_for_previous_service(self, forwarded: Forwarded) -> bool:
         """Returns whether a packet may be for the port's previous service.
 
         The VM that asks may have joined after the port was reassigned, and
@@ -303,10 +317,10 @@
         listener = table.listener_at(forwarded.service_port)
         in_session = not forwarded.data or not forwarded.data[0] & LONG_HEADER
         return in_session and (
-            listener is not None and not table.may_guess(listener)
+            listener is not None and not table.may_use_default(listener)
         )
 
-    def on_unknown(self, opened: Opened, now: float) -> None:
+    def on_unknown(self, opened: OpenedEnvelope, now: float) -> None:
         """Handles the return of a datagram whose flow no queried VM knows."""
         forwarded = self._unpack(opened)
         datagram = self._read(forwarded, opened.sender)
@@ -332,7 +346,7 @@
             listener, caller, forwarded.data, forwarded.hops, sender
         )
 
-    def _unpack(self, opened: Opened) -> Forwarded | None:
+    def _unpack(self, opened: OpenedEnvelope) -> Forwarded | None:
         unpacked = unpack_forwarded(opened.body)
         if unpacked.is_err():
             self._counters.add(c.ENVELOPE_FAULTS, unpacked.unwrap_err())
@@ -341,7 +355,10 @@
 
 
 def _forwarded(
-    datagram: IncomingDatagram, hops: int, asker: int = 0, next_asked: int = 0
+    datagram: IncomingDatagram,
+    hops: int,
+    requester: int = 0,
+    next_candidate: int = 0,
 ) -> Forwarded:
     ip, port = datagram.caller
     return Forwarded(
@@ -350,6 +367,6 @@
         port,
         hops,
         datagram.data,
-        asker,
-        next_asked,
+        requester,
+        next_candidate,
     )
--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -18,7 +18,7 @@
 from pollenmast.peers._udp import service_socket, udp_socket
 from pollenmast.relay._core import RelayCore
 from pollenmast.relay._flows import FlowState, Listener
-from pollenmast.relay._table import Wire
+from pollenmast.relay._table import Transport
 from pollenmast.upstreams._paths import Path
 
 MAX_DATAGRAM_BYTES = 9216
@@ -75,7 +75,7 @@
         self.sock.close()
 
 
-class SocketWire(Wire):
+class SocketTransport(Transport):
     """The relay's sockets, all behind one epoll object."""
 
     def __init__(self, address: str, peer_port: int, log: EventLog):
@@ -106,7 +106,7 @@
         """Opens a local port towards upstreams.
 
         Raises:
-            OSError: The system has no more sockets. `MOST_PATHS`, and the
+            OSError: The system has no more sockets. `MAX_PATHS`, and the
                 file limit that the program raises at start, prevent this.
         """
         path = _SocketPath(udp_socket(self._address, 0))
@@ -117,16 +117,16 @@
         """Sends a sealed envelope to another relay."""
         _send(self._peer_socket, data, address)
 
-    async def pump(self, core: RelayCore) -> None:
+    async def run(self, core: RelayCore) -> None:
         """Forwards packets until it is cancelled."""
         while True:
             await anyio.wait_readable(self._epoll.fileno())
             for _ in range(MAX_ROUNDS):
-                if not self.pump_once(core):
+                if not self.poll_once(core):
                     break
             await anyio.sleep(0)
 
-    def pump_once(self, core: RelayCore) -> bool:
+    def poll_once(self, core: RelayCore) -> bool:
         """Reads a batch from each readable socket; returns whether any was."""
         events = self._epoll.poll(0, MAX_EVENTS)
         now = anyio.current_time() if events else 0.0
@@ -178,7 +178,7 @@
         if flow is None or not data or data[0] & LONG_HEADER:
             core.on_caller(listener, data, caller, now)
             continue
-        flow.heard = tick
+        flow.received_tick = tick
         flow.unanswered += 1
         try:
             flow.path.sock.sendto(data, flow.target.address)
@@ -202,11 +202,11 @@
         if flow is None:
             core.counters.add(c.DROPS, c.DropReason.STRANGER)
             continue
-        if flow.state is not FlowState.CARRIED:
+        if flow.state is not FlowState.ESTABLISHED:
             core.on_first_answer(flow, data, now)
-        flow.answered = tick
+        flow.answered_tick = tick
         flow.unanswered = 0
-        flow.target.answered = tick
+        flow.target.answered_tick = tick
         try:
             flow.listener.sock.sendto(data, flow.caller)
         except OSError:
--- a/src/pollenmast/relay/_table.py
+++ b/src/pollenmast/relay/_table.py
@@ -17,7 +17,7 @@
 _LONG_AGO = float("-inf")
 
 
-class Wire(abc.ABC):
+class Transport(abc.ABC):
     """The socket operations that the relay core needs."""
 
     @abc.abstractmethod
@@ -36,10 +36,10 @@
 class FlowTable:
     """The flows that this relay forwards, with their ports and endpoints."""
 
-    def __init__(self, wire: Wire, max_flows: int):
-        self._wire = wire
+    def __init__(self, transport: Transport, max_flows: int):
+        self._transport = transport
         self._max_flows = max_flows
-        self._pool = PathPool(wire.open_path)
+        self._pool = PathPool(transport.open_path)
         self._listeners: dict[int, Listener] = {}
         self._services: dict[int, Listener] = {}
         self._targets: dict[int, Target] = {}
@@ -100,7 +100,7 @@
     def _set_service(self, service: Service, now: float) -> None:
         listener = self._listeners.get(service.port)
         if listener is None:
-            listener = self._wire.open_listener(service)
+            listener = self._transport.open_listener(service)
             if listener is None:
                 self._unopened_services[service.port] = service
                 return
@@ -148,7 +148,7 @@
         """Returns the endpoint with this number, or None."""
         return self._targets.get(endpoint)
 
-    def may_guess(self, listener: Listener) -> bool:
+    def may_use_default(self, listener: Listener) -> bool:
         """Returns whether unknown flows may go to their default endpoint.
 
         A port that was reassigned may still receive packets of its previous
@@ -180,7 +180,7 @@
         if self.full:
             return None
         flow = Flow(caller, listener, target, tick, state)
-        flow.path = target.paths.take(flow, now)
+        flow.path = target.paths.assign(flow, now)
         if flow.path is None:
             return None
         listener.flows[caller] = flow
@@ -213,22 +213,22 @@
             Whether a new path was free.
         """
         old_path, old_target = flow.path, flow.target
-        path = target.paths.take(flow, now)
+        path = target.paths.assign(flow, now)
         if path is None:
             return False
-        old_target.paths.give_back(old_path, now, lost)
+        old_target.paths.release(old_path, now, lost)
         old_target.flows -= 1
         target.flows += 1
         flow.path, flow.target = path, target
-        flow.answered = tick
+        flow.answered_tick = tick
         flow.unanswered = 0
         return True
 
-    def let_go(self, flow: Flow) -> None:
+    def release(self, flow: Flow) -> None:
         """Detaches a flow from its caller; late answers are still forwarded."""
         if flow.listener.flows.get(flow.caller) is flow:
             del flow.listener.flows[flow.caller]
-        flow.state = FlowState.MOVED
+        flow.state = FlowState.HANDED_OVER
         self._moved[flow.listener.service.port, *flow.caller] = flow
 
     def end_moved(self, record: FlowRecord, now: float) -> None:
@@ -249,7 +249,7 @@
         key = (flow.listener.service.port, *flow.caller)
         if self._moved.get(key) is flow:
             del self._moved[key]
-        flow.target.paths.give_back(flow.path, now)
+        flow.target.paths.release(flow.path, now)
         flow.target.flows -= 1
         self._flows -= 1
 
--- a/src/pollenmast/upstreams/_paths.py
+++ b/src/pollenmast/upstreams/_paths.py
@@ -11,17 +11,17 @@
 import collections
 from typing import Generic, TypeVar
 
-MOST_PATHS = 4096
+MAX_PATHS = 4096
 """Limit of local ports of one relay. It is twice the number of connections of
 an endpoint, so that new flows never have to wait for a port that is kept out of
 use after the end of its flow."""
 
-REST_S = 10.0
+PORT_COOLDOWN_S = 10.0
 """Seconds before a port is reused for the same endpoint. Datagrams of the ended
 flow may still be in flight and would reach the new caller, who would discard
 them but count them against the path."""
 
-LOST_REST_S = 600.0
+SILENT_PORT_COOLDOWN_S = 600.0
 """Seconds before a port is reused for the same endpoint after its flow stopped
 getting replies. A device on the way may have lost the state of this path and
 may keep dropping its datagrams, so that the next flow would hang as well.
@@ -80,7 +80,7 @@
             The path, or None if no more paths can be opened.
         """
         while index >= len(self._paths):
-            if len(self._paths) >= MOST_PATHS:
+            if len(self._paths) >= MAX_PATHS:
                 return None
             try:
                 self._paths.append(self._open_path())
@@ -109,7 +109,7 @@
         )
         self._lost: collections.deque[tuple[float, Path]] = collections.deque()
 
-    def take(self, flow: _Flow, now: float) -> Path | None:
+    def assign(self, flow: _Flow, now: float) -> Path | None:
         """Assigns a path to a new flow.
 
         If no other path is available, the one that was released longest ago is
@@ -123,7 +123,7 @@
             A path that carries no other flow to this endpoint, or None if none
             is available.
         """
-        path = self._rested(now)
+        path = self._take_cooled_down(now)
         if path is None:
             path = self._pool.path(self._next_index)
             self._next_index += path is not None
@@ -133,7 +133,7 @@
             path.flows[self._upstream] = flow
         return path
 
-    def give_back(self, path: Path, now: float, lost: bool = False) -> None:
+    def release(self, path: Path, now: float, lost: bool = False) -> None:
         """Releases a path after its flow has ended or moved to another path.
 
         Args:
@@ -146,9 +146,9 @@
         resting = self._lost if lost else self._resting
         resting.append((now, path))
 
-    def _rested(self, now: float) -> Path | None:
-        if self._resting and now - self._resting[0][0] >= REST_S:
+    def _take_cooled_down(self, now: float) -> Path | None:
+        if self._resting and now - self._resting[0][0] >= PORT_COOLDOWN_S:
             return self._resting.popleft()[1]
-        if self._lost and now - self._lost[0][0] >= LOST_REST_S:
+        if self._lost and now - self._lost[0][0] >= SILENT_PORT_COOLDOWN_S:
             return self._lost.popleft()[1]
         return None
--- a/tests/agent_standby_test.py
+++ b/tests/agent_standby_test.py
@@ -8,12 +8,12 @@
 from pollenmast import counters as c
 from pollenmast.agent._node import Node, new_node
 from pollenmast.agent._standby import Standby
-from pollenmast.callers import PacketType, read_packet
-from pollenmast.decisions._members import Why
+from pollenmast.callers import PacketType, parse_packet
+from pollenmast.decisions._members import ChangeReason
 from pollenmast.fleet import Vm
 from pollenmast.manifest import parse
 from pollenmast.peers._envelope import Opener, sender_id, standby_name
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import unpack_forwarded
 from pollenmast.peers._udp import service_socket, udp_socket
 from standins._addresses import Reservation
@@ -33,7 +33,7 @@
     node.acceptance.offer(parse(data).unwrap(), data, anyio.current_time())
     for peer in peers:
         now = anyio.current_time()
-        node.membership._members.merge(peer, now, Why.JOINED)
+        node.membership._members.merge(peer, now, ChangeReason.JOINED)
     return node
 
 
@@ -120,7 +120,7 @@
             env.send(data)
             envelope = await env.received_by_peer()
             forwarded = unpack_forwarded(envelope.body).unwrap()
-            self.assertEqual(Kind.FORWARD, envelope.kind)
+            self.assertEqual(MessageType.FORWARD, envelope.kind)
             self.assertEqual(sender_id(standby_name("vm-0")), envelope.sender)
             self.assertEqual(
                 (_PORT, *env.caller.getsockname(), 1, data),
@@ -196,7 +196,7 @@
         async def script(env):
             await env.activate()
             env.send(initial("c1"))
-            answer = read_packet(await _receive(env.caller)).unwrap()
+            answer = parse_packet(await _receive(env.caller)).unwrap()
             self.assertEqual(PacketType.INITIAL, answer.type)
 
         node = _run(script, alone=True)
--- a/tests/decisions_membership_test.py
+++ b/tests/decisions_membership_test.py
@@ -8,7 +8,7 @@
 
 from pollenmast.fleet import Vm, VmState
 from pollenmast.manifest import ManifestKey
-from pollenmast.peers._gossip import Act, Gossip
+from pollenmast.peers._gossip import Gossip, GossipType
 from tests.membership_group import Group, Node, vm
 
 SIZE = 9
@@ -136,7 +136,7 @@
         group.run(4.0)
         node = group.nodes["vm-0"]
         listed = [vm(number) for number in range(8)]
-        group.send(node, node.membership.introduce(listed, group.now))
+        group.send(node, node.membership.update_listed(listed, group.now))
         group.run(3.0)
         self.assertNotIn("vm-4", node.states())
         self.assertIn("vm-8", node.states())
@@ -146,7 +146,9 @@
         group = Group(3)
         group.nodes["vm-2"].ended = True
         node = group.nodes["vm-0"]
-        group.send(node, node.membership.introduce([vm(0), vm(1)], group.now))
+        group.send(
+            node, node.membership.update_listed([vm(0), vm(1)], group.now)
+        )
         group.run(70.0)
         self.assertEqual(2, len(node.membership.known()))
 
@@ -188,7 +190,7 @@
         group = Group(SIZE)
         node = group.nodes["vm-3"]
         node.membership.leave()
-        group.send(node, node.membership.gone())
+        group.send(node, node.membership.announce_stop())
         node.ended = True
         group.until(
             lambda: all("vm-3" not in n.states() for n in _live(group)), 0.3
@@ -235,7 +237,7 @@
         node.paused = True
         group.run(pause_s)
         node.paused = False
-        group.send(node, node.membership.look(group.now))
+        group.send(node, node.membership.check_for_pause(group.now))
         self.assertFalse(node.membership.fresh)
         group.until(lambda: node.membership.fresh, 1.5)
         self.assertFalse(node.membership.alone)
@@ -318,4 +320,4 @@
 
 
 def _message_from(node: Node, members: tuple[Vm, ...]) -> Gossip:
-    return Gossip(Act.NEWS, 0, node.membership.own, members=members)
+    return Gossip(GossipType.UPDATE, 0, node.membership.own, members=members)
--- a/tests/decisions_probing_test.py
+++ b/tests/decisions_probing_test.py
@@ -11,7 +11,7 @@
 from pollenmast.decisions._probing import Reports
 from pollenmast.fleet import EndpointReport, VmState
 from pollenmast.manifest import Endpoint, Service, ServiceKind
-from pollenmast.peers._gossip import ProbeNews
+from pollenmast.peers._gossip import ProbeUpdate
 from tests.membership_group import ZONES, vm
 
 OWN, PEER = 1, 2
@@ -105,9 +105,9 @@
     def test_newest_wins(self):
         """A report that arrives after a newer one is ignored."""
         reports = _reports()
-        newer = ProbeNews(PEER, _report(sequence=13, running=2))
-        self.assertTrue(reports.heard(newer, 0.0))
-        self.assertFalse(reports.heard(ProbeNews(PEER, REPORT), 0.0))
+        newer = ProbeUpdate(PEER, _report(sequence=13, running=2))
+        self.assertTrue(reports.record_peer(newer, 0.0))
+        self.assertFalse(reports.record_peer(ProbeUpdate(PEER, REPORT), 0.0))
         self.assertEqual((newer.report,), reports.view(0.0))
 
     def test_one_lost_answer(self):
@@ -116,11 +116,11 @@
         A second one in a row makes the endpoint unhealthy.
         """
         reports = _reports()
-        reports.own(REPORT, 0.0)
+        reports.record_local(REPORT, 0.0)
         failed = _report(sequence=12, healthy=False)
-        self.assertIsNone(reports.own(failed, 0.5, answered=False))
+        self.assertIsNone(reports.record_local(failed, 0.5, answered=False))
         self.assertTrue(reports.view(0.5)[0].healthy)
-        self.assertIsNotNone(reports.own(failed, 1.0, answered=False))
+        self.assertIsNotNone(reports.record_local(failed, 1.0, answered=False))
         self.assertFalse(reports.view(1.0)[0].healthy)
 
     def test_leaving_takes_effect_immediately(self):
@@ -130,9 +130,9 @@
         would get new sessions for another second and could not stop in time.
         """
         reports = _reports()
-        reports.own(REPORT, 0.0)
+        reports.record_local(REPORT, 0.0)
         leaving = _report(sequence=12, healthy=False)
-        self.assertIsNotNone(reports.own(leaving, 0.5))
+        self.assertIsNotNone(reports.record_local(leaving, 0.5))
         self.assertFalse(reports.view(0.5)[0].healthy)
 
     def test_one_prober_cut_off(self):
@@ -142,23 +142,24 @@
         its state four times a second, and its flows would be moved each time.
         """
         reports = _reports()
-        reports.heard(ProbeNews(PEER, REPORT), 0.0)
+        reports.record_peer(ProbeUpdate(PEER, REPORT), 0.0)
         for sequence in (12, 14):
             failed = _report(sequence=sequence, healthy=False)
-            reports.own(failed, 0.1, answered=False)
+            reports.record_local(failed, 0.1, answered=False)
         self.assertTrue(reports.view(0.2)[0].healthy)
 
     def test_report_of_silent_prober_expires(self):
         """The last report of a prober that is cut off or frozen expires."""
         reports = _reports()
-        reports.heard(ProbeNews(PEER, REPORT), 0.0)
+        reports.record_peer(ProbeUpdate(PEER, REPORT), 0.0)
         self.assertEqual((), reports.view(_probing.REPORT_LEASE_S + 0.1))
 
     def test_unchanged_report_is_sent_rarely(self):
         """An idle endpoint causes one report every two seconds."""
         reports = _reports()
         sent = [
-            reports.own(_report(sequence=11 + n), n * 0.5) for n in range(20)
+            reports.record_local(_report(sequence=11 + n), n * 0.5)
+            for n in range(20)
         ]
         self.assertEqual(5, sum(news is not None for news in sent))
 
@@ -166,13 +167,13 @@
         """After all agents restart, sequence numbers exceed earlier ones."""
         reports = _reports()
         self.assertEqual(11, reports.next_sequence(1, "registry-1"))
-        reports.heard(ProbeNews(PEER, _report(sequence=40)), 0.0)
+        reports.record_peer(ProbeUpdate(PEER, _report(sequence=40)), 0.0)
         self.assertEqual(41, reports.next_sequence(1, "registry-1"))
 
     def test_endpoints_not_in_manifest_are_removed(self):
         """Endpoints that the manifest no longer names use no memory."""
         reports = _reports()
-        reports.heard(ProbeNews(PEER, REPORT), 0.0)
+        reports.record_peer(ProbeUpdate(PEER, REPORT), 0.0)
         reports.keep_only(set())
         self.assertEqual((), reports.view(0.0))
 
--- a/tests/membership_group.py
+++ b/tests/membership_group.py
@@ -17,7 +17,7 @@
 from pollenmast.fleet import Vm, VmState
 from pollenmast.manifest import ManifestKey
 from pollenmast.peers import _gossip
-from pollenmast.peers._gossip import Act, Gossip
+from pollenmast.peers._gossip import Gossip, GossipType
 
 DELAY_S = 0.002
 STEP_S = 0.01
@@ -103,7 +103,7 @@
         member = Membership(own, self.now, rng, seeds=seeds)
         node = self.nodes[own.name] = Node(member)
         if listed:
-            self.send(node, member.introduce(self._listed, self.now))
+            self.send(node, member.update_listed(self._listed, self.now))
         return node
 
     def run(self, seconds: float) -> None:
@@ -142,10 +142,10 @@
     def send(self, node: Node, sends: list[Send]) -> None:
         """Sends a member's messages, with its queued updates added."""
         for change in node.membership.take_changes():
-            told = node.membership.told(change.vm.name)
+            told = node.membership.latest_update(change.vm.name)
             node.news.add(told.name, told, _gossip.member_size(told))
         for send in sends:
-            carries = send.act in (Act.PING, Act.ACK)
+            carries = send.act in (GossipType.PING, GossipType.ACK)
             news = node.news.pick(500, len(self.nodes)) if carries else ()
             message = Gossip(
                 act=send.act,
--- a/tests/peers_gossip_test.py
+++ b/tests/peers_gossip_test.py
@@ -10,22 +10,22 @@
 from pollenmast.fleet import EndpointReport, VmState
 from pollenmast.peers import _gossip
 from pollenmast.peers._envelope import Opener, Sealer
-from pollenmast.peers._gossip import Act, Gossip, ProbeNews
+from pollenmast.peers._gossip import Gossip, GossipType, ProbeUpdate
 from pollenmast.peers._gossip_socket import GossipSocket
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from tests.membership_group import vm
 
 KEY = bytes(range(32))
 REPORT = EndpointReport(1, "registry-1", 7, True, 2, 1, 900, 40, 12.5)
 EXAMPLE = Gossip(
-    Act.PING,
+    GossipType.PING,
     5,
     vm(1),
     "vm-2",
     3,
     b"d" * 16,
     (attrs.evolve(vm(4), state=VmState.DEAD), vm(5)),
-    (ProbeNews(99, REPORT),),
+    (ProbeUpdate(99, REPORT),),
 )
 _FUZZ = settings(
     max_examples=300, derandomize=True, database=None, deadline=None
@@ -33,7 +33,7 @@
 
 
 def _changed_report(**changes) -> Gossip:
-    news = ProbeNews(99, attrs.evolve(REPORT, **changes))
+    news = ProbeUpdate(99, attrs.evolve(REPORT, **changes))
     return attrs.evolve(EXAMPLE, probes=(news,))
 
 
@@ -53,7 +53,7 @@
         one = attrs.evolve(EXAMPLE, members=(wide,), probes=())
         size = len(_gossip.encode(one)) - bare
         self.assertLessEqual(size, _gossip.member_size(wide))
-        news = ProbeNews(
+        news = ProbeUpdate(
             (1 << 32) - 1,
             attrs.evolve(
                 REPORT,
@@ -112,7 +112,7 @@
 
     def test_oversized(self):
         """Input above the size limit is rejected before it is decoded."""
-        decoded = _gossip.decode(bytes(_gossip.MOST_BODY_BYTES + 1))
+        decoded = _gossip.decode(bytes(_gossip.MAX_BODY_BYTES + 1))
         self.assertEqual(EnvelopeFault.OVERSIZED, decoded.unwrap_err())
 
     @_FUZZ
@@ -153,14 +153,14 @@
 
     def test_valid_datagram(self):
         """A valid datagram is accepted once."""
-        data = self.sealer.seal(Kind.GOSSIP, _gossip.encode(EXAMPLE))
+        data = self.sealer.seal(MessageType.GOSSIP, _gossip.encode(EXAMPLE))
         self.assertEqual(EXAMPLE, self._open(data))
         self.assertIsNone(self._open(data))
         self.assertEqual(1, self._faults(EnvelopeFault.REPLAYED))
 
     def test_wrong_kind(self):
         """A captured link envelope is dropped when sent to the gossip port."""
-        data = self.sealer.seal(Kind.LINK, _gossip.encode(EXAMPLE))
+        data = self.sealer.seal(MessageType.LINK, _gossip.encode(EXAMPLE))
         self.assertIsNone(self._open(data))
         self.assertEqual(1, self._faults(EnvelopeFault.MALFORMED))
 
@@ -171,7 +171,9 @@
 
         If it were accepted, anyone on the path could declare VMs dead.
         """
-        data = bytearray(self.sealer.seal(Kind.GOSSIP, _gossip.encode(EXAMPLE)))
+        data = bytearray(
+            self.sealer.seal(MessageType.GOSSIP, _gossip.encode(EXAMPLE))
+        )
         place %= len(data)
         data[place] ^= flip
         forged = bytes(data[:place]) if cut else bytes(data)
--- a/tests/proof/_agents.py
+++ b/tests/proof/_agents.py
@@ -81,7 +81,9 @@
     def _receive(self, node: Node, message, source) -> None:
         key = ManifestKey(message.version, message.digest.hex())
         peer = self.nodes.get(message.sender.name)
-        if self.accepted[node.name].wants(key) and self._answers(node, peer):
+        if self.accepted[node.name].should_fetch(key) and self._answers(
+            node, peer
+        ):
             in_force = self.accepted[peer.name].in_force
             if in_force is not None:
                 self.offer(node, in_force.text)
@@ -95,7 +97,7 @@
         """Gives every agent the platform's current list of VMs."""
         listed = [node.membership.own for node in self.running()]
         for node in self.running():
-            sends = node.membership.introduce(listed, self.now)
+            sends = node.membership.update_listed(listed, self.now)
             self.send(node, sends)
 
     def running(self) -> list[Node]:
@@ -181,7 +183,9 @@
         was_fresh = node.membership.fresh
         self.group.pause(node, seconds)
         if was_fresh and seconds > _LEASE_S + 0.5 and not node.ended:
-            self.group.send(node, node.membership.look(self.group.now))
+            self.group.send(
+                node, node.membership.check_for_pause(self.group.now)
+            )
             if node.membership.fresh and len(node.membership.known()) > 1:
                 raise ViolationError(
                     Invariant.DRAINED,
--- a/tests/proof/_mutations.py
+++ b/tests/proof/_mutations.py
@@ -13,13 +13,13 @@
 from pollenmast.peers import _envelope
 from pollenmast.relay import _core, _upkeep
 from pollenmast.relay._core import RelayCore
-from pollenmast.relay._custody import Custody
-from pollenmast.relay._directory import Directory
+from pollenmast.relay._custody import RecordExchange
+from pollenmast.relay._directory import ConnectionIdDirectory
 from pollenmast.relay._flows import FlowState
 from pollenmast.relay._openings import Openings
 from pollenmast.relay._routing import Routing
 from pollenmast.relay._table import FlowTable
-from pollenmast.relay._upkeep import Upkeep
+from pollenmast.relay._upkeep import FlowMaintenance
 from pollenmast.upstreams._paths import PathChooser
 from tests.proof import _scenarios as scenarios
 from tests.proof._oracle import Invariant
@@ -72,7 +72,7 @@
     return path
 
 
-def _give_back_shared(self, path, now):
+def _release_shared(self, path, now):
     del now
     path.flows.pop(self._upstream, None)
 
@@ -83,7 +83,7 @@
 
 
 def _end_at_once(self, flow):
-    flow.state = FlowState.MOVED
+    flow.state = FlowState.HANDED_OVER
     self.end(flow, 0.0)
 
 
@@ -93,7 +93,7 @@
 
 def _no_search():
     return mock.patch.object(
-        Directory, "search", lambda self, arrival, now: False
+        ConnectionIdDirectory, "search", lambda self, arrival, now: False
     )
 
 
@@ -102,9 +102,12 @@
         "no-ask",
         Invariant.SURVIVES,
         "a new owner asks two VMs about a flow that it does not know",
-        "`Fleet.asked` names nobody, and no connection id is looked up",
+        "`Fleet.lookup_targets` names nobody, and no connection id is"
+        " looked up",
         lambda: _both(
-            mock.patch.object(Fleet, "asked", lambda self, key, but: []),
+            mock.patch.object(
+                Fleet, "lookup_targets", lambda self, key, excluded: []
+            ),
             _no_search(),
         ),
         scenarios.join_during_sessions,
@@ -113,9 +116,11 @@
         "no-records",
         Invariant.SURVIVES,
         "flows off their default are replicated to another VM",
-        "`Custody.replicate` does nothing, and no connection id is looked up",
+        "`RecordExchange.replicate` does nothing, and no connection id is"
+        " looked up",
         lambda: _both(
-            mock.patch.object(Custody, "replicate", _nothing), _no_search()
+            mock.patch.object(RecordExchange, "replicate", _nothing),
+            _no_search(),
         ),
         scenarios.kill_after_drain,
     ),
@@ -123,7 +128,7 @@
         "no-directory",
         Invariant.SURVIVES,
         "two VMs keep the connection id that a session's endpoint chose",
-        "`Directory.search` finds nothing",
+        "`ConnectionIdDirectory.search` finds nothing",
         _no_search,
         scenarios.caller_moves,
     ),
@@ -139,26 +144,30 @@
         "guess-reused-port",
         Invariant.RIGHT_SERVICE,
         "a packet that nobody knows is not guessed on a reused port",
-        "`FlowTable.may_guess` is always true",
-        _attribute(FlowTable, "may_guess", lambda self, listener: True),
+        "`FlowTable.may_use_default` is always true",
+        _attribute(FlowTable, "may_use_default", lambda self, listener: True),
         scenarios.reused_port,
     ),
     Mutation(
         "ask-answers-reused-port",
         Invariant.RIGHT_SERVICE,
         "a VM that knows a port as reused drops what nobody knows",
-        "`Routing._may_be_anothers` is never true",
-        _attribute(Routing, "_may_be_anothers", lambda self, forwarded: False),
+        "`Routing._may_be_for_previous_service` is never true",
+        _attribute(
+            Routing,
+            "_may_be_for_previous_service",
+            lambda self, forwarded: False,
+        ),
         scenarios.reused_port_and_joins,
     ),
     Mutation(
         "shared-path",
         Invariant.WHOLE_ANSWER,
         "each flow to one endpoint has a local port of its own",
-        "`PathChooser.take` gives all of them one",
+        "`PathChooser.assign` gives all of them one",
         lambda: _both(
-            mock.patch.object(PathChooser, "take", _shared_path),
-            mock.patch.object(PathChooser, "give_back", _give_back_shared),
+            mock.patch.object(PathChooser, "assign", _shared_path),
+            mock.patch.object(PathChooser, "release", _release_shared),
         ),
         scenarios.late_answers,
     ),
@@ -166,8 +175,8 @@
         "no-rest",
         Invariant.WHOLE_ANSWER,
         "a port rests before it is used again for the same endpoint",
-        "`PathChooser._rested` gives it at once",
-        _attribute(PathChooser, "_rested", _path_without_rest),
+        "`PathChooser._take_cooled_down` gives it at once",
+        _attribute(PathChooser, "_take_cooled_down", _path_without_rest),
         scenarios.answer_after_retry,
     ),
     Mutation(
@@ -198,8 +207,8 @@
         "early-data",
         Invariant.ONCE,
         "0-RTT does not pass to a service that is not idempotent",
-        "`without_early_data` finds none",
-        _attribute(_core, "without_early_data", lambda data: (data, 0)),
+        "`zero_early_data` finds none",
+        _attribute(_core, "zero_early_data", lambda data: (data, 0)),
         scenarios.early_data_retried,
     ),
     Mutation(
@@ -232,16 +241,16 @@
         "no-late-answers",
         Invariant.GRACEFUL,
         "a flow handed over still passes answers on its old path",
-        "`FlowTable.let_go` ends it",
-        _attribute(FlowTable, "let_go", _end_at_once),
+        "`FlowTable.release` ends it",
+        _attribute(FlowTable, "release", _end_at_once),
         scenarios.planned_stop_slow_answers,
     ),
     Mutation(
         "no-hand-over",
         Invariant.GRACEFUL,
         "a leaving relay hands its flows to their owners",
-        "`Custody.hand_over` does nothing",
-        _attribute(Custody, "hand_over", _nothing),
+        "`RecordExchange.hand_over` does nothing",
+        _attribute(RecordExchange, "hand_over", _nothing),
         scenarios.planned_stop_to_the_end,
     ),
     Mutation(
@@ -290,16 +299,18 @@
         "guesses-stay",
         Invariant.BOUNDED,
         "a guessed flow without an answer is forgotten",
-        "`Upkeep._unproved` is never true",
-        _attribute(Upkeep, "_unproved", lambda self, flow, tick: False),
+        "`FlowMaintenance._guess_expired` is never true",
+        _attribute(
+            FlowMaintenance, "_guess_expired", lambda self, flow, tick: False
+        ),
         scenarios.flood,
     ),
     Mutation(
         "senders-unbounded",
         Invariant.BOUNDED,
         "only so many senders of envelopes are remembered",
-        "`MOST_SENDERS` is as good as none",
-        _attribute(_envelope, "MOST_SENDERS", 1 << 60),
+        "`MAX_SENDERS` is as good as none",
+        _attribute(_envelope, "MAX_SENDERS", 1 << 60),
         scenarios.many_senders,
     ),
 )
--- a/tests/proof/_scenarios.py
+++ b/tests/proof/_scenarios.py
@@ -1,8 +1,8 @@
 """Short fixed runs of the rules, each of which exercises one invariant."""
 
-from pollenmast.peers._envelope import MOST_SENDERS, Opener, Sealer
-from pollenmast.peers._kinds import Kind
-from pollenmast.peers._records import FlowRecord, RecordFlag, pack_records
+from pollenmast.peers._envelope import MAX_SENDERS, Opener, Sealer
+from pollenmast.peers._kinds import MessageType
+from pollenmast.peers._records import FlowRecord, RecordAction, pack_records
 from standins import memory as fakes
 from tests.proof import _traffic as traffic
 from tests.proof._machine import FleetMachine
@@ -109,7 +109,7 @@
     """Kills a VM after all replicas of flow records were dropped."""
     world = machine.world
     for node in world.nodes.values():
-        replicas = node.core.custody.replicas
+        replicas = node.core.record_exchange.replicas
         replicas.drop_holders(replicas.holders())
     machine.kill(which=0)
     machine.wait(seconds=3.0)
@@ -269,15 +269,15 @@
     """A sender without the key forges a record that would redirect a caller."""
     machine = _begin(vms=2)
     core = machine.world.nodes[1].core
-    record = FlowRecord(4001, "10.0.0.9", 30000, 7, RecordFlag.KEEP)
+    record = FlowRecord(4001, "10.0.0.9", 30000, 7, RecordAction.REPLICATE)
     body = bytes(4) + pack_records([record])
-    genuine = Sealer("vm-2", fakes.KEY).seal(Kind.RECORDS, body)
+    genuine = Sealer("vm-2", fakes.KEY).seal(MessageType.RECORDS, body)
     for place in range(len(genuine)):
         bent = bytes([genuine[place] ^ 1])
         forged = genuine[:place] + bent + genuine[place + 1 :]
         core.on_peer(forged, machine.world.now)
         core.on_peer(genuine[:place], machine.world.now)
-    if len(core.custody.replicas):
+    if len(core.record_exchange.replicas):
         raise ViolationError(Invariant.AUTHENTIC, "a forged record was kept")
 
 
@@ -288,12 +288,12 @@
     sealer = Sealer("vm-2", fakes.KEY)
     bodies = [
         bytes(4) + pack_records([FlowRecord(4001, "10.0.0.9", 30000, 7, flag)])
-        for flag in (RecordFlag.KEEP, RecordFlag.FORGET)
+        for flag in (RecordAction.REPLICATE, RecordAction.DELETE)
     ]
-    keep, forget = [sealer.seal(Kind.RECORDS, body) for body in bodies]
+    keep, forget = [sealer.seal(MessageType.RECORDS, body) for body in bodies]
     for data in (keep, forget, keep):
         core.on_peer(data, now)
-    if len(core.custody.replicas):
+    if len(core.record_exchange.replicas):
         raise ViolationError(Invariant.AUTHENTIC, "a replayed record was kept")
 
 
@@ -320,10 +320,10 @@
 def many_senders() -> None:
     """Envelopes arrive from ever more senders that have the key."""
     opener = Opener(fakes.KEY)
-    for number in range(MOST_SENDERS + 50):
-        data = Sealer(f"vm-{number}", fakes.KEY).seal(Kind.GOSSIP, b"")
+    for number in range(MAX_SENDERS + 50):
+        data = Sealer(f"vm-{number}", fakes.KEY).seal(MessageType.GOSSIP, b"")
         opener.open(data, 0.0)
-    if len(opener._windows) > MOST_SENDERS:
+    if len(opener._windows) > MAX_SENDERS:
         raise ViolationError(
             Invariant.BOUNDED, "the number of remembered senders is unbounded"
         )
--- a/tests/proof_parsers_test.py
+++ b/tests/proof_parsers_test.py
@@ -7,12 +7,12 @@
 from testtools import TestCase
 
 from pollenmast import manifest as manifests
-from pollenmast.callers import LONG_HEADER, read_packet, without_early_data
+from pollenmast.callers import LONG_HEADER, parse_packet, zero_early_data
 from pollenmast.peers import _codec, _gossip
 from pollenmast.peers._envelope import MOST_BYTES, Opener, Sealer
-from pollenmast.peers._kinds import Kind
+from pollenmast.peers._kinds import MessageType
 from pollenmast.peers._records import (
-    MOST_RECORDS,
+    MAX_RECORDS_PER_MESSAGE,
     Forwarded,
     pack_forwarded,
     unpack_connection_ids,
@@ -72,18 +72,18 @@
     @given(_datagrams)
     def test_read(self, data):
         """Reading a datagram never raises, and its packet ends within it."""
-        packet = read_packet(data)
+        packet = parse_packet(data)
         if packet.is_ok():
             self.assertLessEqual(packet.unwrap().end, len(data))
-        stripped, _ = without_early_data(data)
+        stripped, _ = zero_early_data(data)
         self.assertEqual(len(data), len(stripped))
 
     @_FIXED
     @given(_datagrams)
     def test_without_early_data(self, data):
         """A datagram stripped of 0-RTT contains no 0-RTT that can be found."""
-        stripped, _ = without_early_data(data)
-        self.assertEqual(0, without_early_data(stripped)[1])
+        stripped, _ = zero_early_data(data)
+        self.assertEqual(0, zero_early_data(stripped)[1])
 
     @settings(_FIXED, max_examples=25)
     @given(st.lists(st.tuples(_datagrams, st.integers(1, 9)), max_size=40))
@@ -109,8 +109,8 @@
         """No length of a datagram from 0 to 65,507 bytes makes one raise."""
         long, short = bytes([LONG_HEADER]) * MOST_BYTES, bytes(MOST_BYTES)
         for size in range(0, MOST_BYTES + 1, 7):
-            read_packet(long[:size])
-            read_packet(short[:size])
+            parse_packet(long[:size])
+            parse_packet(short[:size])
 
 
 class EnvelopeTest(TestCase):
@@ -120,12 +120,14 @@
     @given(
         st.one_of(
             _noise(),
-            _corrupted([Sealer("vm-2", fakes.KEY).seal(Kind.RECORDS, b"abc")]),
+            _corrupted(
+                [Sealer("vm-2", fakes.KEY).seal(MessageType.RECORDS, b"abc")]
+            ),
         )
     )
     def test_unauthenticated(self, data):
         """An envelope that was not sealed with the fleet's key is rejected."""
-        genuine = Sealer("vm-2", fakes.KEY).seal(Kind.RECORDS, b"abc")
+        genuine = Sealer("vm-2", fakes.KEY).seal(MessageType.RECORDS, b"abc")
         opener = Opener(bytes(32))
         self.assertTrue(opener.open(data, 0.0).is_err())
         self.assertTrue(opener.open(genuine, 0.0).is_err())
@@ -156,7 +158,7 @@
         """Message bodies are parsed or rejected, within bounds."""
         records = unpack_records(body)
         if records.is_ok():
-            self.assertLessEqual(len(records.unwrap()), MOST_RECORDS)
+            self.assertLessEqual(len(records.unwrap()), MAX_RECORDS_PER_MESSAGE)
         for unpack in (unpack_forwarded, unpack_found, unpack_connection_ids):
             unpack(body)
 
