--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -25,8 +25,8 @@
 GOSSIP_BYTES_PER_S = 2_300
 """Gossip budget of one VM, in bytes per second.
 
-Control traffic of one VM may take 4 KB/s. This budget leaves 1.4 KB/s for
-replication, besides probes and reads of the platform. In trials with `bench
+Control traffic of one VM may take 4 KB/s. After gossip, probes and reads of
+the platform, 1.4 KB/s are left for replication. In trials with `bench
 control`, load reports in the views of nine VMs were 0.6 s old with a budget
 of 2,000 as well as of 2,600; with eighteen VMs they were 1.8 s and 1.2 s old.
 """
@@ -41,9 +41,9 @@
 """Maximum size of the member updates added to one message, in bytes."""
 
 PROBE_SENDS_PER_LOG = 1
-"""How often one endpoint's report is sent, per log2 of the fleet's size.
+"""How many times an endpoint's report is sent, per log2 of the fleet's size.
 
-One is enough, because the next report replaces a lost one within two seconds.
+Once is enough, because the next report replaces a lost one within two seconds.
 """
 
 _STATE_EVENTS = {
--- a/src/pollenmast/agent/_link_loop.py
+++ b/src/pollenmast/agent/_link_loop.py
@@ -22,7 +22,8 @@
 MAX_VIEW_INTERVAL_S = 1.0
 """Maximum time between two views, in seconds.
 
-The relay's lease on a view is longer.
+It is shorter than the relay's lease on a view, so that the lease is renewed
+before it expires.
 """
 
 MIN_VIEW_INTERVAL_S = 0.4
--- a/src/pollenmast/agent/_standby.py
+++ b/src/pollenmast/agent/_standby.py
@@ -28,7 +28,7 @@
 CHECK_INTERVAL_S = 0.2
 """Interval between checks of the manifest, fleet and relay, in seconds.
 
-It is no longer than heartbeats take to change them.
+Heartbeats take at least as long to spread a change.
 """
 
 BATCH_SIZE = 64
--- a/src/pollenmast/cli/_timeline.py
+++ b/src/pollenmast/cli/_timeline.py
@@ -28,7 +28,8 @@
 seconds before the subject's first line."""
 
 CONTEXT_AFTER_S = 10.0
-"""The same lines are included until this many seconds after its last line."""
+"""Lines about an endpoint, a zone or the directory are included until this many
+seconds after the subject's last line."""
 
 
 @attrs.frozen
--- a/src/pollenmast/manifest/_rules.py
+++ b/src/pollenmast/manifest/_rules.py
@@ -163,7 +163,7 @@
 def is_host_address(text: str) -> bool:
     """Returns whether the text is the IPv4 address of a single host.
 
-    Multicast, unspecified and limited broadcast addresses are not.
+    Multicast, unspecified and limited broadcast addresses do not count as such.
     """
     try:
         address = ipaddress.IPv4Address(text)
--- a/src/pollenmast/operators/_site.py
+++ b/src/pollenmast/operators/_site.py
@@ -32,8 +32,8 @@
         """Returns the lines that explain the decisions about a subject.
 
         Args:
-            subject: A caller as IP:PORT, or SERVICE/ENDPOINT; empty for the
-                newest decisions.
+            subject: A caller as IP:PORT or IP, an endpoint as SERVICE/ENDPOINT,
+                a service by its name, or empty for the newest decisions.
 
         Returns:
             The lines, or None if the relay does not answer.
--- a/src/pollenmast/peers/_envelope.py
+++ b/src/pollenmast/peers/_envelope.py
@@ -19,7 +19,7 @@
 from pollenmast.counters import EnvelopeFault
 
 MAC_BYTES = 16
-"""Length of the keyed BLAKE2b hash: 128 bits, a usual length of a MAC."""
+"""Length of the keyed BLAKE2b hash, in bytes: 128 bits, usual for a MAC."""
 
 MOST_BYTES = 65_507
 """The largest UDP payload over IPv4, in bytes."""
@@ -133,7 +133,7 @@
 
 
 class Opener:
-    """Verifies envelopes under the fleet's key, or the one before it."""
+    """Verifies envelopes under the fleet's key or its previous key."""
 
     def __init__(self, key: bytes, previous_key: bytes | None = None):
         keys = [key] if previous_key is None else [key, previous_key]
--- a/src/pollenmast/peers/_gossip.py
+++ b/src/pollenmast/peers/_gossip.py
@@ -22,11 +22,12 @@
 """Limit on the length of the name of a VM, availability zone or endpoint."""
 
 NUMBER_LIMIT = 1 << 62
-"""Numbers from here on are rejected. A VM could never raise its incarnation
-above one so large, and so never refute it."""
+"""Numbers from this value on are rejected. If an update about a VM had such a
+large incarnation, the VM could never exceed it, and so never refute the update.
+"""
 
 DIGEST_BYTES = 16
-"""Length of a manifest's digest."""
+"""Length of a manifest's digest, in bytes."""
 
 _OVERHEAD_BYTES = 64
 """Upper bound on the bytes of a message's numbers, digest and framing."""
--- a/src/pollenmast/peers/_messages.py
+++ b/src/pollenmast/peers/_messages.py
@@ -48,8 +48,8 @@
 
     Attributes:
         identifier: Matches the answer to the query.
-        subject: A caller as IP:PORT, an endpoint as SERVICE/ENDPOINT, or
-            empty for the most recent decisions.
+        subject: A caller as IP:PORT or IP, an endpoint as SERVICE/ENDPOINT, a
+            service by its name, or empty for the most recent decisions.
     """
 
     identifier: int
--- a/src/pollenmast/peers/_udp.py
+++ b/src/pollenmast/peers/_udp.py
@@ -17,7 +17,7 @@
 
 
 def service_socket(address: str, port: int) -> socket.socket:
-    """Returns a UDP socket on a service's port that may be bound again.
+    """Returns a UDP socket on a service's port that others may bind as well.
 
     A frozen relay keeps its port, and the datagrams that the fabric sends to
     it would wait in its buffer until callers time out. So another process may
--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -57,11 +57,11 @@
         return self._outbox
 
     def replicate(self, flow: Flow, backup: int) -> None:
-        """Stores the flow's record on another VM, and only there.
+        """Stores the flow's record on a VM; deletes it from the previous VM.
 
         Args:
             flow: The flow.
-            backup: Number of the VM to store the record, 0 for none.
+            backup: Number of the VM that is to store the record, 0 for none.
         """
         if flow.backup and self._fleet.has_relay(flow.backup):
             self._outbox.add(flow.backup, record_of(flow, RecordAction.DELETE))
@@ -73,15 +73,15 @@
         """Sends the record of a flow owned by another VM to that VM.
 
         The flow may have opened here while its owner changed. The scan that
-        informs owners after a change skips flows that are still opening. An
-        owner without the record that queries the wrong two VMs would forward
-        the session's packets to its default endpoint.
+        informs owners after a change skips flows that are still opening. If
+        the owner had no record and queried the wrong two VMs, it would forward
+        the session's packets to the flow's default endpoint.
         """
         if not self._fleet.owns(flow.key):
             self.replicate(flow, self._fleet.backup(flow.key))
 
     def replicate_to_requester(self, flow: Flow, requester: int) -> None:
-        """Stores the record on a VM that asked for it, so that it asks once."""
+        """Stores the record on a VM that asked for it, to save more queries."""
         if flow.backup != requester and requester:
             self.replicate(flow, requester)
 
@@ -160,7 +160,7 @@
             self._replicas.keep(record, sender)
 
     def _discard_guess(self, flow: Flow | None, now: float) -> Flow | None:
-        """Ends a guessed flow, as a record of its real endpoint has come.
+        """Ends a guessed flow, as a record of its real endpoint has arrived.
 
         If the guess took precedence over the holder that reports the flow,
         the session would stay at an endpoint that does not know it.
@@ -197,7 +197,7 @@
     def _resolve_second_holder(
         self, flow: Flow, record: FlowRecord, sender: int, now: float
     ) -> None:
-        """Resolves a flow that this relay and another one both forward.
+        """Decides which of two relays keeps a flow that both forward.
 
         This happens when the fleet was partitioned and both sides took the
         flow over. If both kept it, the session's path would alternate between
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -61,7 +61,7 @@
 UNPUBLISHED_EXPIRY_TICKS = 60 * TICKS_PER_S
 """Age, in ticks, at which an unpublished flow counts as ended.
 
-Its caller has not been heard past the replication age by then.
+Its caller's latest packet came before the flow reached the replication age.
 """
 
 _CID = struct.Struct("!Q")
--- a/src/pollenmast/relay/_endpoint_loads.py
+++ b/src/pollenmast/relay/_endpoint_loads.py
@@ -10,7 +10,7 @@
 ENDPOINTS_PER_S = 200.0
 """Average number of endpoints reported per second.
 
-Each costs the agent 2 to 3 microseconds of CPU time, as measured by
+Each endpoint costs the agent 2 to 3 microseconds of CPU time, as measured by
 `python -m bench run capacity`. Extrapolated from that bench, reporting 11,000
 endpoints twice a second would take the agent 5 to 6% of a core.
 """
@@ -25,7 +25,7 @@
         self._next_due = 0.0
 
     def take_due(self, now: float) -> tuple[EndpointLoad, ...] | None:
-        """Returns the load of every endpoint, or None if none is due yet."""
+        """Returns the load of every endpoint, or None if not due yet."""
         if now < self._next_due:
             return None
         loads = self._all_loads(now)
--- a/src/pollenmast/relay/_flows.py
+++ b/src/pollenmast/relay/_flows.py
@@ -24,7 +24,7 @@
     """The life-cycle state of a flow."""
 
     OPENING = 0
-    """Its first packets were sent; the upstream has not answered yet."""
+    """The first packets were sent; the upstream has not answered yet."""
 
     ESTABLISHED = 1
     """The upstream has answered."""
@@ -33,7 +33,7 @@
     """Taken over; the upstream has not answered on the new path yet."""
 
     HANDED_OVER = 3
-    """Another relay forwards it; this one forwards only late answers."""
+    """Another relay forwards the flow; this relay only its late answers."""
 
     UNCONFIRMED = 4
     """Known to no VM; tried at the default endpoint of its key."""
@@ -122,7 +122,8 @@
             to another relay.
         answered_tick: Tick of the upstream's latest packet, or of the latest
             change of path.
-        unanswered: Number of the caller's packets since the upstream's latest.
+        unanswered: Number of the caller's packets since the upstream's latest
+            packet.
         backup: Number of the VM that stores its record, 0 for none.
         off_default: Whether its endpoint cannot be computed from its key.
     """
--- a/src/pollenmast/relay/_openings.py
+++ b/src/pollenmast/relay/_openings.py
@@ -57,7 +57,8 @@
 HELD_CALLER_TIMEOUT_S = 1.2
 """Silence after which a held caller counts as gone, in seconds.
 
-By RFC 9002 section 6.2 it sends its Initial again after 1 s at the latest.
+By RFC 9002 section 6.2 a caller sends its Initial again after 1 s at the
+latest.
 """
 
 
--- a/src/pollenmast/relay/_peer_sender.py
+++ b/src/pollenmast/relay/_peer_sender.py
@@ -23,7 +23,7 @@
         self._counters = counters
 
     def send(self, number: int, kind: MessageType, body: bytes) -> None:
-        """Sends a message to a VM's relay; dropped if the VM is dead."""
+        """Sends a message to a VM's relay, unless the VM is dead or unknown."""
         vm = self._fleet.vm(number)
         if vm is None:
             self._counters.add(c.DROPS, c.DropReason.NO_OWNER)
--- a/src/pollenmast/relay/_replicas.py
+++ b/src/pollenmast/relay/_replicas.py
@@ -60,7 +60,10 @@
         self._replicas.pop((service_port, *caller), None)
 
     def drop_holders(self, holders: set[int]) -> int:
-        """Deletes the records of VMs that left long ago; returns how many."""
+        """Deletes the records of the given holders; returns how many.
+
+        Meant for VMs that left long ago.
+        """
         gone = [
             key
             for key, replica in self._replicas.items()
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -34,17 +34,17 @@
 MAX_HOPS = 3
 """Limit on forwarding hops of one datagram between relays.
 
-From the fabric it reaches any relay, then the owner, then the holder, and one
-more relay while views of the fleet differ.
+The fabric sends a datagram to any relay; it then passes the owner, the holder,
+and one more relay while views of the fleet differ.
 """
 
 QUERY_AFTER_CHANGE_S = 5.0
 """Time after a change of owners in which Initials are queried too, in seconds.
 
 The second flight of a handshake is an Initial as well. If the new owner opened
-a second flow for it, it would reach an endpoint without that handshake, and
-the caller would wait until its handshake times out. Handshakes last some round
-trips, and heartbeats spread a change within about 2 s.
+a second flow for this Initial, the packet would reach an endpoint without that
+handshake, and the caller would wait until its handshake times out. Handshakes
+last some round trips, and heartbeats spread a change within about 2 s.
 """
 
 QUERIES_PER_S = 5000.0
@@ -110,11 +110,11 @@
         """Forwards a new flow to the VM that would own it without this one.
 
         This VM's view of the fleet is stale: its agent is gone, or the relay
-        has just started or woken. If it dropped the flow's first packet, the
-        caller would send it again after a second, each time that the fabric
-        picks this VM or another VM still takes it for the owner. The successor
-        opens the flow because the datagram comes from the VM that it takes for
-        the owner.
+        has just started or woken. If the relay dropped the flow's first packet,
+        the caller would send it again only after a second. This would repeat
+        whenever the fabric picks this VM, or another VM still takes this VM for
+        the owner. The successor opens the flow because the datagram comes from
+        the VM that the successor takes for the owner.
         """
         successor = self._fleet.successor(datagram.key)
         if successor is None:
@@ -183,7 +183,7 @@
     def _handle_unknown_flow(
         self, datagram: IncomingDatagram, now: float
     ) -> None:
-        """Handles a flow known to no VM, being new or lost with its holder."""
+        """Handles a flow that no VM knows: new, or lost with its holder."""
         if datagram.is_initial:
             self._forwarder.open(datagram, now)
         elif not self._connection_ids.search(datagram, now):
--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -127,7 +127,7 @@
             await anyio.sleep(0)
 
     def poll_once(self, core: RelayCore) -> bool:
-        """Reads a batch from each readable socket; returns whether any was."""
+        """Reads a batch per readable socket; returns whether there was one."""
         events = self._epoll.poll(0, MAX_EVENTS)
         now = anyio.current_time() if events else 0.0
         for fd, _ in events:
--- a/src/pollenmast/relay/_table.py
+++ b/src/pollenmast/relay/_table.py
@@ -152,8 +152,9 @@
         """Returns whether unknown flows may go to their default endpoint.
 
         A port that was reassigned may still receive packets of its previous
-        service. A guess would send a packet meant for the registry to barcodes,
-        and the caller would see its session reset by an unrelated endpoint.
+        service. A guess would send, for example, a packet meant for the
+        registry service to the barcodes service, and the caller would see its
+        session reset by an unrelated endpoint.
         """
         return listener.service.port not in self._reused_since
 
@@ -161,8 +162,8 @@
         """Returns whether a port was recently reassigned to another service.
 
         The network may still repeat the Initial of a session with the previous
-        service. It would open a flow at the new service, and the session's
-        packets would follow it there.
+        service. The Initial would open a flow at the new service, and the
+        session's packets would be forwarded there as well.
         """
         since = self._reused_since.get(listener.service.port)
         return since is not None and now - since < REUSED_PORT_QUARANTINE_S
@@ -232,7 +233,7 @@
         self._moved[flow.listener.service.port, *flow.caller] = flow
 
     def end_moved(self, record: FlowRecord, now: float) -> None:
-        """Removes a flow that another relay now forwards both ways."""
+        """Removes a flow that another relay now forwards in both directions."""
         flow = self._moved.get(record.key)
         if flow is not None:
             self.end(flow, now)
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -38,8 +38,8 @@
 CHECKED_FLOWS_PER_TICK = 200
 """Number of flows scanned per tick while owners or defaults are recomputed.
 
-This happens after a change of members or of the manifest, and takes many times
-as long per flow.
+They are recomputed after a change of members or of the manifest, which takes
+many times as long per flow as a usual scan.
 """
 
 GUESS_TIMEOUT_S = 5.0
@@ -149,9 +149,9 @@
         """Returns whether a draining relay may end a handed-over flow.
 
         A session that its caller has closed is never answered on its new path,
-        and its upstream may still send on the old one for a while. Waiting
-        until it is silent would delay every planned stop. A caller that is
-        still alive has sent its keep-alive to the new relay by now.
+        and its upstream may still send on the old path for a while. Waiting
+        until the old path is silent would delay every planned stop. A caller
+        that is still alive has sent its keep-alive to the new relay by now.
         """
         waited = tick - flow.received_tick
         return (
