--- a/src/pollenmast/agent/_link_loop.py
+++ b/src/pollenmast/agent/_link_loop.py
@@ -159,7 +159,7 @@
         """Returns the reports that changed since the last view.
 
         All reports are returned at regular intervals, while the relay has no
-        manifest, and after it has been suspended.
+        manifest, and after the relay was suspended.
         """
         report = self._node.relay.report
         wake = report.wake if report else 0
@@ -233,8 +233,8 @@
     async def _watch_link(self) -> None:
         """Marks the relay as lost as soon as the link closes.
 
-        A process that exits closes its connections. Waiting until its reports
-        are overdue would cost callers another second and a half.
+        A process that exits closes its connections. Waiting until the relay's
+        reports are overdue would cost callers another second and a half.
         """
         while True:
             await self._link.changed()
@@ -258,7 +258,7 @@
             self._gossip.send(node.membership.tick(now))
 
     def _check_standby(self, up: bool, now: float) -> None:
-        """Keeps the standby active until the relay has opened its ports.
+        """Activates the standby for a silent relay, until it opens its ports.
 
         A relay that has just started reports before it has a manifest, and it
         opens no port without one.
--- a/src/pollenmast/agent/_standby.py
+++ b/src/pollenmast/agent/_standby.py
@@ -114,8 +114,8 @@
                 await anyio.wait_readable(self._epoll.fileno())
             self.forward_pending()
             await anyio.sleep(0)
-        # Forward what arrived before the relay reopened its ports; closing
-        # them would discard it.
+        # Forward the datagrams that arrived before the relay reopened its
+        # ports; closing the standby's sockets would discard them.
         self.forward_pending()
         self._close_ports()
         node.log.write(events.STANDBY_ENDED, passed_on=self._forwarded)
--- a/src/pollenmast/callers/_packets.py
+++ b/src/pollenmast/callers/_packets.py
@@ -28,6 +28,8 @@
 VERSION_1 = 0x00000001
 VERSION_2 = 0x6B3343CF
 _MAX_CID_BYTES = 20
+"""Limit on the length of a connection ID, in bytes (RFC 9000 section 17.2)."""
+
 _VERSION_END_OFFSET = 5
 
 
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -197,7 +197,7 @@
             self._store(entry)
 
     def answer_query(self, forwarded: Forwarded) -> None:
-        """Answers a query for a connection id, or forwards it."""
+        """Answers a query for a connection id, or asks the next VM."""
         cid = _read_cid(forwarded.data)
         endpoint = self._entries.get((forwarded.service_port, cid))
         next_vm = forwarded.next_candidate
--- a/src/pollenmast/relay/_history.py
+++ b/src/pollenmast/relay/_history.py
@@ -12,6 +12,7 @@
 """
 
 MAX_LINES = 50
+"""Limit on the decisions in one explanation."""
 
 
 @attrs.frozen
--- a/src/pollenmast/relay/_outbox.py
+++ b/src/pollenmast/relay/_outbox.py
@@ -48,9 +48,12 @@
 """
 
 ACKNOWLEDGEMENT_BYTES = 62
+"""Size of an acknowledgement, in bytes, with its IPv4 and UDP headers."""
 
 _BATCH = struct.Struct("!I")
 _UDP_BYTES = 28
+"""Length of the IPv4 and UDP headers of a datagram, in bytes."""
+
 _OVERHEAD = HEADER_BYTES + MAC_BYTES + _BATCH.size + _UDP_BYTES
 
 
--- a/src/pollenmast/relay/_program.py
+++ b/src/pollenmast/relay/_program.py
@@ -44,6 +44,8 @@
 """
 
 EXIT_OK = 0
+"""Exit code after a graceful shutdown."""
+
 EXIT_FAILED = 1
 """Exit code if the relay cannot bind its ports."""
 
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -201,8 +201,9 @@
 
     def on_forward(self, opened: OpenedEnvelope, now: float) -> None:
         """Handles a datagram that another relay forwarded."""
-        # If an agent forwarded it in place of its relay, nothing may be sent
-        # back to that VM. This VM may not know yet that the relay is gone.
+        # If an agent forwarded the datagram in place of its relay, nothing may
+        # be sent back to that VM. This VM may not know yet that the relay is
+        # gone.
         previous_hop = self._fleet.sending_vm(opened.sender)
         datagram = self._read(self._unpack(opened), previous_hop)
         if datagram is not None:
--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -39,6 +39,7 @@
 """Limit on rounds over all readable sockets before other tasks may run."""
 
 MAX_EVENTS = 512
+"""Limit on readable sockets per round."""
 
 
 class _SocketListener(Listener):
--- a/src/pollenmast/relay/_table.py
+++ b/src/pollenmast/relay/_table.py
@@ -15,6 +15,8 @@
 """
 
 _LONG_AGO = float("-inf")
+"""Time of a port's reassignment that this VM has not seen; its quarantine is
+over."""
 
 
 class Transport(abc.ABC):
