--- a/src/pollenmast/agent/_standby.py
+++ b/src/pollenmast/agent/_standby.py
@@ -28,7 +28,7 @@
 CHECK_INTERVAL_S = 0.2
 """Interval between checks of the manifest, fleet and relay, in seconds.
 
-It is no longer than heartbeats take to change them.
+Heartbeats take at least as long to spread a change.
 """
 
 BATCH_SIZE = 64
@@ -114,8 +114,8 @@
                 await anyio.wait_readable(self._epoll.fileno())
             self.forward_pending()
             await anyio.sleep(0)
-        # Forward what arrived before the relay reopened its ports; closing
-        # them would discard it.
+        # Forward the datagrams that arrived before the relay reopened its
+        # ports; closing the standby's sockets would discard them.
         self.forward_pending()
         self._close_ports()
         node.log.write(events.STANDBY_ENDED, passed_on=self._forwarded)
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -61,7 +61,7 @@
 UNPUBLISHED_EXPIRY_TICKS = 60 * TICKS_PER_S
 """Age, in ticks, at which an unpublished flow counts as ended.
 
-Its caller has not been heard past the replication age by then.
+Its caller's latest packet came before the flow reached the replication age.
 """
 
 _CID = struct.Struct("!Q")
@@ -197,7 +197,7 @@
             self._store(entry)
 
     def answer_query(self, forwarded: Forwarded) -> None:
-        """Answers a query for a connection id, or forwards it."""
+        """Answers a query for a connection id, or asks the next VM."""
         cid = _read_cid(forwarded.data)
         endpoint = self._entries.get((forwarded.service_port, cid))
         next_vm = forwarded.next_candidate
--- a/src/pollenmast/relay/_sockets.py
+++ b/src/pollenmast/relay/_sockets.py
@@ -39,6 +39,7 @@
 """Limit on rounds over all readable sockets before other tasks may run."""
 
 MAX_EVENTS = 512
+"""Limit on readable sockets per round."""
 
 
 class _SocketListener(Listener):
@@ -127,7 +128,7 @@
             await anyio.sleep(0)
 
     def poll_once(self, core: RelayCore) -> bool:
-        """Reads a batch from each readable socket; returns whether any was."""
+        """Reads a batch per readable socket; returns whether there was one."""
         events = self._epoll.poll(0, MAX_EVENTS)
         now = anyio.current_time() if events else 0.0
         for fd, _ in events:
