--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -95,7 +95,7 @@
         self._draining = False
         self._handlers = {
             MessageType.FORWARD: self._routing.on_forward,
-            MessageType.FLOW_LOOKUP: self._routing.on_ask,
+            MessageType.FLOW_LOOKUP: self._routing.on_flow_lookup,
             MessageType.FLOW_NOT_FOUND: self._routing.on_unknown,
             MessageType.CONNECTION_ID_LOOKUP: self._routing.on_find,
             MessageType.LOOKUP_RESULT: self._routing.on_found,
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -208,7 +208,7 @@
         if datagram is not None:
             self._forwarder.on_datagram(datagram, now)
 
-    def on_ask(self, opened: OpenedEnvelope, now: float) -> None:
+    def on_flow_lookup(self, opened: OpenedEnvelope, now: float) -> None:
         """Forwards a queried datagram to its flow, or queries the next VM."""
         forwarded = self._unpack(opened)
         if forwarded is None:
