--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -97,7 +97,9 @@
             MessageType.FORWARD: self._routing.on_forward,
             MessageType.FLOW_LOOKUP: self._routing.on_flow_lookup,
             MessageType.FLOW_NOT_FOUND: self._routing.on_unknown,
-            MessageType.CONNECTION_ID_LOOKUP: self._routing.on_find,
+            MessageType.CONNECTION_ID_LOOKUP: (
+                self._routing.on_connection_id_lookup
+            ),
             MessageType.LOOKUP_RESULT: self._routing.on_found,
             MessageType.CONNECTION_ID_NOT_FOUND: self._routing.on_not_found,
             MessageType.CONNECTION_IDS: self._connection_ids.on_entries,
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -265,7 +265,9 @@
             forwarded.requester, MessageType.FLOW_NOT_FOUND, body
         )
 
-    def on_find(self, opened: OpenedEnvelope, now: float) -> None:
+    def on_connection_id_lookup(
+        self, opened: OpenedEnvelope, now: float
+    ) -> None:
         """Answers a query for the connection id in a datagram."""
         del now
         forwarded = self._unpack(opened)
