--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -96,7 +96,7 @@
         self._handlers = {
             MessageType.FORWARD: self._routing.on_forward,
             MessageType.FLOW_LOOKUP: self._routing.on_flow_lookup,
-            MessageType.FLOW_NOT_FOUND: self._routing.on_unknown,
+            MessageType.FLOW_NOT_FOUND: self._routing.on_flow_not_found,
             MessageType.CONNECTION_ID_LOOKUP: (
                 self._routing.on_connection_id_lookup
             ),
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -322,7 +322,7 @@
             listener is not None and not table.may_use_default(listener)
         )
 
-    def on_unknown(self, opened: OpenedEnvelope, now: float) -> None:
+    def on_flow_not_found(self, opened: OpenedEnvelope, now: float) -> None:
         """Handles the return of a datagram whose flow no queried VM knows."""
         forwarded = self._unpack(opened)
         datagram = self._read(forwarded, opened.sender)
