--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -274,7 +274,7 @@
         if forwarded is not None:
             self._connection_ids.answer_query(forwarded)
 
-    def on_found(self, opened: OpenedEnvelope, now: float) -> None:
+    def on_lookup_result(self, opened: OpenedEnvelope, now: float) -> None:
         """Forwards a datagram whose endpoint another VM has found."""
         unpacked = unpack_found(opened.body)
         if unpacked.is_err():
