--- a/src/pollenmast/relay/_core.py
+++ b/src/pollenmast/relay/_core.py
@@ -101,7 +101,9 @@
                 self._routing.on_connection_id_lookup
             ),
             MessageType.LOOKUP_RESULT: self._routing.on_lookup_result,
-            MessageType.CONNECTION_ID_NOT_FOUND: self._routing.on_not_found,
+            MessageType.CONNECTION_ID_NOT_FOUND: (
+                self._routing.on_connection_id_not_found
+            ),
             MessageType.CONNECTION_IDS: self._connection_ids.on_entries,
             MessageType.RECORDS: self._record_exchange.on_records,
             MessageType.RECORDS_ACK: (
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -298,7 +298,9 @@
         if flow is not None:
             self._forwarder.forward_to_upstream(flow, datagram.data, now)
 
-    def on_not_found(self, opened: OpenedEnvelope, now: float) -> None:
+    def on_connection_id_not_found(
+        self, opened: OpenedEnvelope, now: float
+    ) -> None:
         """Handles a datagram whose connection id no VM has stored."""
         datagram = self._read(self._unpack(opened), opened.sender)
         if datagram is None:
