--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -208,7 +208,7 @@
     forwarded: Forwarded
 
 
-def pack_found(found: LookupResult) -> bytes:
+def pack_lookup_result(found: LookupResult) -> bytes:
     """Returns the body of a LOOKUP_RESULT envelope."""
     fixed = _FOUND.pack(found.endpoint, found.caller_moved)
     return fixed + pack_forwarded(found.forwarded)
--- a/src/pollenmast/relay/_directory.py
+++ b/src/pollenmast/relay/_directory.py
@@ -34,7 +34,7 @@
     LookupResult,
     pack_connection_ids,
     pack_forwarded,
-    pack_found,
+    pack_lookup_result,
     unpack_connection_ids,
 )
 from pollenmast.relay._flows import TICKS_PER_S, Flow
@@ -202,7 +202,7 @@
         endpoint = self._entries.get((forwarded.service_port, cid))
         next_vm = forwarded.next_candidate
         if endpoint is not None:
-            found = pack_found(LookupResult(endpoint, True, forwarded))
+            found = pack_lookup_result(LookupResult(endpoint, True, forwarded))
             self._peer_sender.send(
                 forwarded.requester, MessageType.LOOKUP_RESULT, found
             )
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -21,7 +21,7 @@
     Forwarded,
     LookupResult,
     pack_forwarded,
-    pack_found,
+    pack_lookup_result,
     unpack_forwarded,
     unpack_found,
 )
@@ -244,7 +244,9 @@
             self._peer_sender.send(replica.holder, MessageType.FORWARD, body)
             return
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
-        found = pack_found(LookupResult(replica.endpoint, False, forwarded))
+        found = pack_lookup_result(
+            LookupResult(replica.endpoint, False, forwarded)
+        )
         self._peer_sender.send(
             forwarded.requester, MessageType.LOOKUP_RESULT, found
         )
