--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -214,7 +214,7 @@
     return fixed + pack_forwarded(found.forwarded)
 
 
-def unpack_found(body: bytes) -> Result[LookupResult, EnvelopeFault]:
+def unpack_lookup_result(body: bytes) -> Result[LookupResult, EnvelopeFault]:
     """Returns the content of a LOOKUP_RESULT, or why it is dropped."""
     if len(body) < _FOUND.size:
         return Err(EnvelopeFault.MALFORMED)
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -23,7 +23,7 @@
     pack_forwarded,
     pack_lookup_result,
     unpack_forwarded,
-    unpack_found,
+    unpack_lookup_result,
 )
 from pollenmast.relay._custody import RecordExchange
 from pollenmast.relay._directory import ConnectionIdDirectory
@@ -278,7 +278,7 @@
 
     def on_lookup_result(self, opened: OpenedEnvelope, now: float) -> None:
         """Forwards a datagram whose endpoint another VM has found."""
-        unpacked = unpack_found(opened.body)
+        unpacked = unpack_lookup_result(opened.body)
         if unpacked.is_err():
             self._counters.add(c.ENVELOPE_FAULTS, unpacked.unwrap_err())
             return
--- a/tests/proof_parsers_test.py
+++ b/tests/proof_parsers_test.py
@@ -17,7 +17,7 @@
     pack_forwarded,
     unpack_connection_ids,
     unpack_forwarded,
-    unpack_found,
+    unpack_lookup_result,
     unpack_records,
 )
 from standins import memory as fakes
@@ -159,7 +159,11 @@
         records = unpack_records(body)
         if records.is_ok():
             self.assertLessEqual(len(records.unwrap()), MAX_RECORDS_PER_MESSAGE)
-        for unpack in (unpack_forwarded, unpack_found, unpack_connection_ids):
+        for unpack in (
+            unpack_forwarded,
+            unpack_lookup_result,
+            unpack_connection_ids,
+        ):
             unpack(body)
 
     @_FIXED
