--- a/src/pollenmast/relay/_custody.py
+++ b/src/pollenmast/relay/_custody.py
@@ -145,7 +145,7 @@
     def _apply_record(
         self, record: FlowRecord, sender: int, now: float
     ) -> None:
-        flow = self._discard_guess(self._flow(record), now)
+        flow = self._discard_unconfirmed(self._flow(record), now)
         if record.flags == RecordAction.DELETE:
             self._replicas.forget(record, sender)
         elif record.flags == RecordAction.RELEASE:
@@ -159,14 +159,16 @@
         else:
             self._replicas.keep(record, sender)
 
-    def _discard_guess(self, flow: Flow | None, now: float) -> Flow | None:
-        """Ends a guessed flow, as a record of its real endpoint has come.
+    def _discard_unconfirmed(
+        self, flow: Flow | None, now: float
+    ) -> Flow | None:
+        """Ends an unconfirmed flow, as a record of its real endpoint has come.
 
-        If the guess took precedence over the holder that reports the flow,
-        the session would stay at an endpoint that does not know it.
+        If the unconfirmed flow took precedence over the holder that reports
+        the flow, the session would stay at an endpoint that does not know it.
 
         Returns:
-            The flow, or None if there is none or it was only guessed.
+            The flow, or None if there is none or it was unconfirmed.
         """
         if flow is not None and flow.state is FlowState.UNCONFIRMED:
             self._forwarder.table.end(flow, now)
--- a/src/pollenmast/relay/_upkeep.py
+++ b/src/pollenmast/relay/_upkeep.py
@@ -43,7 +43,7 @@
 """
 
 GUESS_TIMEOUT_S = 5.0
-"""Time in which the endpoint of a guessed flow must answer, in seconds.
+"""Time in which the endpoint of an unconfirmed flow must answer, in seconds.
 
 Without this limit, a flood of forged packets would fill the table.
 """
@@ -139,7 +139,7 @@
             self._maintain(flow, now, tick)
 
     def _guess_expired(self, flow: Flow, tick: int) -> bool:
-        """Returns whether a guessed flow got no answer in time."""
+        """Returns whether an unconfirmed flow got no answer in time."""
         waited = tick - flow.opened_tick
         return flow.state is FlowState.UNCONFIRMED and waited > (
             GUESS_TIMEOUT_S * TICKS_PER_S
