--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -109,16 +109,16 @@
             # waits for.
             self._rescheduled.set()
 
-    def queue_report(self, news: ProbeUpdate) -> None:
+    def queue_report(self, update: ProbeUpdate) -> None:
         """Queues an endpoint's report for the peers.
 
         A report that an endpoint is down or leaving must reach every VM,
         because a VM that misses it continues to send work there. It is
         therefore sent more often than a load report, which may be lost.
         """
-        key = (news.report.service, news.report.endpoint, news.prober)
-        sends = None if news.report.healthy else SENDS_PER_LOG
-        self._probes.add(key, news, _gossip.probe_size(news), sends)
+        key = (update.report.service, update.report.endpoint, update.prober)
+        sends = None if update.report.healthy else SENDS_PER_LOG
+        self._probes.add(key, update, _gossip.probe_size(update), sends)
 
     async def _tick(self) -> None:
         membership = self._node.membership
@@ -139,8 +139,8 @@
                 # Queue the reports after the answer has been sent. The
                 # least-sent updates go first, so an ack would otherwise
                 # carry the ping's reports back to their sender.
-                for news in new_reports:
-                    self.queue_report(news)
+                for update in new_reports:
+                    self.queue_report(update)
 
     def _apply_updates(self, message: Gossip, now: float) -> list[ProbeUpdate]:
         """Applies the updates in a message.
@@ -150,7 +150,9 @@
         """
         reports = self._node.reports
         new_reports = [
-            news for news in message.probes if reports.record_peer(news, now)
+            update
+            for update in message.probes
+            if reports.record_peer(update, now)
         ]
         if new_reports:
             self._node.notify_changed()
--- a/src/pollenmast/agent/_probe_loop.py
+++ b/src/pollenmast/agent/_probe_loop.py
@@ -110,10 +110,12 @@
         reports = self._node.reports
         sequence = reports.next_sequence(number, name)
         report = _report(number, name, sequence, load)
-        news = reports.record_local(report, anyio.current_time(), load.is_ok())
-        if news is not None:
-            self._gossip.queue_report(news)
-            if self._log_health_change(news.report):
+        update = reports.record_local(
+            report, anyio.current_time(), load.is_ok()
+        )
+        if update is not None:
+            self._gossip.queue_report(update)
+            if self._log_health_change(update.report):
                 # An endpoint that leaves must get no new work after a few
                 # seconds, and heartbeats may take longer to reach every VM.
                 self._gossip.send(self._node.membership.push_messages())
--- a/src/pollenmast/decisions/_probing.py
+++ b/src/pollenmast/decisions/_probing.py
@@ -164,7 +164,7 @@
 
 @attrs.define
 class _ReceivedReport:
-    news: ProbeUpdate
+    update: ProbeUpdate
     heard_s: float
 
 
@@ -190,7 +190,7 @@
         """Returns a sequence number above all known ones of this endpoint."""
         received = self._reports.get((service, endpoint), {})
         known_sequences = (
-            each.news.report.sequence for each in received.values()
+            each.update.report.sequence for each in received.values()
         )
         return max(known_sequences, default=self._floor) + 1
 
@@ -221,9 +221,9 @@
             self._failures.pop(key, None)
         if report is None:
             return None
-        news = ProbeUpdate(self._own_prober, report)
+        update = ProbeUpdate(self._own_prober, report)
         self._reports.setdefault(key, {})[self._own_prober] = _ReceivedReport(
-            news, now
+            update, now
         )
         sent, sent_at_s = self._sent.get(key, (None, now))
         if (
@@ -232,18 +232,18 @@
         ):
             return None
         self._sent[key] = (report, now)
-        return news
+        return update
 
-    def record_peer(self, news: ProbeUpdate, now: float) -> bool:
+    def record_peer(self, update: ProbeUpdate, now: float) -> bool:
         """Records a peer's report; returns whether it was not yet known."""
-        key = (news.report.service, news.report.endpoint)
+        key = (update.report.service, update.report.endpoint)
         by_prober = self._reports.setdefault(key, {})
-        known = by_prober.get(news.prober)
-        if news.prober == self._own_prober:
+        known = by_prober.get(update.prober)
+        if update.prober == self._own_prober:
             return False
-        if known and known.news.report.sequence >= news.report.sequence:
+        if known and known.update.report.sequence >= update.report.sequence:
             return False
-        by_prober[news.prober] = _ReceivedReport(news, now)
+        by_prober[update.prober] = _ReceivedReport(update, now)
         return True
 
     def view(self, now: float) -> tuple[EndpointReport, ...]:
@@ -300,9 +300,9 @@
         newest = max(
             received,
             key=lambda each: (
-                each.news.report.healthy,
-                each.news.report.sequence,
+                each.update.report.healthy,
+                each.update.report.sequence,
                 each.heard_s,
             ),
         )
-        return newest.news.report
+        return newest.update.report
--- a/src/pollenmast/peers/_gossip.py
+++ b/src/pollenmast/peers/_gossip.py
@@ -183,9 +183,9 @@
     return 40 + len(vm.name) + len(vm.zone) + len(vm.address)
 
 
-def probe_size(news: ProbeUpdate) -> int:
+def probe_size(update: ProbeUpdate) -> int:
     """Returns an upper bound on the encoded size of a probe, in bytes."""
-    return 38 + len(news.report.endpoint)
+    return 38 + len(update.report.endpoint)
 
 
 def remaining_bytes(sender: Vm, target: str, members: tuple[Vm, ...]) -> int:
@@ -228,7 +228,7 @@
         and len(message.target) <= MAX_NAME_LENGTH
         and is_valid_vm(message.sender)
         and all(is_valid_vm(vm) for vm in message.members)
-        and all(_is_valid_probe(news) for news in message.probes)
+        and all(_is_valid_probe(update) for update in message.probes)
     )
 
 
@@ -258,8 +258,8 @@
     )
 
 
-def _is_valid_probe(news: ProbeUpdate) -> bool:
-    report = news.report
+def _is_valid_probe(update: ProbeUpdate) -> bool:
+    report = update.report
     numbers = (
         report.service,
         report.sequence,
@@ -272,5 +272,5 @@
     return (
         all(0 <= number < NUMBER_LIMIT for number in numbers)
         and 0 < len(report.endpoint) <= MAX_NAME_LENGTH
-        and 0 <= news.prober < 1 << 32
+        and 0 <= update.prober < 1 << 32
     )
--- a/tests/agent_probe_test.py
+++ b/tests/agent_probe_test.py
@@ -26,9 +26,9 @@
     def __init__(self):
         self.queued = []
 
-    def queue_report(self, news) -> None:
+    def queue_report(self, update) -> None:
         """Records a report."""
-        self.queued.append(news)
+        self.queued.append(update)
 
     def send(self, sends) -> None:
         """Discards messages."""
