--- a/src/pollenmast/agent/_gossip_loop.py
+++ b/src/pollenmast/agent/_gossip_loop.py
@@ -186,13 +186,15 @@
         return bool(changes)
 
     def _log_change(self, change: Change) -> None:
-        event = _REASON_EVENTS.get(change.why, _STATE_EVENTS[change.vm.state])
+        event = _REASON_EVENTS.get(
+            change.reason, _STATE_EVENTS[change.vm.state]
+        )
         self._node.log.write(
             event,
             member=change.vm.name,
             zone=change.vm.zone,
             state=change.vm.state.value,
-            why=change.why.value,
+            why=change.reason.value,
             incarnation=change.vm.incarnation,
             relay_up=change.vm.relay_up,
         )
--- a/src/pollenmast/decisions/_members.py
+++ b/src/pollenmast/decisions/_members.py
@@ -36,12 +36,12 @@
     Attributes:
         vm: The member after the change.
         before: The state before the change, or None for a new member.
-        why: The reason for the change.
+        reason: The reason for the change.
     """
 
     vm: Vm
     before: VmState | None
-    why: ChangeReason
+    reason: ChangeReason
 
 
 @attrs.define
--- a/src/pollenmast/decisions/_membership.py
+++ b/src/pollenmast/decisions/_membership.py
@@ -344,9 +344,9 @@
         if change is None:
             return
         self._record_change(change)
-        if change.why is ChangeReason.JOINED:
+        if change.reason is ChangeReason.JOINED:
             self._heartbeats.add_member(vm.name)
-        if change.why is ChangeReason.RETURNED:
+        if change.reason is ChangeReason.RETURNED:
             self._heartbeats.retry_dead_soon(now)
 
     def _merge_own(self, vm: Vm, now: float) -> None:
