--- a/src/pollenmast/agent/_shutdown.py
+++ b/src/pollenmast/agent/_shutdown.py
@@ -13,7 +13,7 @@
 from pollenmast.agent._link_loop import LinkLoop
 from pollenmast.agent._node import Node
 
-EXIT_CUT = 3
+EXIT_FORCED = 3
 """Exit code after a second signal, which ends a graceful shutdown."""
 
 DRAIN_CHECK_INTERVAL_S = 0.05
@@ -56,13 +56,13 @@
             async def force_exit() -> None:
                 nonlocal code
                 await anext(signals)
-                code = EXIT_CUT
+                code = EXIT_FORCED
                 tasks.cancel_scope.cancel()
 
             tasks.start_soon(force_exit)
             await self._drain()
             tasks.cancel_scope.cancel()
-        if code == EXIT_CUT:
+        if code == EXIT_FORCED:
             report = self._node.relay.report
             flows = report.flows if report else 0
             self._node.log.write(events.CUT, flows=flows)
--- a/src/pollenmast/relay/_program.py
+++ b/src/pollenmast/relay/_program.py
@@ -47,7 +47,7 @@
 EXIT_FAILED = 1
 """Exit code if the relay cannot bind its ports."""
 
-EXIT_CUT = 3
+EXIT_FORCED = 3
 """Exit code if a second signal cuts the shutdown short."""
 
 _GC_THRESHOLDS = (50_000, 50, 1000)
@@ -99,7 +99,7 @@
 
     def _close(self) -> None:
         flows = self._core.table.flows
-        event = CUT if self._exit == EXIT_CUT else STOPPED
+        event = CUT if self._exit == EXIT_FORCED else STOPPED
         self._log.write(event, flows=flows)
         self._log.flush()
         self._link.close()
@@ -142,7 +142,7 @@
         # Only a second signal ends the drain early: the first one may follow
         # the agent's drain order, if both programs are told to stop at once.
         await anext(received)
-        self._exit = EXIT_CUT
+        self._exit = EXIT_FORCED
         scope.cancel()
 
     async def _watch_drain(self, scope: anyio.CancelScope) -> None:
