--- a/src/pollenmast/agent/_knowledge.py
+++ b/src/pollenmast/agent/_knowledge.py
@@ -13,7 +13,7 @@
 _NO_LOAD = EndpointLoad(0, "", 0, 0.0, "the relay has not told")
 
 
-class NodeKnowledge(operators.Knowledge):
+class NodeKnowledge(operators.StatusProvider):
     """Provides status, health, metrics and explanations of one VM."""
 
     def __init__(self, node: Node, link: LinkLoop):
--- a/src/pollenmast/operators/__init__.py
+++ b/src/pollenmast/operators/__init__.py
@@ -1,7 +1,7 @@
 """The operators' HTTP API: status, metrics, health and readiness."""
 
 from pollenmast.operators._metrics import Gauges, Metrics
-from pollenmast.operators._site import Knowledge, Site
+from pollenmast.operators._site import Site, StatusProvider
 from pollenmast.operators._status import (
     CounterStatus,
     EndpointStatus,
@@ -18,7 +18,6 @@
     "CounterStatus",
     "EndpointStatus",
     "Gauges",
-    "Knowledge",
     "ManifestStatus",
     "MemberStatus",
     "Metrics",
@@ -26,6 +25,7 @@
     "RelayStatus",
     "Site",
     "Status",
+    "StatusProvider",
     "VmStatus",
     "to_json",
 ]
--- a/src/pollenmast/operators/_site.py
+++ b/src/pollenmast/operators/_site.py
@@ -12,7 +12,7 @@
 _JSON = "application/json"
 
 
-class Knowledge(abc.ABC):
+class StatusProvider(abc.ABC):
     """What the program provides to the operators' API."""
 
     @abc.abstractmethod
@@ -49,8 +49,10 @@
 class Site:
     """Answers the HTTP requests of operators."""
 
-    def __init__(self, knowledge: Knowledge, metrics: _metrics.Metrics):
-        self._knowledge = knowledge
+    def __init__(
+        self, status_provider: StatusProvider, metrics: _metrics.Metrics
+    ):
+        self._status_provider = status_provider
         self._metrics = metrics
 
     async def handle(self, request: Request) -> ServerResponse:
@@ -60,15 +62,15 @@
         path, _, query = request.target.partition("?")
         match path:
             case "/status":
-                body = to_json(self._knowledge.status())
+                body = to_json(self._status_provider.status())
                 return ServerResponse(200, body, _JSON)
             case "/metrics":
                 text = self._metrics.text()
                 return ServerResponse(200, text, _metrics.CONTENT_TYPE)
             case "/health":
-                return _check_answer(self._knowledge.health())
+                return _check_answer(self._status_provider.health())
             case "/ready":
-                return _check_answer(self._knowledge.readiness())
+                return _check_answer(self._status_provider.readiness())
             case "/explain":
                 return await self._explain(query)
         return ServerResponse(
@@ -81,7 +83,7 @@
         except ValueError:
             return ServerResponse(400, b"too many fields\n")
         subject = fields.get("subject", [""])[0]
-        lines = await self._knowledge.explain(subject)
+        lines = await self._status_provider.explain(subject)
         if lines is None:
             return ServerResponse(
                 503, b"the relay of this VM does not answer\n"
--- a/tests/operators_site_test.py
+++ b/tests/operators_site_test.py
@@ -25,7 +25,7 @@
 )
 
 
-class FakeKnowledge(operators.Knowledge):
+class FakeKnowledge(operators.StatusProvider):
     """Returns the given fault and lines."""
 
     def __init__(self, fault: str | None = None, lines=("a line",)):
