--- a/src/pollenmast/configuration/__init__.py
+++ b/src/pollenmast/configuration/__init__.py
@@ -3,7 +3,7 @@
 from pollenmast.configuration._client import (
     HttpPlatform,
     Platform,
-    PlatformFault,
+    PlatformError,
 )
 
-__all__ = ["HttpPlatform", "Platform", "PlatformFault"]
+__all__ = ["HttpPlatform", "Platform", "PlatformError"]
--- a/src/pollenmast/configuration/_client.py
+++ b/src/pollenmast/configuration/_client.py
@@ -22,7 +22,7 @@
 years."""
 
 
-class PlatformFault(str, enum.Enum):
+class PlatformError(str, enum.Enum):
     """Why a request to the platform failed."""
 
     UNREACHABLE = "unreachable"
@@ -55,7 +55,7 @@
     @abc.abstractmethod
     async def manifest(
         self, after: int, wait_s: float
-    ) -> Result[bytes | None, PlatformFault]:
+    ) -> Result[bytes | None, PlatformError]:
         """Returns the text of a manifest that is newer than a version.
 
         Args:
@@ -67,7 +67,7 @@
         """
 
     @abc.abstractmethod
-    async def vms(self) -> Result[tuple[Vm, ...], PlatformFault]:
+    async def vms(self) -> Result[tuple[Vm, ...], PlatformError]:
         """Returns the platform's list of VMs, which may be out of date."""
 
 
@@ -85,7 +85,7 @@
 
     async def manifest(
         self, after: int, wait_s: float
-    ) -> Result[bytes | None, PlatformFault]:
+    ) -> Result[bytes | None, PlatformError]:
         """See the base class."""
         connection = self._watch if wait_s else self._read
         target = f"/manifest?after={after}&wait={wait_s:g}"
@@ -99,7 +99,7 @@
             return Ok(None)
         return Ok(response.ok_value.body)
 
-    async def vms(self) -> Result[tuple[Vm, ...], PlatformFault]:
+    async def vms(self) -> Result[tuple[Vm, ...], PlatformError]:
         """See the base class."""
         response = await self._get(self._read, "/vms", READ_TIMEOUT_S, (200,))
         if isinstance(response, Err):
@@ -108,7 +108,7 @@
             listing = _CONVERTER.loads(response.ok_value.body, _Listing)
         except (ValueError, TypeError, cattrs.BaseValidationError):
             self._counters.add(PLATFORM_CALLS, "malformed")
-            return Err(PlatformFault.MALFORMED)
+            return Err(PlatformError.MALFORMED)
         self._counters.add(PLATFORM_CALLS, "answered")
         vms = [_vm(each) for each in listing.vms[:MAX_LISTED_VMS]]
         # One invalid entry must not hide the other VMs of the list.
@@ -120,17 +120,17 @@
         target: str,
         timeout_s: float,
         statuses: tuple[int, ...],
-    ) -> Result[http1.Response, PlatformFault]:
+    ) -> Result[http1.Response, PlatformError]:
         before = connection.sent_bytes
         response = await connection.get(target, timeout_s)
         sent = connection.sent_bytes - before
         self._counters.add(CONTROL_BYTES, "platform", sent)
         if isinstance(response, Err):
             self._counters.add(PLATFORM_CALLS, "failed")
-            return Err(PlatformFault.UNREACHABLE)
+            return Err(PlatformError.UNREACHABLE)
         if response.ok_value.status not in statuses:
             self._counters.add(PLATFORM_CALLS, "failed")
-            return Err(PlatformFault.STATUS)
+            return Err(PlatformError.STATUS)
         return response
 
 
--- a/tests/agent_manifest_test.py
+++ b/tests/agent_manifest_test.py
@@ -10,7 +10,7 @@
 
 from pollenmast.agent._manifest_loop import ManifestLoop
 from pollenmast.agent._node import Node, new_node
-from pollenmast.configuration import Platform, PlatformFault
+from pollenmast.configuration import Platform, PlatformError
 from pollenmast.counters import MANIFESTS, ManifestOutcome
 from pollenmast.decisions import _readers
 from pollenmast.events import EventLog
@@ -81,7 +81,7 @@
         until = trio.current_time() + wait_s
         while True:
             if self.data is None:
-                return Err(PlatformFault.UNREACHABLE)
+                return Err(PlatformError.UNREACHABLE)
             version = json.loads(self.data)["version"]
             if version > after:
                 return Ok(self.data)
--- a/tests/upstreams_probe_test.py
+++ b/tests/upstreams_probe_test.py
@@ -9,7 +9,7 @@
 from result import Err, Ok
 from testtools import TestCase
 
-from pollenmast.configuration import HttpPlatform, PlatformFault
+from pollenmast.configuration import HttpPlatform, PlatformError
 from pollenmast.counters import PLATFORM_CALLS, PROBES, Counters
 from pollenmast.http1 import Connection, HttpFault, Response
 from pollenmast.upstreams._probe import Load, Probe, ProbeFault, parse_load
@@ -106,13 +106,13 @@
             (
                 "over_budget",
                 Ok(Response(429, b"")),
-                Err(PlatformFault.STATUS),
+                Err(PlatformError.STATUS),
                 "failed",
             ),
             (
                 "down",
                 Err(HttpFault.UNREACHABLE),
-                Err(PlatformFault.UNREACHABLE),
+                Err(PlatformError.UNREACHABLE),
                 "failed",
             ),
         ]
@@ -153,5 +153,5 @@
         """A list that cannot be parsed changes nothing and is counted."""
         self.set_outcome(Ok(Response(200, body)))
         result = trio.run(self.platform.vms)
-        self.assertEqual(Err(PlatformFault.MALFORMED), result)
+        self.assertEqual(Err(PlatformError.MALFORMED), result)
         self.assertEqual(1, self.counters.value(PLATFORM_CALLS, "malformed"))
