--- a/src/pollenmast/peers/_records.py
+++ b/src/pollenmast/peers/_records.py
@@ -208,13 +208,13 @@
     forwarded: Forwarded
 
 
-def pack_found(found: LookupResult) -> bytes:
+def pack_lookup_result(found: LookupResult) -> bytes:
     """Returns the body of a LOOKUP_RESULT envelope."""
     fixed = _FOUND.pack(found.endpoint, found.caller_moved)
     return fixed + pack_forwarded(found.forwarded)
 
 
-def unpack_found(body: bytes) -> Result[LookupResult, EnvelopeFault]:
+def unpack_lookup_result(body: bytes) -> Result[LookupResult, EnvelopeFault]:
     """Returns the content of a LOOKUP_RESULT, or why it is dropped."""
     if len(body) < _FOUND.size:
         return Err(EnvelopeFault.MALFORMED)
--- a/src/pollenmast/relay/_routing.py
+++ b/src/pollenmast/relay/_routing.py
@@ -21,9 +21,9 @@
     Forwarded,
     LookupResult,
     pack_forwarded,
-    pack_found,
+    pack_lookup_result,
     unpack_forwarded,
-    unpack_found,
+    unpack_lookup_result,
 )
 from pollenmast.relay._custody import RecordExchange
 from pollenmast.relay._directory import ConnectionIdDirectory
@@ -209,7 +209,7 @@
         if datagram is not None:
             self._forwarder.on_datagram(datagram, now)
 
-    def on_ask(self, opened: OpenedEnvelope, now: float) -> None:
+    def on_flow_lookup(self, opened: OpenedEnvelope, now: float) -> None:
         """Forwards a queried datagram to its flow, or queries the next VM."""
         forwarded = self._unpack(opened)
         if forwarded is None:
@@ -245,7 +245,9 @@
             self._peer_sender.send(replica.holder, MessageType.FORWARD, body)
             return
         self._counters.add(c.FORWARDS, c.ForwardReason.RETURNED)
-        found = pack_found(LookupResult(replica.endpoint, False, forwarded))
+        found = pack_lookup_result(
+            LookupResult(replica.endpoint, False, forwarded)
+        )
         self._peer_sender.send(
             forwarded.requester, MessageType.LOOKUP_RESULT, found
         )
@@ -266,16 +268,18 @@
             forwarded.requester, MessageType.FLOW_NOT_FOUND, body
         )
 
-    def on_find(self, opened: OpenedEnvelope, now: float) -> None:
+    def on_connection_id_lookup(
+        self, opened: OpenedEnvelope, now: float
+    ) -> None:
         """Answers a query for the connection id in a datagram."""
         del now
         forwarded = self._unpack(opened)
         if forwarded is not None:
             self._connection_ids.answer_query(forwarded)
 
-    def on_found(self, opened: OpenedEnvelope, now: float) -> None:
+    def on_lookup_result(self, opened: OpenedEnvelope, now: float) -> None:
         """Forwards a datagram whose endpoint another VM has found."""
-        unpacked = unpack_found(opened.body)
+        unpacked = unpack_lookup_result(opened.body)
         if unpacked.is_err():
             self._counters.add(c.ENVELOPE_FAULTS, unpacked.unwrap_err())
             return
@@ -297,7 +301,9 @@
         if flow is not None:
             self._forwarder.forward_to_upstream(flow, datagram.data, now)
 
-    def on_not_found(self, opened: OpenedEnvelope, now: float) -> None:
+    def on_connection_id_not_found(
+        self, opened: OpenedEnvelope, now: float
+    ) -> None:
         """Handles a datagram whose connection id no VM has stored."""
         datagram = self._read(self._unpack(opened), opened.sender)
         if datagram is None:
@@ -321,7 +327,7 @@
             listener is not None and not table.may_use_default(listener)
         )
 
-    def on_unknown(self, opened: OpenedEnvelope, now: float) -> None:
+    def on_flow_not_found(self, opened: OpenedEnvelope, now: float) -> None:
         """Handles the return of a datagram whose flow no queried VM knows."""
         forwarded = self._unpack(opened)
         datagram = self._read(forwarded, opened.sender)
